--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -1,12 +1,12 @@
-// Package citronpath chooses the engines that a request to a model passes
-// through: an exact cover of the model's layers, in order.
+// Package citronpath chooses the path of a request to a model: engines whose
+// layer ranges cover the model's layers exactly once and in order.
 //
-// The load it answers: at the peak of a surge each availability zone runs
-// its own copy of the model near its limit, and any engine may die. A path
-// within one zone costs no transfer between zones; when a zone's copy has a
-// hole, whole requests go to another zone's copy, and only when no zone is
-// whole does a path combine engines of several zones. Among engines that
-// hold the same layers the one with the least work wins.
+// At peak load each availability zone runs its own replica of the model near
+// capacity, and any engine may fail. A path within one zone needs no transfer
+// between zones. If a zone's replica lacks some layers, requests run entirely
+// on another zone's replica. Only if no zone has a complete replica does a path
+// combine engines of several zones. Among engines that hold the same layers,
+// the least loaded one is preferred.
 package citronpath
 
 import (
@@ -17,16 +17,16 @@
 	"citrondeck.dev/citrondeck/citronpool"
 )
 
-// Hop is one engine's part of a path.
+// Hop is one engine of a path and the layer range that it runs.
 type Hop struct {
 	Engine *citronpool.Engine
 	Span   citronmodel.Span
 }
 
-// Path is a cover of all layers in order.
+// Path is a sequence of hops that covers all layers of a model in order.
 type Path []Hop
 
-// Has reports whether the path runs through an engine.
+// Has reports whether the path contains the engine with the given ID.
 func (p Path) Has(id string) bool {
 	for _, h := range p {
 		if h.Engine.ID == id {
@@ -36,7 +36,7 @@
 	return false
 }
 
-// OneZone reports whether all engines of the path are in one zone.
+// OneZone reports whether all engines of the path are in the same zone.
 func (p Path) OneZone() bool {
 	for _, h := range p {
 		if h.Engine.Zone != p[0].Engine.Zone {
@@ -46,80 +46,89 @@
 	return true
 }
 
-// Query is what a path is chosen for.
+// Query holds the request and load data that determine the choice of a path.
 type Query struct {
 	Spec citronmodel.Spec
-	// Zone is where the request entered.
+	// Zone is the zone of the node that received the request.
 	Zone string
 	Now  time.Time
-	// Patient: the request can wait for an engine whose rate limit is used up.
+	// Patient is true if the request can wait for an engine whose rate limit
+	// is used up.
 	Patient bool
-	// Avoid holds ids of engines that this request must not use.
+	// Avoid holds the IDs of engines that this request must not use.
 	Avoid map[string]bool
-	// First, if set, must be the first engine of the path.
+	// First, if set, is the ID of the engine that must be the first hop.
 	First string
-	// Keep is the path that a request runs on; other engines than its own
-	// would have to read all of the request's tokens so far.
+	// Keep is the current path of a running request. An engine that is not on
+	// it would first have to process all of the request's tokens so far.
 	Keep Path
-	// Others is the cache, in tokens, that requests of other nodes take
-	// in each zone, Own what those of this node take.
+	// Others is the cache, in tokens, that requests of other nodes use in each
+	// zone. Own is the same for the requests of this node.
 	Others, Own map[string]int64
-	// ZoneCost is added for starting in a zone. Nodes that all see the same
-	// best zone send it everything until the next news; a cost drawn at
-	// random for each request spreads them.
+	// ZoneCost is the additional cost of starting in each zone other than
+	// Zone. Nodes that all see the same best zone would send all requests there
+	// until the next load update. A cost drawn at random for each request
+	// spreads the requests over the zones.
 	ZoneCost map[string]float64
 }
 
-// Costs are in milliseconds of one token step, the unit that StepTime has.
+// Costs are in milliseconds of one token step, the unit of StepTime.
 const (
-	// hopCost is a hop's own delay: a network hop and half a pass of waiting.
+	// hopCost is the fixed delay of a hop: network latency and, on average, half
+	// a pass of waiting for the engine.
 	hopCost = 0.5
-	// otherZone is the price of starting in another zone: delay and the
-	// bytes of request and answer. Small, yet more than the difference
-	// that the balance of a few requests makes.
-	otherZone = 6
-	// newPart is the price of a hop that is not on the request's present
-	// path. Token steps differ little between engines that hold the same
-	// layers, so sound parts are kept.
-	newPart = 3
-	// crossing is the price of handing a token's activations to another
-	// zone: all traffic of one zone over one pipe would nearly fill it.
-	crossing = 60
-	// typicalWriters and typicalContext describe a zone at its peak.
-	typicalWriters = 120
-	typicalContext = 110_000
-	// fullAt is the share of an engine's room beyond which a further request
-	// risks preemption or refusal; overfull, a step of the whole zone's cost,
-	// makes another zone the better choice before that point is passed.
-	fullAt   = 0.8
-	overfull = 60
+	// otherZoneCost is the cost of starting in another zone: latency and the
+	// transfer of request and response. It is small, but larger than the cost
+	// difference that an imbalance of a few requests causes.
+	otherZoneCost = 6
+	// newHopCost is the cost of a hop that is not on the request's current path.
+	// Token steps take about equally long on engines that hold the same layers,
+	// so healthy hops are kept.
+	newHopCost = 3
+	// crossZoneCost is the cost of sending a token's activations to another
+	// zone. The traffic of a whole zone would nearly saturate the link between
+	// two zones.
+	crossZoneCost = 60
+	// typicalRequests is the number of requests that generate tokens in a zone
+	// at peak load, typicalContext the number of their cached tokens.
+	typicalRequests = 120
+	typicalContext  = 110_000
+	// highUtilization is the utilization of an engine above which a further
+	// request risks preemption or refusal. overloadCost, which is about the cost
+	// of a token step through a whole zone, makes another zone preferable before
+	// the engine is full.
+	highUtilization = 0.8
+	overloadCost    = 60
 )
 
-// Used is the share of an engine's room that running requests may need, of its
-// cache or of its places, whichever is scarcer: small engines with few layers
-// have cache for more requests than they run at once, and refused what was sent
-// there for it. Requests of other nodes are known by zone only.
+// Used returns the share of an engine's capacity that running requests may need.
+// The capacity is limited by the engine's cache or by its request slots,
+// whichever is scarcer: small engines with few layers have cache for more
+// requests than they can run at once and would refuse the excess. The load from
+// other nodes is known only as a total per zone.
 func (q Query) Used(e *citronpool.Engine) float64 {
-	room := q.Spec.RoomTokens(e.Kind, e.Layers.Len())
-	if room <= 0 {
+	capacity := q.Spec.RoomTokens(e.Kind, e.Layers.Len())
+	if capacity <= 0 {
 		return math.Inf(1)
 	}
-	return (float64(e.Tokens()) + float64(q.Others[e.Zone])*q.part(e)) / room
+	return (float64(e.Tokens()) + float64(q.Others[e.Zone])*q.trafficShare(e)) / capacity
 }
 
-// priorTokens is how many tokens count for an even spread before what this
-// node sees of its own requests does: a few requests.
+// priorTokens is the weight, in tokens, of the assumption that requests spread
+// evenly over the engines. It equals a few requests. Beyond it the observed
+// distribution of this node's own requests dominates.
 const priorTokens = 4000
 
-// part is the part of a zone's requests that passes through an engine. Nodes
-// choose alike, so it is taken from this node's own. An even spread over the
-// engines that hold the same layers would hide that all nodes prefer the
-// faster one, and make its streams late while the other has room.
-func (q Query) part(e *citronpool.Engine) float64 {
+// trafficShare estimates the share of a zone's requests that pass through an
+// engine. All nodes choose by the same rules, so the estimate is taken from this
+// node's own requests. Assuming an even spread over the engines that hold the
+// same layers would hide that all nodes prefer the faster one: its streams would
+// be late while the other has free capacity.
+func (q Query) trafficShare(e *citronpool.Engine) float64 {
 	return min(1, (float64(e.Tokens())+priorTokens/max(1, e.Copies))/(float64(q.Own[e.Zone])+priorTokens))
 }
 
-// Used is the share of room taken at the fullest engine of the path.
+// Used returns the utilization of the path's most utilized engine.
 func (p Path) Used(q Query) float64 {
 	most := 0.0
 	for _, h := range p {
@@ -128,51 +137,52 @@
 	return most
 }
 
-// cost of running one layer at e.
-func (q Query) perLayer(e *citronpool.Engine) float64 {
-	ms := q.Spec.StepTime(e.Kind, 1, typicalWriters, typicalContext)
+// layerCost returns the cost of running one layer on an engine.
+func (q Query) layerCost(e *citronpool.Engine) float64 {
+	ms := q.Spec.StepTime(e.Kind, 1, typicalRequests, typicalContext)
 	used := q.Used(e)
 	if math.IsInf(used, 1) {
 		return used
 	}
 	c := ms * (1 + used)
 	if slow := e.Slowdown(q.Now); slow > 1 {
-		// One slow engine is the bottleneck of its zone: requests
-		// gather there, and the whole path gets slower by more than
-		// its own share.
+		// A slow engine is the bottleneck of its zone: requests queue up
+		// there and slow the path down by more than the engine's own
+		// delay, so its slowdown counts squared.
 		c *= slow * slow
 	}
-	if used > fullAt {
-		c += overfull * (used - fullAt) / float64(e.Layers.Len())
+	if used > highUtilization {
+		c += overloadCost * (used - highUtilization) / float64(e.Layers.Len())
 	}
 	return c
 }
 
-// state is the cheapest way found to have run all layers before a cut and to
-// hand on from a zone.
-type state struct {
+// partialPath is the cheapest path found so far that runs all layers before a
+// layer boundary and whose last engine is in a given zone.
+type partialPath struct {
 	cost float64
-	prev int // index of the state before, -1 at the start
+	prev int // index of the preceding partial path, -1 for the empty path
 	hop  Hop
 }
 
-// candidate is an engine that may be on the path.
+// candidate is an engine that is eligible for the path.
 type candidate struct {
 	*citronpool.Engine
-	// zone counts the zones from 1; 0 is where a path begins.
+	// zone is the number of the engine's zone, counted from 1. Zone 0 is the start
+	// of every path.
 	zone int
-	// perLayer is the cost of one layer, last the index of the cut at which
-	// its layers end.
-	perLayer float64
-	last     int
+	// layerCost is the cost of one layer, endIndex the index of the layer
+	// boundary at which the engine's layers end.
+	layerCost float64
+	endIndex  int
 }
 
-// Choose returns the cheapest path for q over engines, or false if some
-// layer is held by no usable engine.
+// Choose returns the cheapest path for q over the given engines. It returns
+// false if no usable engine holds some layer.
 func Choose(engines []*citronpool.Engine, q Query) (Path, bool) {
 	usable := make([]candidate, 0, len(engines))
-	isCut := make([]bool, q.Spec.Layers+1)
-	isCut[0], isCut[q.Spec.Layers] = true, true
+	isBoundary := make([]bool, q.Spec.Layers+1)
+	isBoundary[0], isBoundary[q.Spec.Layers] = true, true
 	zones := map[string]int{}
 	for _, e := range engines {
 		s := e.Layers
@@ -182,35 +192,36 @@
 		if zones[e.Zone] == 0 {
 			zones[e.Zone] = len(zones) + 1
 		}
-		usable = append(usable, candidate{Engine: e, zone: zones[e.Zone], perLayer: q.perLayer(e)})
-		isCut[s.From], isCut[s.To] = true, true
+		usable = append(usable, candidate{Engine: e, zone: zones[e.Zone], layerCost: q.layerCost(e)})
+		isBoundary[s.From], isBoundary[s.To] = true, true
 	}
-	var cuts []int
+	var boundaries []int
 	index := make([]int, q.Spec.Layers+1)
-	for layer, is := range isCut {
+	for layer, is := range isBoundary {
 		if is {
-			index[layer] = len(cuts)
-			cuts = append(cuts, layer)
+			index[layer] = len(boundaries)
+			boundaries = append(boundaries, layer)
 		}
 	}
 	for i := range usable {
-		usable[i].last = index[usable[i].Layers.To]
+		usable[i].endIndex = index[usable[i].Layers.To]
 	}
-	return search(usable, cuts, len(zones)+1, q)
+	return search(usable, boundaries, len(zones)+1, q)
 }
 
+// usable reports whether the request may run on an engine.
 func (q Query) usable(e *citronpool.Engine) bool {
 	return e.Usable(q.Now) || (q.Patient || q.Keep.Has(e.ID)) && e.Sound(q.Now)
 }
 
-// search walks the cuts in ascending order and keeps, for each cut and
-// zone, the cheapest way to have run all layers before it.
-func search(engines []candidate, cuts []int, zones int, q Query) (Path, bool) {
-	states := []state{{prev: -1}}
-	best := make([]int, len(cuts)*zones) // index of the state plus one, 0: none
+// search walks the layer boundaries in ascending order. For each boundary and
+// zone it keeps the cheapest partial path that ends there.
+func search(engines []candidate, boundaries []int, zones int, q Query) (Path, bool) {
+	partials := []partialPath{{prev: -1}}
+	best := make([]int, len(boundaries)*zones) // index in partials plus one, 0 if there is none
 	best[0] = 1
 	holders := make([]int, 0, len(engines))
-	for at, pos := range cuts[:len(cuts)-1] {
+	for at, pos := range boundaries[:len(boundaries)-1] {
 		holders = holders[:0]
 		for i, e := range engines {
 			if e.Layers.From <= pos && pos < e.Layers.To && (pos > 0 || q.First == "" || e.ID == q.First) {
@@ -221,50 +232,51 @@
 			if si == 0 {
 				continue
 			}
-			s := states[si-1]
+			s := partials[si-1]
 			for _, i := range holders {
 				e := &engines[i]
-				base := s.cost + hopCost + q.move(pos, zone, e)
-				for next := at + 1; next <= e.last; next++ {
-					span := citronmodel.Span{From: pos, To: cuts[next]}
-					c := base + e.perLayer*float64(span.Len()) + q.read(e.Engine, span)
+				base := s.cost + hopCost + q.transferCost(pos, zone, e)
+				for next := at + 1; next <= e.endIndex; next++ {
+					span := citronmodel.Span{From: pos, To: boundaries[next]}
+					c := base + e.layerCost*float64(span.Len()) + q.prefillCost(e.Engine, span)
 					known := &best[next*zones+e.zone]
-					if *known > 0 && states[*known-1].cost <= c {
+					if *known > 0 && partials[*known-1].cost <= c {
 						continue
 					}
-					states = append(states, state{cost: c, prev: si - 1, hop: Hop{e.Engine, span}})
-					*known = len(states)
+					partials = append(partials, partialPath{cost: c, prev: si - 1, hop: Hop{e.Engine, span}})
+					*known = len(partials)
 				}
 			}
 		}
 	}
 	last := -1
-	for _, si := range best[(len(cuts)-1)*zones:] {
-		if si > 0 && (last < 0 || states[si-1].cost < states[last].cost) {
+	for _, si := range best[(len(boundaries)-1)*zones:] {
+		if si > 0 && (last < 0 || partials[si-1].cost < partials[last].cost) {
 			last = si - 1
 		}
 	}
-	if last < 0 || math.IsInf(states[last].cost, 1) {
+	if last < 0 || math.IsInf(partials[last].cost, 1) {
 		return nil, false
 	}
-	return trace(states, last), true
+	return assemble(partials, last), true
 }
 
-// move is the price of going on at an engine from a zone; 0: from the caller.
-func (q Query) move(pos, from int, to *candidate) float64 {
+// transferCost returns the cost of passing a request from a zone to an engine
+// that continues at layer pos. Zone 0 stands for the caller.
+func (q Query) transferCost(pos, from int, to *candidate) float64 {
 	switch {
 	case pos == 0 && to.Zone != q.Zone:
-		return otherZone + q.ZoneCost[to.Zone]
+		return otherZoneCost + q.ZoneCost[to.Zone]
 	case pos == 0 || from == to.zone:
 		return 0
 	default:
-		return crossing
+		return crossZoneCost
 	}
 }
 
-// read is the price of having an engine read a running request's tokens for a
-// span, unless it has them.
-func (q Query) read(e *citronpool.Engine, span citronmodel.Span) float64 {
+// prefillCost returns the cost of having an engine process a running request's
+// tokens for a layer range. It is zero if the engine has already done so.
+func (q Query) prefillCost(e *citronpool.Engine, span citronmodel.Span) float64 {
 	if len(q.Keep) == 0 {
 		return 0
 	}
@@ -273,16 +285,17 @@
 			return 0
 		}
 	}
-	return newPart
+	return newHopCost
 }
 
-// trace reads the path back. An engine that would appear twice gets all
-// layers between its two parts: it holds them, as its span has no holes,
-// and engines refuse a path that names one of them twice.
-func trace(states []state, last int) Path {
+// assemble returns the path that ends with the given partial path. An engine
+// that would appear twice gets all layers between its two hops: it holds them,
+// as its layers are contiguous, and engines refuse a path that names an engine
+// twice.
+func assemble(partials []partialPath, last int) Path {
 	var p Path
-	for i := last; states[i].prev >= 0; i = states[i].prev {
-		p = append(Path{states[i].hop}, p...)
+	for i := last; partials[i].prev >= 0; i = partials[i].prev {
+		p = append(Path{partials[i].hop}, p...)
 	}
 	for i := 0; i < len(p); i++ {
 		for j := len(p) - 1; j > i; j-- {
--- a/citronpath/path_test.go
+++ b/citronpath/path_test.go
@@ -40,9 +40,10 @@
 	return out
 }
 
-// Whatever engines hold, a path runs every layer once and in order, on
-// engines that hold them and are in use, none of them twice; and there is a
-// path whenever the engines in use hold all layers.
+// For any set of engines, a path must run every layer exactly once and in order,
+// use each engine at most once, and use only engines that hold the layers and are
+// neither leaving nor avoided. A path must exist whenever such engines hold all
+// layers.
 func TestPathIsAnExactCover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var engines []citronmodel.Engine
@@ -68,7 +69,7 @@
 		q.Avoid = avoid
 		p, ok := citronpath.Choose(view(engines...), q)
 		if ok != all {
-			t.Fatalf("path %v although all layers are held: %v", ok, all)
+			t.Fatalf("path found: %v, all layers held: %v", ok, all)
 		}
 		at, seen := 0, map[string]bool{}
 		for _, h := range p {
@@ -83,7 +84,7 @@
 	})
 }
 
-// Which path wins, by load pattern.
+// Checks which path is chosen for typical placements and loads.
 func TestChoice(t *testing.T) {
 	zoneB := []citronmodel.Engine{engine("b1", "b", "fast", 0, 4), engine("b2", "b", "fast", 4, 8)}
 	for _, c := range []struct {
@@ -93,21 +94,21 @@
 		want    string
 	}{
 		{
-			"own zone while it is whole",
+			"own zone has all layers",
 			append(zoneB, engine("a1", "a", "fast", 0, 4), engine("a2", "a", "fast", 4, 8)),
 			nil, "a1[0,4) a2[4,8) ",
 		},
 		{
-			"hole in the own zone: the whole request goes to another, not each token across",
+			"own zone lacks layers: the request runs entirely in another zone",
 			append(zoneB, engine("a1", "a", "fast", 0, 4)), nil, "b1[0,4) b2[4,8) ",
 		},
 		{
-			"no zone is whole: engines of two",
+			"no zone has all layers: the path combines two zones",
 			[]citronmodel.Engine{engine("a1", "a", "fast", 0, 4), engine("b2", "b", "fast", 4, 8)},
 			nil, "a1[0,4) b2[4,8) ",
 		},
 		{
-			"surge: others have filled the own zone",
+			"surge: requests of other nodes fill the own zone",
 			append(zoneB, engine("a1", "a", "fast", 0, 4), engine("a2", "a", "fast", 4, 8)),
 			func(q *citronpath.Query, _ []*citronpool.Engine) {
 				q.Others = map[string]int64{"a": int64(spec.CacheTokens("fast", 4))}
@@ -115,17 +116,17 @@
 			"b1[0,4) b2[4,8) ",
 		},
 		{
-			"two engines hold the same layers: the one with less of this node's work",
+			"two engines hold the same layers: the less loaded one",
 			[]citronmodel.Engine{engine("a1", "a", "fast", 0, 8), engine("a2", "a", "fast", 0, 8)},
 			func(_ *citronpath.Query, es []*citronpool.Engine) { es[0].Begin(100_000) }, "a2[0,8) ",
 		},
 		{
-			"the fast engine runs what both hold",
+			"the faster engine runs the layers that both hold",
 			[]citronmodel.Engine{engine("a1", "a", "slow", 0, 8), engine("a2", "a", "fast", 2, 8)},
 			nil, "a1[0,2) a2[2,8) ",
 		},
 		{
-			"one engine of the own zone reports that it is slow",
+			"an engine of the own zone reports a slowdown",
 			append(zoneB, engine("a1", "a", "fast", 0, 4), engine("a2", "a", "fast", 4, 8)),
 			func(_ *citronpath.Query, es []*citronpool.Engine) { es[2].Slow(5, now) }, "b1[0,4) b2[4,8) ",
 		},
@@ -148,8 +149,8 @@
 	}
 }
 
-// BenchmarkChoose gives the cost of one choice with so many engines of a
-// service in three zones, each zone with as many copies as fit.
+// BenchmarkChoose measures one choice for services with 10 to 1000 engines in
+// three zones.
 func BenchmarkChoose(b *testing.B) {
 	big := spec
 	big.Layers = 80
@@ -170,11 +171,12 @@
 	}
 }
 
-// At the peak a zone loses one of its copies, and the engines that hold the same
-// layers get its streams too. They have cache for a hundred requests and run
-// eight at once: what is sent to them beyond that is refused, and costs a repeat
-// or its caller, while another zone has places. So those count as well as cache.
-func TestPlacesBoundAnEngineToo(t *testing.T) {
+// When a zone loses one of its replicas at peak load, the engines that hold the
+// same layers get its streams too. They have cache for a hundred requests but run
+// only eight at once. They refuse the excess, which costs a retry or fails the
+// request although another zone has free slots. So request slots limit an
+// engine's capacity as well as its cache does.
+func TestSlotsLimitEngineCapacity(t *testing.T) {
 	is := is.New(t)
 	es := view(engine("a1", "a", "fast", 0, 8), engine("b1", "b", "fast", 0, 8))
 	q := query()
@@ -189,14 +191,14 @@
 	is.Equal(ids(p), "a1[0,8) ")
 }
 
-// large are the engines of five zones with three copies each, every copy divided
-// at other layers.
-func large(layers int) []citronmodel.Engine {
+// manyBoundaries returns the engines of five zones with three replicas each. Every
+// replica is divided at different layers.
+func manyBoundaries(layers int) []citronmodel.Engine {
 	var out []citronmodel.Engine
 	sizes := []int{4, 6, 4, 22, 6, 4, 6, 4, 4, 6}
 	for zone := range 5 {
-		for copied := range 3 {
-			for at, i := 0, zone+3*copied; at < layers; i++ {
+		for replica := range 3 {
+			for at, i := 0, zone+3*replica; at < layers; i++ {
 				to := min(layers, at+sizes[i%len(sizes)])
 				out = append(out, engine(fmt.Sprint(len(out)), string(rune('a'+zone)), "fast", at, to))
 				at = to
@@ -206,12 +208,12 @@
 	return out
 }
 
-// BenchmarkChooseLarge gives the cost of one choice in a fleet of 150 engines
-// that share few boundaries.
+// BenchmarkChooseLarge measures one choice in a fleet of about 150 engines that
+// share few layer boundaries.
 func BenchmarkChooseLarge(b *testing.B) {
 	big := spec
 	big.Layers = 80
-	es := view(large(big.Layers)...)
+	es := view(manyBoundaries(big.Layers)...)
 	q := query()
 	q.Spec = big
 	for range b.N {
--- a/citronpath/spread_test.go
+++ b/citronpath/spread_test.go
@@ -8,16 +8,16 @@
 	"github.com/matryer/is"
 )
 
-// A zone holds two copies of the model, one a tenth faster than the other, at
-// the load of the peak. Fifteen nodes choose paths for their streams; of each
-// other's they know only the sum of tokens. If each preferred the faster copy
-// until its own few streams tipped the balance, that copy would get three
-// quarters of all streams, fill up and be late, beside one that is half empty.
-func TestNodesSpreadOverCopies(t *testing.T) {
+// A zone holds two replicas of the model, one a tenth faster than the other, at
+// peak load. Fifteen nodes choose paths for their streams and know only the total
+// tokens of each other's streams. If each node preferred the faster replica until
+// its own few streams tipped the balance, that replica would get three quarters
+// of all streams, fill up and be late while the other is half empty.
+func TestNodesSpreadStreamsOverReplicas(t *testing.T) {
 	const (
 		nodes   = 15
-		streams = 20     // of each node
-		tokens  = 18_000 // of each stream; both copies together cache 400 streams
+		streams = 20     // per node
+		tokens  = 18_000 // per stream; both replicas together cache 400 streams
 	)
 	is := is.New(t)
 	var views [nodes][]*citronpool.Engine
