--- a/citronadmit/admit.go
+++ b/citronadmit/admit.go
@@ -1,14 +1,15 @@
-// Package citronadmit decides, for one service at one entry, which request
-// goes on now, which waits and which is refused at once.
+// Package citronadmit implements admission control for one service at one entry.
+// It decides whether a request is admitted now, waits in a queue or is rejected
+// immediately.
 //
-// A surge brings more requests than the engines can carry. Sending them
-// all on makes every queue at every engine long, so that all requests are
-// late together and urgent ones wait behind the rest. So an entry sends on
-// at most a window of requests; the others wait here, ordered by priority
-// and, within a priority, by weighted fair queueing over customers, so a
-// large customer's burst cannot starve a small one. A request that would
-// wait past its deadline, or finds the queue full, is refused at once with
-// the time after which asking again makes sense.
+// In a surge more requests arrive than the engines can serve. Forwarding all of
+// them fills the queue of every engine, so all requests become late and urgent
+// ones wait behind the rest. An entry therefore limits the number of requests in
+// flight to a window. The others wait in a queue that is ordered by priority and,
+// within a priority, by weighted fair queueing over customers, so that a large
+// customer's burst cannot starve a small customer. A request that would wait past
+// its deadline or that finds the queue full is rejected immediately with a time
+// after which a retry is useful.
 package citronadmit
 
 import (
@@ -21,36 +22,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrOverloaded means the request was refused before anything was sent; see
-// Refusal for when to come back.
+// ErrOverloaded is matched by every Refusal. The request was rejected before
+// anything was sent to an engine.
 var ErrOverloaded = errors.New("more requests than the service can carry")
 
-// Refusal is the error of a request refused at once.
+// Refusal is the error for a request that is rejected without waiting.
 type Refusal struct {
-	// RetryAfter is when the queue ahead should have drained.
+	// RetryAfter is the estimated time until the requests ahead in the queue have
+	// been admitted.
 	RetryAfter time.Duration
-	Reason     string
+	// Reason says which limit the request would have exceeded.
+	Reason string
 }
 
 func (r *Refusal) Error() string { return ErrOverloaded.Error() + ": " + r.Reason }
 
-// Is makes errors.Is(err, ErrOverloaded) true.
+// Is reports whether target is ErrOverloaded, for errors.Is.
 func (r *Refusal) Is(target error) bool { return target == ErrOverloaded }
 
-// Request is what the gate needs to know of one request.
+// Request holds the properties of a request that determine its admission.
 type Request struct {
 	Customer string
-	// Weight is the customer's share; less than 1 counts as 1.
-	Weight   int
+	// Weight is the customer's weight in fair queueing; less than 1 counts as 1.
+	Weight int
+	// Priority orders the queue; higher values are admitted first.
 	Priority int
-	// Deadline is when the caller stops waiting; zero is never.
+	// Deadline is when the caller stops waiting; zero means no deadline.
 	Deadline time.Time
 }
 
-// smoothing is the weight of the newest service time in the running mean.
+// smoothing is the weight of the newest holding time in the exponential moving
+// average.
 const smoothing = 0.1
 
-// Gate admits the requests of one service.
+// Gate controls the admission of requests to one service.
 type Gate struct {
 	clock citronclock.Clock
 
@@ -60,21 +65,24 @@
 	inflight int
 	queue    waiters
 	seq      int64
-	// virtual is the fair-queueing clock: the tag of the last admitted
-	// request. lastTag is each customer's newest tag.
-	virtual float64
-	lastTag map[string]float64
-	// hold is the running mean of how long a request keeps its place.
-	hold time.Duration
-}
-
-// New returns a gate that sends on at most window requests at once and
-// lets at most maxQueue wait.
+	// virtualTime is the clock of fair queueing: the highest tag
+	// admitted since the queue was last empty. lastTag is the newest tag of each
+	// customer.
+	virtualTime float64
+	lastTag     map[string]float64
+	// holdTime is the exponential moving average of the time for which an admitted
+	// request holds its slot.
+	holdTime time.Duration
+}
+
+// New returns a gate that admits at most window requests at a time and lets at most
+// maxQueue requests wait.
 func New(clock citronclock.Clock, window, maxQueue int) *Gate {
 	return &Gate{clock: clock, window: max(1, window), maxQueue: maxQueue, lastTag: map[string]float64{}}
 }
 
-// Resize changes the window, as when engines or entries come or go.
+// Resize changes the window, for example when engines or entries are added or
+// removed.
 func (g *Gate) Resize(window int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -82,16 +90,17 @@
 	g.dispatch()
 }
 
-// Depth returns how many requests are sent on and how many wait.
+// Depth returns the number of requests in flight and the number that wait.
 func (g *Gate) Depth() (inflight, waiting int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inflight, len(g.queue)
 }
 
-// Acquire waits for a place and returns the function that gives it back.
-// It returns a Refusal at once when the request cannot make its deadline,
-// or the context's error if that ends first; either way nothing was sent.
+// Acquire waits for a slot and returns the function that releases it. It returns
+// a Refusal immediately if the queue is full or the request cannot meet its
+// deadline, and the context's error if the context ends first. In both cases the
+// request has not been sent.
 func (g *Gate) Acquire(ctx context.Context, r Request) (func(), error) {
 	g.mu.Lock()
 	if g.inflight < g.window && len(g.queue) == 0 {
@@ -99,7 +108,7 @@
 		g.mu.Unlock()
 		return g.releaser(), nil
 	}
-	if err := g.refuse(r); err != nil {
+	if err := g.checkLimits(r); err != nil {
 		g.mu.Unlock()
 		return nil, err
 	}
@@ -113,7 +122,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if w.index < 0 { // admitted in the same moment: give the place back
+	if w.index < 0 { // admitted at the same time: release the slot
 		g.inflight--
 		g.dispatch()
 	} else {
@@ -122,26 +131,28 @@
 	return nil, errors.Wrap(ctx.Err(), "wait for admission")
 }
 
-// refuse says whether r should be turned away now.
-func (g *Gate) refuse(r Request) error {
+// checkLimits returns a Refusal if r has to be rejected now. The caller holds the
+// lock.
+func (g *Gate) checkLimits(r Request) error {
 	ahead := 0
 	for _, w := range g.queue {
 		if w.req.Priority >= r.Priority {
 			ahead++
 		}
 	}
-	wait := time.Duration(float64(g.hold) * float64(ahead+1) / float64(g.window))
+	wait := time.Duration(float64(g.holdTime) * float64(ahead+1) / float64(g.window))
 	if len(g.queue) >= g.maxQueue {
 		return &Refusal{RetryAfter: wait, Reason: "the queue is full"}
 	}
-	if !r.Deadline.IsZero() && g.clock.Now().Add(wait+g.hold).After(r.Deadline) {
+	if !r.Deadline.IsZero() && g.clock.Now().Add(wait+g.holdTime).After(r.Deadline) {
 		return &Refusal{RetryAfter: wait, Reason: "the wait would pass the deadline"}
 	}
 	return nil
 }
 
+// enqueue adds r to the queue with its fair-queueing tag. The caller holds the lock.
 func (g *Gate) enqueue(r Request) *waiter {
-	tag := max(g.virtual, g.lastTag[r.Customer]) + 1/float64(max(1, r.Weight))
+	tag := max(g.virtualTime, g.lastTag[r.Customer]) + 1/float64(max(1, r.Weight))
 	g.lastTag[r.Customer] = tag
 	g.seq++
 	w := &waiter{req: r, tag: tag, seq: g.seq, admitted: make(chan struct{})}
@@ -149,23 +160,24 @@
 	return w
 }
 
-// dispatch admits waiters while there is room; the lock is held.
+// dispatch admits waiting requests while the window has free slots. The caller
+// holds the lock.
 func (g *Gate) dispatch() {
 	for g.inflight < g.window && len(g.queue) > 0 {
 		w := heap.Pop(&g.queue).(*waiter)
-		g.virtual = max(g.virtual, w.tag)
+		g.virtualTime = max(g.virtualTime, w.tag)
 		g.inflight++
 		close(w.admitted)
 	}
 	if len(g.queue) == 0 {
-		// An idle queue keeps no debts: old tags would only hold back a
-		// customer for a burst long served, and the map would grow with
-		// every customer ever seen.
+		// Old tags would delay a customer because of a burst that has already
+		// been served, and the map would grow with every customer ever seen.
 		clear(g.lastTag)
-		g.virtual = 0
+		g.virtualTime = 0
 	}
 }
 
+// releaser returns the function that releases the slot of a request admitted now.
 func (g *Gate) releaser() func() {
 	start := g.clock.Now()
 	var once sync.Once
@@ -174,25 +186,28 @@
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			took := g.clock.Now().Sub(start)
-			if g.hold == 0 {
-				g.hold = took
+			if g.holdTime == 0 {
+				g.holdTime = took
 			}
-			g.hold += time.Duration(smoothing * float64(took-g.hold))
+			g.holdTime += time.Duration(smoothing * float64(took-g.holdTime))
 			g.inflight--
 			g.dispatch()
 		})
 	}
 }
 
+// waiter is a request in the queue.
 type waiter struct {
-	req      Request
-	tag      float64
-	seq      int64
+	req Request
+	tag float64
+	seq int64
+	// index is the position in the heap, -1 once the request has been admitted.
 	index    int
 	admitted chan struct{}
 }
 
-// waiters is a heap: highest priority first, then lowest tag, then oldest.
+// waiters is a heap ordered by descending priority, then ascending tag, then order
+// of arrival.
 type waiters []*waiter
 
 func (q waiters) Len() int { return len(q) }
--- a/citronadmit/admit_test.go
+++ b/citronadmit/admit_test.go
@@ -16,20 +16,20 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// line queues requests at a full gate one by one, then frees places one by
-// one and returns the order in which the requests were admitted.
-func line(t testing.TB, reqs []citronadmit.Request) []int {
+// admissionOrder queues requests at a full gate one by one, then releases slots
+// one by one and returns the order in which the requests were admitted.
+func admissionOrder(t testing.TB, reqs []citronadmit.Request) []int {
 	t.Helper()
 	g := citronadmit.New(citronclock.NewManual(epoch), 1, len(reqs))
 	release, err := g.Acquire(context.Background(), citronadmit.Request{Customer: "first"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	type place struct {
+	type slot struct {
 		i       int
 		release func()
 	}
-	admitted := make(chan place)
+	admitted := make(chan slot)
 	var wg sync.WaitGroup
 	for i, r := range reqs {
 		wg.Add(1)
@@ -40,9 +40,9 @@
 				t.Error(err)
 				return
 			}
-			admitted <- place{i, rel}
+			admitted <- slot{i, rel}
 		}()
-		for { // one at a time, so that the order of arrival is known
+		for { // wait until the request is queued, so that the order of arrival is known
 			if _, waiting := g.Depth(); waiting == i+1 {
 				break
 			}
@@ -61,10 +61,11 @@
 	return order
 }
 
-// A large customer queues a burst, then a small one asks once and a cut
-// release comes with priority. The release goes first, the small customer
-// does not wait out the burst, and weights set how often each is served.
-func TestOrderOfAdmission(t *testing.T) {
+// A large customer queues a burst, then a small customer sends one request and
+// another request arrives with higher priority. The request with priority is
+// admitted first, the small customer does not wait for the whole burst, and
+// customers are served in proportion to their weights.
+func TestAdmissionOrder(t *testing.T) {
 	burst := func(customer string, weight, n int) []citronadmit.Request {
 		out := make([]citronadmit.Request, n)
 		for i := range out {
@@ -77,22 +78,22 @@
 		reqs []citronadmit.Request
 		want []int
 	}{
-		{"first come, first served within a customer", burst("big", 1, 3), []int{0, 1, 2}},
-		{"a small customer passes a burst", append(burst("big", 1, 4), citronadmit.Request{Customer: "small", Weight: 1}), []int{0, 4, 1, 2, 3}},
-		{"weights", append(burst("big", 2, 4), burst("small", 1, 2)...), []int{0, 1, 4, 2, 3, 5}},
-		{"priority first", append(burst("big", 1, 2), citronadmit.Request{Customer: "floor", Priority: 9}), []int{2, 0, 1}},
+		{"requests of one customer are admitted in order of arrival", burst("big", 1, 3), []int{0, 1, 2}},
+		{"a small customer is admitted before the rest of a burst", append(burst("big", 1, 4), citronadmit.Request{Customer: "small", Weight: 1}), []int{0, 4, 1, 2, 3}},
+		{"customers are served by weight", append(burst("big", 2, 4), burst("small", 1, 2)...), []int{0, 1, 4, 2, 3, 5}},
+		{"higher priority is admitted first", append(burst("big", 1, 2), citronadmit.Request{Customer: "floor", Priority: 9}), []int{2, 0, 1}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			is.New(t).Equal(line(t, c.reqs), c.want)
+			is.New(t).Equal(admissionOrder(t, c.reqs), c.want)
 		})
 	}
 }
 
-// Random bursts of customers of equal weight and priority. Oracle: while
-// two customers both wait, neither is served twice more than the other,
-// and each customer's own requests keep their order.
-func TestFairnessStateful(t *testing.T) {
+// Admits random bursts of customers of equal weight and priority. While a customer
+// waits, no other customer may get more than one request ahead of it, and each
+// customer's own requests must keep their order.
+func TestFairnessOfEqualCustomers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		owners := rapid.SliceOfN(rapid.IntRange(0, 2), 1, 24).Draw(rt, "owners")
 		reqs := make([]citronadmit.Request, len(owners))
@@ -102,7 +103,7 @@
 			left[o]++
 		}
 		served, last := map[int]int{}, map[int]int{}
-		for _, i := range line(t, reqs) {
+		for _, i := range admissionOrder(t, reqs) {
 			o := owners[i]
 			if prev, ok := last[o]; ok && i < prev {
 				rt.Fatalf("customer %d: request %d served after %d", o, i, prev)
@@ -119,10 +120,10 @@
 	})
 }
 
-// More requests than the service can carry: those that could not make
-// their deadline, or find the queue full, are refused at once and told
-// when to come back; a wait that ends with its caller frees its place.
-func TestRefusedAtOnce(t *testing.T) {
+// A request that cannot meet its deadline or that finds the queue full must be
+// rejected immediately with a time for a retry. A request whose caller leaves must
+// free its place in the queue.
+func TestRejectedWithoutWaiting(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clock := citronclock.NewManual(epoch)
@@ -130,16 +131,16 @@
 	release, err := g.Acquire(ctx, citronadmit.Request{})
 	is.NoErr(err)
 	clock.Advance(10 * time.Second)
-	release() // a request keeps its place 10 s
+	release() // the request held its slot for 10 s
 
 	release, err = g.Acquire(ctx, citronadmit.Request{})
 	is.NoErr(err)
 	var ref *citronadmit.Refusal
 	_, err = g.Acquire(ctx, citronadmit.Request{Deadline: clock.Now().Add(15 * time.Second)})
-	is.True(errors.As(err, &ref)) // 10 s of waiting and 10 s of work do not fit
+	is.True(errors.As(err, &ref)) // 10 s of waiting and 10 s of work exceed the deadline
 	is.Equal(ref.RetryAfter, 10*time.Second)
 
-	wctx, hangUp := context.WithCancel(ctx)
+	wctx, cancel := context.WithCancel(ctx)
 	waited := make(chan error)
 	go func() {
 		_, err := g.Acquire(wctx, citronadmit.Request{Deadline: clock.Now().Add(time.Hour)})
@@ -150,12 +151,12 @@
 	}
 	_, err = g.Acquire(ctx, citronadmit.Request{})
 	is.True(errors.Is(err, citronadmit.ErrOverloaded)) // the queue is full
-	hangUp()
+	cancel()
 	is.True(errors.Is(<-waited, context.Canceled))
 	_, waiting := g.Depth()
 	is.Equal(waiting, 0)
 	release()
-	release() // a second release does nothing
+	release() // a second release has no effect
 	inflight, _ := g.Depth()
 	is.Equal(inflight, 0)
 }
--- a/citronprobe/heard_test.go
+++ b/citronprobe/heard_test.go
@@ -11,25 +11,26 @@
 	"github.com/matryer/is"
 )
 
-// An engine that answers is not always the one that was asked: it may have
-// started anew at the same address, and then refuses every request that the
-// list sends through it. What a report says of itself decides.
+// A report may come from another incarnation than the one in the list: an engine
+// that restarted at the same address refuses all requests that the list sends
+// through it. The start time and the layers in the report must decide whether the
+// engine remains usable.
 func TestHeard(t *testing.T) {
 	held := citronmodel.Span{From: 2, To: 6}
-	holds := func(from, to int) *citronmodel.Span { return &citronmodel.Span{From: from, To: to} }
+	layers := func(from, to int) *citronmodel.Span { return &citronmodel.Span{From: from, To: to} }
 	for _, c := range []struct {
 		name          string
 		report        citronupstream.Report
 		usable, ended bool
 	}{
-		{"the same start", citronupstream.Report{Born: 100, Holds: holds(2, 6)}, true, false},
-		{"more than the list says", citronupstream.Report{Born: 100, Holds: holds(0, 8)}, true, false},
-		{"a later start", citronupstream.Report{Born: 200, Holds: holds(0, 0)}, false, true},
-		{"an earlier start's late report", citronupstream.Report{Born: 50, Holds: holds(0, 0)}, true, false},
-		{"no word of its start, holds less", citronupstream.Report{Holds: holds(2, 5)}, false, false},
-		{"no word of its start, holds nothing after some orders", citronupstream.Report{Holds: holds(0, 0), Accepted: 3}, false, false},
-		{"no word of its start, holds nothing and never had an order", citronupstream.Report{Holds: holds(0, 0)}, false, true},
-		{"no word at all", citronupstream.Report{}, true, false},
+		{"same start time", citronupstream.Report{Born: 100, Holds: layers(2, 6)}, true, false},
+		{"holds more layers than listed", citronupstream.Report{Born: 100, Holds: layers(0, 8)}, true, false},
+		{"later start time", citronupstream.Report{Born: 200, Holds: layers(0, 0)}, false, true},
+		{"late report of an earlier start", citronupstream.Report{Born: 50, Holds: layers(0, 0)}, true, false},
+		{"no start time, holds fewer layers than listed", citronupstream.Report{Holds: layers(2, 5)}, false, false},
+		{"no start time, holds nothing after some orders", citronupstream.Report{Holds: layers(0, 0), Accepted: 3}, false, false},
+		{"no start time, holds nothing and never accepted an order", citronupstream.Report{Holds: layers(0, 0)}, false, true},
+		{"empty report", citronupstream.Report{}, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -41,8 +42,8 @@
 			is.Equal(e.Usable(now), c.usable)
 			is.Equal(e.Ended(), c.ended)
 			is.Equal(len(v.StartedAnew()) > 0, c.report.Born > 100)
-			// The list's next word of other layers counts for more: it is of
-			// the same start, or of the next one.
+			// A list with other layers for the engine is newer than the report and
+			// makes the engine usable again.
 			list[0].Layers = citronmodel.Span{From: 2, To: 5}
 			e, _ = citronpool.Build(list, v).ByID("i-1@100")
 			is.True(e.Usable(now))
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -1,6 +1,6 @@
-// Package citronprobe probes whether engines are alive. Many streams ask about
-// the same engines at once: when one in the middle of a zone's path dies, all
-// streams of the zone fall silent together, so an answer serves all of them.
+// Package citronprobe checks whether engines are alive. When an engine in the
+// middle of a zone's path fails, all streams of the zone stall at the same time
+// and probe the same engines, so the result of one probe is shared by all of them.
 package citronprobe
 
 import (
@@ -16,43 +16,47 @@
 )
 
 const (
-	// Fresh is how long an engine's report serves all streams that ask for
-	// it.
+	// Fresh is the usual maximum age of an engine's report that is shared between
+	// streams.
 	Fresh = 500 * time.Millisecond
-	// timeout is when an engine that does not tell its state counts as
-	// dead: it answers within a few milliseconds.
-	timeout = 250 * time.Millisecond
-	// ownStall is how much longer than its time limit a question may take:
-	// if more, this node itself stood still, and that an engine did not
-	// answer in the meantime says nothing about the engine.
-	ownStall = 100 * time.Millisecond
+	// probeTimeout is the time after which an engine that does not respond to a
+	// probe counts as dead. A healthy engine responds within a few milliseconds.
+	probeTimeout = 250 * time.Millisecond
+	// maxOverrun is how much longer than probeTimeout a probe may take. If it
+	// takes longer, this node itself was paused, and the lack of a response says
+	// nothing about the engine.
+	maxOverrun = 100 * time.Millisecond
 )
 
-// Prober shares engines' reports between streams. Its zero value is ready.
+// Prober shares the reports of engines between streams. Its zero value is ready to
+// use.
 type Prober struct {
 	mu     sync.Mutex
-	byAddr map[string]*shared
+	byAddr map[string]*sharedProbe
 }
 
-type shared struct {
+// sharedProbe is one probe of an engine, the result of which several streams wait
+// for. report and err are set before done is closed.
+type sharedProbe struct {
 	done   chan struct{}
 	at     time.Time
 	report citronupstream.Report
 	err    error
 }
 
-// Ask returns the engine's report, which may be as old as maxAge if another
-// stream has asked for it.
+// Ask returns the report of the engine at addr. The result of an earlier probe is
+// used if that probe started no longer than maxAge ago. The report and the error
+// are both empty if this node was paused during the probe.
 func (p *Prober) Ask(ctx context.Context, up citronupstream.Engines, addr string, maxAge time.Duration) (citronupstream.Report, error) {
 	p.mu.Lock()
 	if p.byAddr == nil {
-		p.byAddr = map[string]*shared{}
+		p.byAddr = map[string]*sharedProbe{}
 	}
 	q := p.byAddr[addr]
 	if q == nil || time.Since(q.at) > maxAge {
-		q = &shared{done: make(chan struct{}), at: time.Now()}
+		q = &sharedProbe{done: make(chan struct{}), at: time.Now()}
 		p.byAddr[addr] = q
-		go q.ask(ctx, up, addr)
+		go q.run(ctx, up, addr)
 	}
 	p.mu.Unlock()
 	select {
@@ -63,19 +67,21 @@
 	}
 }
 
-// ask outlives the stream that asked first.
-func (q *shared) ask(ctx context.Context, up citronupstream.Engines, addr string) {
+// run sends the probe. It does not end with the stream that started it, because
+// other streams wait for its result.
+func (q *sharedProbe) run(ctx context.Context, up citronupstream.Engines, addr string) {
 	defer close(q.done)
-	ask, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
+	probeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
-	q.report, q.err = up.Report(ask, addr)
-	if time.Since(q.at) > timeout+ownStall {
+	q.report, q.err = up.Report(probeCtx, addr)
+	if time.Since(q.at) > probeTimeout+maxOverrun {
 		q.report, q.err = citronupstream.Report{}, nil
 	}
 }
 
-// Probe probes whether an engine is alive, and notes what it says or that it
-// gives none. The error says why it gave none.
+// Probe checks whether an engine is alive and records its report or, if there is
+// none, that the engine is dead. The error says why there is no report. If ctx has
+// ended, a failed probe is not recorded.
 func (p *Prober) Probe(ctx context.Context, up citronupstream.Engines, clock citronclock.Clock, e *citronpool.Engine, maxAge time.Duration) error {
 	r, err := p.Ask(ctx, up, e.Addr, maxAge)
 	switch {
@@ -87,23 +93,23 @@
 	return err
 }
 
-// Heard notes what an engine's report says of it. An engine may have started
-// anew at the same address: the report is then of another incarnation, which
-// holds nothing and runs none of the requests that the one before it ran. The
-// report may also be of an earlier one and says nothing then.
+// Heard records the report of an engine. An engine may have restarted at the same
+// address. The report is then that of a later incarnation, which holds no layers
+// and runs none of the requests of the earlier one. A report of an earlier
+// incarnation is ignored.
 func Heard(e *citronpool.Engine, r citronupstream.Report, now time.Time) {
-	told := r.Born != 0 && e.Born != 0
+	startsKnown := r.Born != 0 && e.Born != 0
 	switch {
-	case told && r.Born > e.Born:
+	case startsKnown && r.Born > e.Born:
 		e.StartedAnew(r.Born, now)
 		return
-	case told && r.Born < e.Born:
+	case startsKnown && r.Born < e.Born:
 		return
 	case !e.Layers.Empty() && r.Holds != nil && r.Holds.Empty() && r.Accepted == 0:
-		// The list says that it holds layers, so it had accepted an order for
-		// them: one that never accepted any has started anew and does not tell
-		// when. Requests through it are refused until its old entry lapses,
-		// three heartbeats later.
+		// According to the list the engine holds layers, so it must have accepted
+		// an order to load them. An engine that has never accepted an order has
+		// restarted without reporting its start time. Requests through it are
+		// refused until its old entry expires after three heartbeats.
 		e.Replace(now)
 		return
 	}
@@ -117,8 +123,8 @@
 	}
 }
 
-// Dead notes an engine that did not answer, and whether its process
-// has certainly ended.
+// Dead records that an engine did not respond to a probe. If the connection was
+// refused, it also records that the engine's process has ended.
 func Dead(e *citronpool.Engine, err error, now time.Time) {
 	e.Dead(now)
 	if errors.Is(err, syscall.ECONNREFUSED) {
