--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -2,18 +2,18 @@
 
 // Repair of running streams.
 //
-// An engine in the middle of a path does not speak to this node: when it
-// dies, the stream just falls silent, and the first engine gives up only
-// after seconds, when the caller has long left. So a stream that is silent
-// for several times its usual pause has all engines of its path probed; all
-// streams that run through one that does not answer are moved at once, without
-// another probe.
+// This node has no connection to the engines in the middle of a path. When one of
+// them fails, the stream merely stalls. The first engine gives up only after
+// seconds, when the caller has long left. So when a stream has stalled for several
+// times its usual pause, this node probes all engines of its path. All streams
+// through an engine that does not respond are moved immediately, without another
+// probe.
 //
-// There are two ways to move a stream. A repath keeps the run and replaces
-// the dead part: the new part has to read all tokens so far, which are
-// handed to it by the part before, so it is cheap within a zone and slow
-// across the pipe between zones. A resume starts a new run after the last
-// event: all parts read the prompt again, so it fits another zone's copy.
+// There are two ways to move a stream. A repath keeps the run and replaces the
+// failed hop. The new engine has to process all tokens so far, which it receives
+// from the hop before, so a repath is cheap within a zone and slow over the link
+// between zones. A resume starts a new run after the last event. All its engines
+// process the prompt again, so it suits a move to another zone's replica.
 
 import (
 	"context"
@@ -30,37 +30,39 @@
 )
 
 const (
-	// checkEvery is how often a running stream looks at its path.
-	checkEvery = 50 * time.Millisecond
-	// quietAfter is the pause after which a stream that is silent looks at its path,
-	// every lookAgain.
-	quietAfter = 70 * time.Millisecond
-	lookAgain  = 20 * time.Millisecond
-	// ownPause between two looks means that this node stood still.
-	ownPause = 6 * checkEvery
-	// silentAfter is the longest pause between events before the path is probed.
-	silentAfter = 270 * time.Millisecond
-	// firstSilence is the same before the first event, which waits for the prompt to
-	// be read.
-	firstSilence = 500 * time.Millisecond
-	// askAgain is the time between two questions about one stream.
-	askAgain = 300 * time.Millisecond
-	// repathTimeout bounds an order to move a request.
+	// checkInterval is how often a running stream checks its path.
+	checkInterval = 50 * time.Millisecond
+	// quietAfter is the pause between events after which a stalled stream checks
+	// its path, then again every stalledCheckInterval.
+	quietAfter           = 70 * time.Millisecond
+	stalledCheckInterval = 20 * time.Millisecond
+	// nodePauseThreshold is the time between two checks above which this node
+	// itself must have been paused.
+	nodePauseThreshold = 6 * checkInterval
+	// probeAfter is the pause between events after which the path is probed.
+	probeAfter = 270 * time.Millisecond
+	// firstEventProbeAfter replaces probeAfter before the first event, which is
+	// sent only once the prompt has been processed.
+	firstEventProbeAfter = 500 * time.Millisecond
+	// probeInterval is the minimum time between two probes for one stream.
+	probeInterval = 300 * time.Millisecond
+	// repathTimeout limits the time for a repath order to the first engine.
 	repathTimeout = 400 * time.Millisecond
-	// A stream that waits for its first event when a part dies may still be in time,
-	// and goes to another zone at once. One that has begun is late already, and goes
-	// between crossFirst and crossFirst + crossSpread after the death was found: all
-	// streams of a zone together would hold up the sound streams of the others.
-	crossFirst  = 50 * time.Millisecond
-	crossSpread = 600 * time.Millisecond
-	// deadMemory is how long a stream trusts that an engine found dead by
-	// another stream is still dead.
-	deadMemory = 3 * time.Second
-	// maxRepaths bounds the moves of one stream.
+	// A stream that waits for its first event when an engine fails may still meet
+	// its target, so it moves to another zone immediately. A stream that has begun
+	// is already late. It moves at a random time between zoneSwitchDelay and
+	// zoneSwitchDelay + zoneSwitchSpread after the failure was detected: all streams
+	// of a zone moving at once would delay the healthy streams of other zones.
+	zoneSwitchDelay  = 50 * time.Millisecond
+	zoneSwitchSpread = 600 * time.Millisecond
+	// deadTTL is how long a stream assumes that an engine is still dead after
+	// another stream found it dead.
+	deadTTL = 3 * time.Second
+	// maxRepaths is the maximum number of repaths during one run of a stream.
 	maxRepaths = 4
 )
 
-// Why a part is replaced.
+// Reasons for replacing a hop.
 const (
 	reasonDead    = "dead"
 	reasonStalled = "stalled"
@@ -68,174 +70,187 @@
 	reasonAccused = "accused"
 )
 
-// action is what a check of a running stream calls for.
+// action is the result of a check of a running stream.
 type action int
 
 const (
-	goOn action = iota
+	// keepRun continues the run.
+	keepRun action = iota
+	// replaceRun ends the run so that a new one may resume the stream.
 	replaceRun
 )
 
-// watch looks after one run of a stream. It is used by one goroutine.
+// watch monitors one run of a stream. It must be used by a single goroutine.
 type watch struct {
-	s       *streamJob
-	ctx     context.Context
-	timer   *time.Timer
-	reports chan reportResult
-	moves   chan moveResult
-	asking  bool
-	moving  bool
-	askedAt time.Time
+	s     *streamJob
+	ctx   context.Context
+	timer *time.Timer
+	// probeResults and repathResults receive the results of a probe and a repath.
+	// probing and repathing are true while one is in progress.
+	probeResults  chan probeResult
+	repathResults chan repathResult
+	probing       bool
+	repathing     bool
+	// probedAt is when the path was last probed.
+	probedAt time.Time
+	// repaths is the number of repaths ordered in this run.
 	repaths int
-	// checkedAt is when the path was last looked at.
+	// checkedAt is when the path was last checked.
 	checkedAt time.Time
-	// waitUntil keeps a stream that cannot be moved now from trying again
-	// at every check.
+	// waitUntil is when the path is checked next, for a stream that cannot be moved
+	// now or whose node was paused.
 	waitUntil time.Time
-	// bad is the part to be replaced, and reason why.
-	bad    citronpath.Hop
+	// badHop is the hop to be replaced, reason the reason for it.
+	badHop citronpath.Hop
 	reason string
-	// accused is the question to an engine that was named in a refusal.
+	// accused is the probe of an accused engine: one that another engine named as
+	// the cause of a refused request.
 	accused *accusation
-	// crossAt is when the stream goes to another zone.
-	crossAt time.Time
+	// switchZoneAt is when the stream moves to another zone.
+	switchZoneAt time.Time
 	// leftAt is when a leaving engine was first seen on the path.
 	leftAt time.Time
 	// leaveAt is when this stream moves away from a leaving engine.
 	leaveAt time.Time
 }
 
-type reportResult struct {
+// probeResult is the result of probing the first engine of a path.
+type probeResult struct {
 	report citronupstream.Report
 	err    error
 }
 
-type moveResult struct {
+// repathResult is the result of a repath to path.
+type repathResult struct {
 	path citronpath.Path
 	err  error
 }
 
+// newWatch returns a watch for a run of s that ends with ctx.
 func newWatch(ctx context.Context, s *streamJob) *watch {
-	w := &watch{s: s, ctx: ctx, timer: time.NewTimer(checkEvery), reports: make(chan reportResult, 1), moves: make(chan moveResult, 1)}
+	w := &watch{s: s, ctx: ctx, timer: time.NewTimer(checkInterval), probeResults: make(chan probeResult, 1), repathResults: make(chan repathResult, 1)}
 	context.AfterFunc(ctx, func() { w.timer.Stop() })
 	return w
 }
 
-// tick is when a silent stream is to be checked.
+// tick returns the channel that fires when a stalled stream is to be checked.
 func (w *watch) tick() <-chan time.Time { return w.timer.C }
 
-// quiet is called when tick has fired.
-func (w *watch) quiet() action {
-	w.timer.Reset(lookAgain)
+// onTick checks the path after tick has fired.
+func (w *watch) onTick() action {
+	w.timer.Reset(stalledCheckInterval)
 	return w.check()
 }
 
-// progress is called when an event has been passed on.
-func (w *watch) progress() action {
+// onEvent restarts the timer after an event was forwarded. It checks the path if
+// the last check is long enough ago.
+func (w *watch) onEvent() action {
 	w.timer.Reset(quietAfter)
-	if w.s.lastAt.Sub(w.checkedAt) < checkEvery {
-		return goOn
+	if w.s.lastEventAt.Sub(w.checkedAt) < checkInterval {
+		return keepRun
 	}
 	return w.check()
 }
 
-// check looks at the path and says whether the run has to be replaced.
+// check handles finished probes and repaths, checks the path and reports whether the
+// run has to be replaced.
 func (w *watch) check() action {
 	select {
-	case r := <-w.reports:
-		w.asking = false
-		if a := w.heard(r); a != goOn {
+	case r := <-w.probeResults:
+		w.probing = false
+		if a := w.handleReport(r); a != keepRun {
 			return a
 		}
-	case m := <-w.moves:
-		w.moving = false
-		return w.moved(m)
+	case m := <-w.repathResults:
+		w.repathing = false
+		return w.handleRepath(m)
 	default:
 	}
-	if w.moving {
-		return goOn
+	if w.repathing {
+		return keepRun
 	}
 	now := w.s.f.Clock.Now()
-	stalled := !w.checkedAt.IsZero() && now.Sub(w.checkedAt) > ownPause
+	nodePaused := !w.checkedAt.IsZero() && now.Sub(w.checkedAt) > nodePauseThreshold
 	w.checkedAt = now
-	if stalled {
-		// This node stood still; the silence was its own.
-		w.waitUntil = now.Add(silentAfter)
+	if nodePaused {
+		// This node was paused, so the pause says nothing about the engines.
+		w.waitUntil = now.Add(probeAfter)
 	}
 	if now.Before(w.waitUntil) {
-		return goOn
+		return keepRun
 	}
-	since := w.s.lastAt
+	since := w.s.lastEventAt
 	if w.s.pathSince.After(since) {
 		since = w.s.pathSince
 	}
-	silence := now.Sub(since)
-	if bad := w.accusedPart(now, silence); bad >= 0 {
+	pause := now.Sub(since)
+	if bad := w.accusedPart(now, pause); bad >= 0 {
 		return w.replace(bad, reasonAccused)
 	}
-	if silence > checkEvery*3 {
-		if bad := w.deadPart(since); bad >= 0 {
+	if pause > checkInterval*3 {
+		if bad := w.deadHop(since); bad >= 0 {
 			return w.replace(bad, reasonDead)
 		}
 	}
 	if bad := w.leavingPart(now); bad >= 0 {
 		return w.replace(bad, reasonLeaving)
 	}
-	limit := silentAfter
+	limit := probeAfter
 	if !w.s.begun {
-		limit = firstSilence
+		limit = firstEventProbeAfter
 	}
-	if silence > limit && !w.asking && now.Sub(w.askedAt) > askAgain {
-		w.ask(now)
+	if pause > limit && !w.probing && now.Sub(w.probedAt) > probeInterval {
+		w.probePath(now)
 	}
-	return goOn
+	return keepRun
 }
 
-// deadPart returns the first hop that was found dead since the stream last
-// moved on, or -1.
-func (w *watch) deadPart(since time.Time) int {
+// deadHop returns the index of the first hop whose engine was found dead since the
+// stream last made progress, or -1.
+func (w *watch) deadHop(since time.Time) int {
 	view := w.s.f.Current().View
 	for i, h := range w.s.path {
 		e, ok := view.ByID(h.Engine.ID)
 		if !ok {
 			e = h.Engine
 		}
-		if d := e.DeadSince(); !d.IsZero() && d.After(since.Add(-checkEvery)) {
+		if d := e.DeadSince(); !d.IsZero() && d.After(since.Add(-checkInterval)) {
 			return i
 		}
 	}
 	return -1
 }
 
-// ask probes all engines of the path. The first also
-// tells which of its requests wait for another engine.
-func (w *watch) ask(now time.Time) {
-	w.asking = true
-	w.askedAt = now
+// probePath probes all engines of the path. The first engine also reports which of
+// its requests wait for another engine.
+func (w *watch) probePath(now time.Time) {
+	w.probing = true
+	w.probedAt = now
 	path := w.s.path
 	go func() {
 		var wait sync.WaitGroup
 		for _, h := range path[1:] {
-			wait.Go(func() { _ = w.s.f.probe(w.ctx, h.Engine, citronprobe.Fresh) }) // noted with the engine
+			wait.Go(func() { _ = w.s.f.probe(w.ctx, h.Engine, citronprobe.Fresh) }) // Probe records the result in the engine's state
 		}
 		r, err := w.s.f.probes.Ask(w.ctx, w.s.f.Upstream, path[0].Engine.Addr, citronprobe.Fresh)
 		wait.Wait()
-		w.reports <- reportResult{r, err}
+		w.probeResults <- probeResult{r, err}
 	}()
 }
 
-// probe probes whether an engine is alive and notes if it gives none.
+// probe checks whether an engine is alive and records the result. It may use a
+// shared report that is no older than maxAge.
 func (f *Forwarder) probe(ctx context.Context, e *citronpool.Engine, maxAge time.Duration) error {
 	return f.probes.Probe(ctx, f.Upstream, f.Clock, e, maxAge)
 }
 
-// heard takes the first engine's answer.
-func (w *watch) heard(r reportResult) action {
+// handleReport handles the report of the path's first engine.
+func (w *watch) handleReport(r probeResult) action {
 	now := w.s.f.Clock.Now()
 	first := w.s.path[0].Engine
 	if r.err != nil {
 		if w.ctx.Err() != nil {
-			return goOn
+			return keepRun
 		}
 		citronprobe.Dead(first, r.err, now)
 		return w.replace(0, reasonDead)
@@ -246,31 +261,31 @@
 	}
 	addr, ok := r.report.Stalled[w.s.ID]
 	if !ok {
-		return goOn
+		return keepRun
 	}
 	for i, h := range w.s.path {
 		if h.Engine.Addr == addr {
-			// It was asked too (ask). If it answered it is not dead:
-			// it loads other layers, say, or has lost its path to the
-			// engine before it. To call it dead would have all streams
-			// moved and its layers given to others, each of which then
-			// loads in turn, until the zone has lost most of its engines.
+			// probePath probed this engine too. If it responded, it is not
+			// dead: it may be loading other layers or be cut off from the
+			// engine before it. Marking it dead would move all its streams
+			// and assign its layers to other engines. Those would have to
+			// load them in turn, until most engines of the zone are lost.
 			if h.Engine.Usable(now) {
 				h.Engine.Failed(now)
 			}
 			return w.replace(i, reasonStalled)
 		}
 	}
-	return goOn
+	return keepRun
 }
 
-// replace takes a hop out of the path: by a new path behind the same first
-// engine if the zone has one, else by a new run in another zone.
+// replace removes a hop from the path. It uses a new path behind the same first
+// engine if the zone has one, and otherwise a new run in another zone.
 func (w *watch) replace(bad int, reason string) action {
 	s := w.s
 	s.avoid[s.path[bad].Engine.ID] = true
-	s.avoidDead()
-	w.bad, w.reason = s.path[bad], reason
+	s.avoidDeadEngines()
+	w.badHop, w.reason = s.path[bad], reason
 	if s.path[bad].Engine.Ended() {
 		s.noteCrash(w.ctx, s.path[bad].Engine, s.run.sent)
 	}
@@ -280,43 +295,43 @@
 	return w.reroute()
 }
 
-// reroute replaces the path behind the first engine, or the whole run where
-// that is cheaper.
+// reroute replaces the path behind the first engine, or the whole run if the new path
+// would cross zones and the stream may be resumed.
 func (w *watch) reroute() action {
 	s := w.s
-	state := s.f.Current()
+	current := s.f.Current()
 	if s.suspect() && !s.sound {
-		return replaceRun // a new part would begin to run it
+		return replaceRun // a repath would start the suspect request on another engine
 	}
-	q := s.query(state, s.path[0].Engine.ID)
+	q := s.query(current, s.path[0].Engine.ID)
 	q.Keep = s.path
-	p, ok := citronpath.Choose(state.View.ByService[s.service.Name], q)
+	p, ok := citronpath.Choose(current.View.ByService[s.service.Name], q)
 	if !ok || w.repaths >= maxRepaths {
 		return w.resume()
 	}
 	if !p.OneZone() {
-		if w.mayWait() {
-			return goOn
+		if w.mayWaitForZone() {
+			return keepRun
 		}
 		if s.canResume() && s.takeBudget() {
-			return w.rerun()
+			return w.startNewRun()
 		}
 	}
-	w.log("repath")
+	w.logReplacement("repath")
 	w.repaths++
-	w.moving = true
-	w.leaveAt, w.crossAt = time.Time{}, time.Time{}
+	w.repathing = true
+	w.leaveAt, w.switchZoneAt = time.Time{}, time.Time{}
 	added := s.added(p)
 	go func() {
 		ctx, cancel := context.WithTimeout(w.ctx, repathTimeout)
 		defer cancel()
-		w.moves <- moveResult{p, s.repath(ctx, p, added)}
+		w.repathResults <- repathResult{p, s.repath(ctx, p, added)}
 	}()
-	return goOn
+	return keepRun
 }
 
-// repath moves the running request to another path. The engines that are added to it
-// get a request.
+// repath moves the running request to path p. The engines in added get a request, so
+// those with a rate limit must have granted a permit.
 func (s *streamJob) repath(ctx context.Context, p citronpath.Path, added []*citronpool.Engine) error {
 	for _, e := range added {
 		if !s.f.mayAdd(ctx, e) {
@@ -326,59 +341,61 @@
 	return s.f.Upstream.Repath(ctx, p[0].Engine.Addr, s.ID, p)
 }
 
-// mayWait reports whether a stream should wait for its zone to be whole
-// again before it goes to another zone.
-func (w *watch) mayWait() bool {
+// mayWaitForZone reports whether the stream may wait until its zone has a complete
+// replica again, instead of moving to another zone now.
+func (w *watch) mayWaitForZone() bool {
 	now := w.s.f.Clock.Now()
 	if w.reason == reasonLeaving {
 		return w.mayWaitToLeave(now)
 	}
-	if w.crossAt.IsZero() {
-		w.crossAt = now
+	if w.switchZoneAt.IsZero() {
+		w.switchZoneAt = now
 		if late := now.Sub(w.s.Received) > w.s.route.Target; w.s.begun || late {
-			w.crossAt = now.Add(crossFirst + rand.N(crossSpread))
+			w.switchZoneAt = now.Add(zoneSwitchDelay + rand.N(zoneSwitchSpread))
 		}
 	}
-	return now.Before(w.crossAt)
+	return now.Before(w.switchZoneAt)
 }
 
-// resume ends the run, so that another may go on after the last event. A
-// path whose engine is only leaving still works: it is better than none.
+// resume ends the run if a new run may continue after the last event. Otherwise it
+// postpones the next try. A path with an engine that is only leaving still works, so
+// it is kept.
 func (w *watch) resume() action {
 	s := w.s
 	_, ok := s.job.path(s.f.Current(), "")
 	if ok && s.canResume() && s.takeBudget() {
-		return w.rerun()
+		return w.startNewRun()
 	}
 	now := s.f.Clock.Now()
 	if w.reason == reasonLeaving {
 		w.leaveAt = now.Add(leaveAgain)
-		return goOn
+		return keepRun
 	}
-	w.waitUntil = now.Add(4 * checkEvery)
-	return goOn
+	w.waitUntil = now.Add(4 * checkInterval)
+	return keepRun
 }
 
-// rerun has the stream go on in a new run that the budget has been charged
-// for.
-func (w *watch) rerun() action {
-	w.log("resume")
-	w.s.paid = true
+// startNewRun ends the run so that the stream continues in a new one. The retry
+// budget has already been charged for it.
+func (w *watch) startNewRun() action {
+	w.logReplacement("resume")
+	w.s.budgetCharged = true
 	return replaceRun
 }
 
-func (w *watch) log(way string) {
+// logReplacement logs the replacement of the bad hop by a repath or a resume.
+func (w *watch) logReplacement(way string) {
 	s := w.s
-	citronevent.Log(w.ctx, s.f.Log, citronevent.PartReplaced, "request", s.ID, "engine", w.bad.Engine.ID, "peer", w.bad.Engine.Addr, "from", w.bad.Span.From, "to", w.bad.Span.To, "reason", w.reason, "way", way, "lastEvent", s.last, "list", s.list.String(), "silent", s.f.Clock.Now().Sub(s.lastAt), "runs", s.runs+1)
+	citronevent.Log(w.ctx, s.f.Log, citronevent.PartReplaced, "request", s.ID, "engine", w.badHop.Engine.ID, "peer", w.badHop.Engine.Addr, "from", w.badHop.Span.From, "to", w.badHop.Span.To, "reason", w.reason, "way", way, "lastEvent", s.lastEventID, "list", s.list.String(), "silent", s.f.Clock.Now().Sub(s.lastEventAt), "runs", s.runs+1)
 }
 
-// moved takes the answer to an order to move the request.
-func (w *watch) moved(m moveResult) action {
+// handleRepath handles the result of a repath.
+func (w *watch) handleRepath(m repathResult) action {
 	s := w.s
 	if m.err == nil {
 		s.f.Metrics.Repairs.WithLabelValues("repath").Inc()
 		s.bind(m.path)
-		return goOn
+		return keepRun
 	}
 	citronevent.Log(w.ctx, s.f.Log, citronevent.RepathFailed, "request", s.ID, "peer", m.path[0].Engine.Addr, "err", m.err)
 	var part *citronupstream.PartError
@@ -394,11 +411,12 @@
 	return w.resume()
 }
 
-// avoidDead keeps the request away from all engines that are known dead.
-func (s *streamJob) avoidDead() {
+// avoidDeadEngines excludes all engines of the service that were recently found dead
+// from the paths of this request.
+func (s *streamJob) avoidDeadEngines() {
 	now := s.f.Clock.Now()
 	for _, e := range s.f.Current().View.ByService[s.service.Name] {
-		if d := e.DeadSince(); !d.IsZero() && now.Sub(d) < deadMemory {
+		if d := e.DeadSince(); !d.IsZero() && now.Sub(d) < deadTTL {
 			s.avoid[e.ID] = true
 		}
 	}
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -1,8 +1,8 @@
 package citronforward
 
-// Streams: events are passed on one by one as they arrive, each of them
-// whole. While a stream runs, its path is watched, and a part that dies or
-// leaves is replaced before the caller gives up (repair.go).
+// Streaming requests. Events are forwarded one by one as they arrive, and only
+// complete events are forwarded. While a stream runs, its path is monitored. A hop
+// whose engine fails or leaves is replaced before the caller gives up (repair.go).
 
 import (
 	"bufio"
@@ -20,17 +20,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEventBytes bounds one event.
+// maxEventBytes limits the size of one event.
 const maxEventBytes = 1 << 20
 
-// event is one whole event of a stream.
+// event is one complete event of a stream: its text as received and its ID, if it
+// has one.
 type event struct {
 	text []byte
 	id   string
 }
 
-// readEvent reads up to the blank line that ends an event. An event that
-// the end of the stream cuts off is an error, never an event.
+// readEvent reads an event up to the blank line that ends it. If the stream ends in
+// the middle of an event, it returns io.ErrUnexpectedEOF.
 func readEvent(r *bufio.Reader) (event, error) {
 	var ev event
 	for {
@@ -43,7 +44,7 @@
 		}
 		ev.text = append(ev.text, line...)
 		if len(ev.text) > maxEventBytes {
-			return event{}, errors.New("event is over the limit")
+			return event{}, errors.New("event exceeds the limit of 1 MiB")
 		}
 		trimmed := bytes.TrimRight(line, "\r\n")
 		if len(trimmed) == 0 {
@@ -55,40 +56,48 @@
 	}
 }
 
-// streamJob is a stream on its way.
+// streamJob is a streaming request in progress.
 type streamJob struct {
 	*job
-	// begun: the caller has the head of the answer.
+	// begun is true once the status and header of the response have been sent to
+	// the caller.
 	begun bool
-	// last is the id of the newest event that the caller has.
-	last string
-	// lastAt is when it was passed on, longest the longest pause so far.
-	lastAt  time.Time
-	longest time.Duration
-	// longestAt is the event before that pause, firstTook the time to the
-	// first event, moves how often the path changed.
-	longestAt string
-	firstTook time.Duration
-	moves     int
-	// paid: the budget has been charged for the next run.
-	paid bool
-	path citronpath.Path
-	// pathSince is when the path was chosen or last changed.
+	// lastEventID is the ID of the newest event that the caller has.
+	lastEventID string
+	// lastEventAt is when the newest event was forwarded, maxPause the longest
+	// pause between events so far.
+	lastEventAt time.Time
+	maxPause    time.Duration
+	// maxPauseAfter is the ID of the event before the longest pause,
+	// firstEventTook the time from the request to the first event, pathChanges
+	// the number of times the path has changed.
+	maxPauseAfter  string
+	firstEventTook time.Duration
+	pathChanges    int
+	// budgetCharged is true if the retry budget has already been charged for the
+	// next run.
+	budgetCharged bool
+	path          citronpath.Path
+	// pathSince is when the current path came into use.
 	pathSince time.Time
-	// run is the newest run over a path.
-	run     run
+	// run is the progress of the newest run.
+	run run
+	// release removes the stream from the load of its path's engines and zones.
 	release func()
 }
 
-// run is what one run of a stream has come to.
+// run is the progress of one run, that is, of one attempt to run a stream over a
+// path.
 type run struct {
+	// sent is when the request was sent to the first engine.
 	sent time.Time
-	// firstEvent and lastEvent are when its events were passed on; zero before
-	// the first.
+	// firstEvent and lastEvent are when the first and the newest event of the run
+	// were forwarded. They are zero before the first event.
 	firstEvent, lastEvent time.Time
 }
 
-// WithEvent returns the run after an event was passed on.
+// WithEvent returns the run updated for an event that was forwarded at the given
+// time.
 func (r run) WithEvent(at time.Time) run {
 	if r.firstEvent.IsZero() {
 		r.firstEvent = at
@@ -97,53 +106,58 @@
 	return r
 }
 
-// lasted is the time between the run's first and its last event.
-func (r run) lasted() time.Duration { return r.lastEvent.Sub(r.firstEvent) }
+// eventSpan returns the time between the run's first and newest event.
+func (r run) eventSpan() time.Duration { return r.lastEvent.Sub(r.firstEvent) }
 
-// verdict is how one run of a stream ended.
-type verdict int
+// runOutcome is how one run of a stream ended.
+type runOutcome int
 
 const (
-	// finished: the caller has the whole stream.
-	finished verdict = iota
-	// callerLeft: there is nobody to answer, or no time left.
+	// runFinished means that the caller has the complete stream.
+	runFinished runOutcome = iota
+	// callerLeft means that the caller has disconnected or the deadline has
+	// passed.
 	callerLeft
-	// refusedRun: the engines did not run it.
-	refusedRun
-	// brokenRun: it broke off; it may be resumed elsewhere.
-	brokenRun
-	// noPath: there was nothing to run it on.
+	// runRefused means that the engines did not run the request.
+	runRefused
+	// runBroken means that the run ended early. The stream may be resumed on
+	// another path.
+	runBroken
+	// noPath means that no path was available.
 	noPath
-	// engineAnswer: the engine's own failure has been passed on.
-	engineAnswer
+	// engineFailed means that the engine's failure response has been forwarded
+	// to the caller.
+	engineFailed
 )
 
-// stream serves a streaming request.
+// stream serves a streaming request. It runs the request until the stream is
+// complete or no further run is allowed.
 func (j *job) stream(ctx context.Context) {
-	s := &streamJob{job: j, last: j.ResumeAfter, lastAt: j.Received}
+	s := &streamJob{job: j, lastEventID: j.ResumeAfter, lastEventAt: j.Received}
 	defer s.unbind()
 	var reason string
 	for {
-		var v verdict
+		var v runOutcome
 		v, reason = s.attempt(ctx)
-		if v == finished || v == engineAnswer {
-			s.ended(ctx)
+		if v == runFinished || v == engineFailed {
+			s.recordFinished(ctx)
 			return
 		}
-		if !s.goesOn(ctx, v) {
+		if !s.shouldRetry(ctx, v) {
 			break
 		}
 	}
 	if s.begun {
-		citronevent.Log(ctx, j.f.Log, citronevent.StreamBroken, "request", j.ID, "reason", reason, "print", j.fingerprint(), "lastEvent", s.last, "runs", j.runs, "limit", j.limit, "left", j.left())
+		citronevent.Log(ctx, j.f.Log, citronevent.StreamBroken, "request", j.ID, "reason", reason, "print", j.fingerprint(), "lastEvent", s.lastEventID, "runs", j.runs, "limit", j.limit, "left", j.left())
 		j.out.Abort()
 		return
 	}
 	j.giveUp(ctx, reason)
 }
 
-// attempt chooses a path and runs the stream over it once.
-func (s *streamJob) attempt(ctx context.Context) (verdict, string) {
+// attempt chooses a path and runs the stream over it once. It returns the outcome
+// and, for an unfinished run, the reason.
+func (s *streamJob) attempt(ctx context.Context) (runOutcome, string) {
 	if s.service.Model == nil {
 		return noPath, "service runs no model"
 	}
@@ -162,15 +176,15 @@
 			return v, "the caller left"
 		}
 		return v, "out of time"
-	case refusedRun:
+	case runRefused:
 		return v, "engines are full"
 	default:
 		return v, "stream broke off"
 	}
 }
 
-// permittedPath returns a path with room for the stream whose engines may be sent it,
-// or why there is none.
+// permittedPath returns a path with free capacity whose engines have granted a
+// permit for the stream, or the reason why there is none.
 func (s *streamJob) permittedPath(ctx context.Context) (citronpath.Path, string) {
 	for {
 		p, full, ok := s.room(ctx)
@@ -192,25 +206,25 @@
 	}
 }
 
-// goesOn decides, after an attempt that did not finish the stream, whether
-// there is another.
-func (s *streamJob) goesOn(ctx context.Context, v verdict) bool {
+// shouldRetry reports whether there is another run after one that did not finish the
+// stream.
+func (s *streamJob) shouldRetry(ctx context.Context, v runOutcome) bool {
 	s.limit = ""
 	switch v {
 	case callerLeft:
-		s.runs++ // the engines may have begun
+		s.runs++ // the engines may have started to run the request
 		return false
 	case noPath:
-		return !s.barred() && s.waitBegun(ctx)
-	case refusedRun:
+		return !s.barred() && s.waitForCapacity(ctx)
+	case runRefused:
 		s.refused++
 		s.retryAfter = retryBusy
 		if s.mayMove() {
 			return true
 		}
-		return s.waitBegun(ctx)
+		return s.waitForCapacity(ctx)
 	}
-	ended := s.firstEnded()
+	ended := s.firstEngineEnded()
 	resume := s.mayResume()
 	if ended {
 		s.lostRuns++
@@ -223,20 +237,21 @@
 	return resume
 }
 
-// againPause is how long a stream that has begun waits before it asks the
-// engines once more: some of their requests end in it.
-const againPause = 150 * time.Millisecond
+// capacityRetryInterval is how long a stream that has begun waits before it tries the
+// engines again. Some of their running requests end in that time.
+const capacityRetryInterval = 150 * time.Millisecond
 
-// waitBegun waits for engines to take a stream that its caller has a part
-// of. To end it would lose what the caller has, and an answer that was
-// promised; a caller that no longer wants to wait leaves by itself.
-func (s *streamJob) waitBegun(ctx context.Context) bool {
+// waitForCapacity waits until a stream that has begun may be tried again. It returns
+// false if the stream has not begun or ctx has ended. Ending the stream would lose
+// the events that the caller already has and a response that has been started. A
+// caller that no longer wants to wait disconnects.
+func (s *streamJob) waitForCapacity(ctx context.Context) bool {
 	if !s.begun {
 		return false
 	}
 	s.refused, s.permits = 0, permits{}
 	clear(s.avoid)
-	for s.f.Clock.Sleep(ctx, againPause) == nil {
+	for s.f.Clock.Sleep(ctx, capacityRetryInterval) == nil {
 		if s.takeBudget() {
 			return true
 		}
@@ -244,53 +259,57 @@
 	return false
 }
 
-// ended records a stream that the caller has whole.
-func (s *streamJob) ended(ctx context.Context) {
-	s.f.Metrics.Pause.Observe(s.longest.Seconds())
-	if s.firstTook > s.route.Target || s.longest > s.route.MaxGap {
-		citronevent.Log(ctx, s.f.Log, citronevent.StreamLate, "request", s.ID, "first", s.firstTook, "pause", s.longest, "afterEvent", s.longestAt, "moves", s.moves, "runs", s.runs+1, "engine", s.path[0].Engine.ID, "zone", s.path[0].Engine.Zone)
+// recordFinished records the metrics and log lines of a completed stream.
+func (s *streamJob) recordFinished(ctx context.Context) {
+	s.f.Metrics.Pause.Observe(s.maxPause.Seconds())
+	if s.firstEventTook > s.route.Target || s.maxPause > s.route.MaxGap {
+		citronevent.Log(ctx, s.f.Log, citronevent.StreamLate, "request", s.ID, "first", s.firstEventTook, "pause", s.maxPause, "afterEvent", s.maxPauseAfter, "moves", s.pathChanges, "runs", s.runs+1, "engine", s.path[0].Engine.ID, "zone", s.path[0].Engine.Zone)
 	}
-	s.answered("first", s.firstTook, "pause", s.longest, "moves", s.moves, "runs", s.runs+1, "engine", s.path[0].Engine.ID)
+	s.answered("first", s.firstEventTook, "pause", s.maxPause, "moves", s.pathChanges, "runs", s.runs+1, "engine", s.path[0].Engine.ID)
 }
 
-// canResume reports whether another run may go on after the last event.
-// Runs whose first engine has ended do not count against the route's limit.
-// One that is leaving, or does not answer, has not: it may be well for
-// others and still run the request.
+// canResume reports whether another run may continue the stream after the last
+// event. Runs whose first engine's process has ended do not count against the
+// route's limit. An engine that is leaving or does not respond counts as running: it
+// may be healthy for others and still run the request.
 func (s *streamJob) canResume() bool {
 	if !s.within(attemptsUsed, s.route.Idempotent()) {
 		return false
 	}
 	runs := s.runs + 1
-	if s.firstEnded() {
+	if s.firstEngineEnded() {
 		runs--
 	}
 	return s.within(crashesUsed, !s.suspect()) && s.within(attemptsUsed, runs < max(1, s.route.MaxAttempts))
 }
 
-// firstEnded reports whether it is certain that the first engine's process has ended:
-// something else is in its place. That its entry is gone proves nothing, as some engines
-// serve on after that; nor does a refused connection, as one that is cut off resets what
-// it has and refuses what comes.
-func (s *streamJob) firstEnded() bool { return s.path[0].Engine.Replaced() }
+// firstEngineEnded reports whether the first engine's process has certainly ended,
+// because another process has taken its place. A missing entry is no proof, as some
+// engines continue to serve without one. A refused connection is no proof either, as
+// an engine that is cut off from the network resets its connections and refuses new
+// ones.
+func (s *streamJob) firstEngineEnded() bool { return s.path[0].Engine.Replaced() }
 
-// mayResume is canResume with the budget, unless it is paid already. If the
-// limit is reached, the first engine is asked whether it has ended.
+// mayResume reports whether the stream may be resumed and charges the retry budget,
+// unless the budget has been charged already. If the route's limit is reached, it
+// first probes the first engine to find out whether its process has ended.
 func (s *streamJob) mayResume() bool {
-	if s.paid {
-		s.paid = false
+	if s.budgetCharged {
+		s.budgetCharged = false
 		return true
 	}
 	if !s.suspect() && !s.canResume() {
-		_ = s.f.probe(context.Background(), s.path[0].Engine, 0) // an older report may be from before the end
+		_ = s.f.probe(context.Background(), s.path[0].Engine, 0) // a shared report may be from before the process ended
 	}
 	return s.canResume() && s.takeBudget()
 }
 
+// bind makes p the path of the stream and adds the stream to the load of the path's
+// engines and zones.
 func (s *streamJob) bind(p citronpath.Path) {
 	s.unbind()
 	if s.path != nil {
-		s.moves++
+		s.pathChanges++
 	}
 	s.path = p
 	s.pathSince = s.f.Clock.Now()
@@ -311,6 +330,7 @@
 	}
 }
 
+// unbind removes the stream from the load of its path's engines and zones.
 func (s *streamJob) unbind() {
 	if s.release != nil {
 		s.release()
@@ -318,16 +338,16 @@
 	}
 }
 
-// send sends the stream over its path and passes events on until it ends.
-func (s *streamJob) send(ctx context.Context) verdict {
+// send sends the request over its path and forwards events until the run ends.
+func (s *streamJob) send(ctx context.Context) runOutcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w := newWatch(ctx, s)
-	replies := make(chan sent, 1)
-	call := citronupstream.Call{Request: s.Request, Engine: s.path[0].Engine, Hops: s.path, Customer: s.customer, Left: s.left(), After: s.last, Once: !s.route.Idempotent(), Urgent: s.begun}
+	replies := make(chan sendResult, 1)
+	call := citronupstream.Call{Request: s.Request, Engine: s.path[0].Engine, Hops: s.path, Customer: s.customer, Left: s.left(), After: s.lastEventID, Once: !s.route.Idempotent(), Urgent: s.begun}
 	go func() {
 		reply, err := s.f.send(ctx, call)
-		replies <- sent{reply, err}
+		replies <- sendResult{reply, err}
 	}()
 	for {
 		select {
@@ -340,25 +360,27 @@
 		case <-ctx.Done():
 			return callerLeft
 		case <-w.tick():
-			if w.quiet() == replaceRun {
-				return brokenRun
+			if w.onTick() == replaceRun {
+				return runBroken
 			}
 		}
 	}
 }
 
-type sent struct {
+// sendResult is the result of sending a request to an engine.
+type sendResult struct {
 	reply *citronupstream.Reply
 	err   error
 }
 
-// logRun is logAttempt with how far the run got: from when it was sent, and
-// between its events.
+// logRun logs a failed run with the time since it was sent and the time between its
+// first and newest event.
 func (s *streamJob) logRun(first *citronpool.Engine, res result) {
-	s.logAttempt(first, res, "sent", s.f.Clock.Now().Sub(s.run.sent), "lasted", s.run.lasted())
+	s.logAttempt(first, res, "sent", s.f.Clock.Now().Sub(s.run.sent), "lasted", s.run.eventSpan())
 }
 
-func (s *streamJob) sendFailed(ctx context.Context, err error) verdict {
+// sendFailed handles an error of sending the request to the first engine.
+func (s *streamJob) sendFailed(ctx context.Context, err error) runOutcome {
 	if ctx.Err() != nil {
 		return callerLeft
 	}
@@ -368,29 +390,29 @@
 	s.logRun(first, res)
 	s.avoid[first.ID] = true
 	if res.outcome == notRun {
-		return refusedRun
+		return runRefused
 	}
 	s.noteCrash(ctx, first, s.run.sent)
-	return brokenRun
+	return runBroken
 }
 
-// receive reads the engine's answer and passes it on.
-func (s *streamJob) receive(ctx context.Context, reply *citronupstream.Reply, w *watch) verdict {
+// receive reads the engine's response and forwards it to the caller.
+func (s *streamJob) receive(ctx context.Context, reply *citronupstream.Reply, w *watch) runOutcome {
 	first := s.path[0].Engine
 	if reply.NotRun {
-		_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxAnswerBytes)) // so that the connection can be kept
+		_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxAnswerBytes)) // so that the connection can be reused
 		s.refusedBy(first, reply)
 		s.f.Metrics.Attempts.WithLabelValues(notRun.String()).Inc()
-		s.logAttempt(first, result{outcome: notRun, status: reply.Status, err: errors.Newf("refused, at fault %s", reply.Fault)})
-		return refusedRun
+		s.logAttempt(first, result{outcome: notRun, status: reply.Status, err: errors.Newf("engine did not run the request, at fault: %s", reply.Fault)})
+		return runRefused
 	}
 	if reply.Status != http.StatusOK {
-		return s.engineFailure(ctx, reply)
+		return s.handleEngineFailure(ctx, reply)
 	}
 	if !reply.Signed || reply.Header.Get("Content-Encoding") != "" {
 		s.logRun(first, result{outcome: unknown, status: reply.Status, err: errors.New("answer is not the engine's own")})
 		s.avoid[first.ID] = true
-		return brokenRun
+		return runBroken
 	}
 	events := make(chan eventOrErr)
 	go readEvents(ctx, reply.Body, events)
@@ -400,27 +422,30 @@
 			if e.err != nil {
 				return s.streamEnded(ctx, e.err)
 			}
-			if v, done := s.pass(reply, e.event); done {
+			if v, done := s.forwardEvent(reply, e.event); done {
 				return v
 			}
-			if w.progress() == replaceRun {
-				return brokenRun
+			if w.onEvent() == replaceRun {
+				return runBroken
 			}
 		case <-ctx.Done():
 			return callerLeft
 		case <-w.tick():
-			if w.quiet() == replaceRun {
-				return brokenRun
+			if w.onTick() == replaceRun {
+				return runBroken
 			}
 		}
 	}
 }
 
+// eventOrErr is an event or the error that ended the stream.
 type eventOrErr struct {
 	event
 	err error
 }
 
+// readEvents sends the events of a response body to out, followed by the error that
+// ended the body.
 func readEvents(ctx context.Context, body io.Reader, out chan<- eventOrErr) {
 	r := bufio.NewReader(body)
 	for {
@@ -436,48 +461,50 @@
 	}
 }
 
-// pass sends one event on. An event that the caller has already is left
-// out: a run that was resumed may start earlier than it was asked to.
-func (s *streamJob) pass(reply *citronupstream.Reply, ev event) (verdict, bool) {
-	if ev.id != "" && s.last != "" && !after(ev.id, s.last) {
+// forwardEvent sends an event to the caller. It skips an event that the caller
+// already has, as a resumed run may start earlier than requested. The second result
+// is true if the run has ended.
+func (s *streamJob) forwardEvent(reply *citronupstream.Reply, ev event) (runOutcome, bool) {
+	if ev.id != "" && s.lastEventID != "" && !isAfter(ev.id, s.lastEventID) {
 		return 0, false
 	}
 	now := s.f.Clock.Now()
 	s.path[0].Engine.Lives()
 	if s.run.firstEvent.IsZero() {
-		s.admittedAlong()
+		s.markAdmitted()
 	}
 	if !s.begun {
 		s.begun = true
-		s.firstTook = now.Sub(s.Received)
-		s.f.Metrics.FirstEvent.Observe(s.firstTook.Seconds())
+		s.firstEventTook = now.Sub(s.Received)
+		s.f.Metrics.FirstEvent.Observe(s.firstEventTook.Seconds())
 		s.out.Begin(reply.Status, reply.Header)
-	} else if pause := now.Sub(s.lastAt); pause > s.longest {
-		s.longest, s.longestAt = pause, s.last
+	} else if pause := now.Sub(s.lastEventAt); pause > s.maxPause {
+		s.maxPause, s.maxPauseAfter = pause, s.lastEventID
 	}
 	if err := s.out.Event(ev.text); err != nil {
 		return callerLeft, true
 	}
 	if ev.id != "" {
-		s.last = ev.id
+		s.lastEventID = ev.id
 	}
-	s.lastAt = now
+	s.lastEventAt = now
 	s.run = s.run.WithEvent(now)
-	if s.run.lasted() >= provenRun {
+	if s.run.eventSpan() >= provenRun {
 		s.proven()
 	}
 	return 0, false
 }
 
-// admittedAlong notes that the engines of the path run the stream.
-func (s *streamJob) admittedAlong() {
+// markAdmitted records that the engines of the path have admitted the stream.
+func (s *streamJob) markAdmitted() {
 	for _, h := range s.path {
 		h.Engine.Admitted(s.run.sent)
 	}
 }
 
-// after reports whether event id a comes after b.
-func after(a, b string) bool {
+// isAfter reports whether event ID a follows b. IDs that are not numbers are taken
+// to follow each other unless they are equal.
+func isAfter(a, b string) bool {
 	x, errA := strconv.ParseInt(a, 10, 64)
 	y, errB := strconv.ParseInt(b, 10, 64)
 	if errA != nil || errB != nil {
@@ -486,14 +513,15 @@
 	return x > y
 }
 
-func (s *streamJob) streamEnded(ctx context.Context, err error) verdict {
+// streamEnded handles the end of a response body. io.EOF is a regular end.
+func (s *streamJob) streamEnded(ctx context.Context, err error) runOutcome {
 	if errors.Is(err, io.EOF) {
 		if !s.begun {
-			return brokenRun // an empty stream is no answer
+			return runBroken // an empty stream is not a valid response
 		}
 		s.path[0].Engine.Answered(s.pathSince, s.f.Clock.Now())
 		s.proven()
-		return finished
+		return runFinished
 	}
 	if ctx.Err() != nil {
 		return callerLeft
@@ -502,12 +530,12 @@
 	s.logRun(first, result{outcome: unknown, err: errors.Wrap(err, "read stream")})
 	s.avoid[first.ID] = true
 	s.noteCrash(ctx, first, s.run.sent)
-	return brokenRun
+	return runBroken
 }
 
-// engineFailure handles an answer that is no stream: the engine ran the
-// request and failed.
-func (s *streamJob) engineFailure(ctx context.Context, reply *citronupstream.Reply) verdict {
+// handleEngineFailure handles a response that is not a stream: the engine ran the
+// request and failed. The response is forwarded unless the request may be retried.
+func (s *streamJob) handleEngineFailure(ctx context.Context, reply *citronupstream.Reply) runOutcome {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes))
 	if err != nil && ctx.Err() != nil {
 		return callerLeft
@@ -516,8 +544,8 @@
 	s.logRun(first, result{outcome: failed, status: reply.Status, err: err})
 	s.avoid[first.ID] = true
 	if err != nil || s.begun || reply.Status >= 500 && s.route.Idempotent() && s.runs+1 < s.route.MaxAttempts {
-		return brokenRun
+		return runBroken
 	}
 	s.out.Answer(reply.Status, reply.Header, body)
-	return engineAnswer
+	return engineFailed
 }
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -20,6 +20,7 @@
 	"github.com/matryer/is"
 )
 
+// events returns the text of a stream with the given events, first and last included.
 func events(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
@@ -28,7 +29,7 @@
 	return b.String()
 }
 
-// breaking is a body that ends with an error after its text.
+// breaking is a body that returns an error after its text.
 type breaking struct {
 	io.Reader
 	err error
@@ -44,7 +45,7 @@
 
 func (breaking) Close() error { return nil }
 
-// silent is a body that says no more after its text until ctx ends.
+// silent is a body that sends nothing after its text until ctx ends.
 type silent struct {
 	io.Reader
 	ctx context.Context
@@ -61,14 +62,14 @@
 
 func (silent) Close() error { return nil }
 
-// stuckUntil is a stream of four events that stops after two until it has
-// been moved.
-func stuckUntil(ctx context.Context, moved <-chan struct{}) *citronupstream.Reply {
+// stuckUntil returns a stream of four events that stalls after two until resumed is
+// closed.
+func stuckUntil(ctx context.Context, resumed <-chan struct{}) *citronupstream.Reply {
 	body, w := io.Pipe()
 	go func() {
 		_, _ = io.WriteString(w, events(1, 2))
 		select {
-		case <-moved:
+		case <-resumed:
 			_, _ = io.WriteString(w, events(3, 4))
 		case <-ctx.Done():
 		}
@@ -79,10 +80,10 @@
 	return rep
 }
 
-// The engine dies in the middle of an event. The caller must see each event
-// once and whole, so the cut one is dropped and the stream goes on at
-// another engine after the last event that went out.
-func TestStreamIsResumedAfterLastWholeEvent(t *testing.T) {
+// The engine fails in the middle of an event. The truncated event must be dropped and
+// the stream resumed on another engine after the last forwarded event, so that the
+// caller gets each event complete and exactly once.
+func TestStreamIsResumedAfterLastCompleteEvent(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8))
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
@@ -102,8 +103,8 @@
 	is.True(calls[0].engine != calls[1].engine)
 }
 
-// A clean end in the middle of an event is a cut too.
-func TestCutEventIsNoEnd(t *testing.T) {
+// A regular end of the body in the middle of an event is a failure of the run too.
+func TestTruncatedEventDoesNotEndStream(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8))
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
@@ -115,9 +116,9 @@
 	is.Equal(r.ask("stream", time.Second).body, events(1, 3))
 }
 
-// A run that was resumed may begin before the event it was asked for; the
-// caller must not get events twice.
-func TestEventsAreNotRepeated(t *testing.T) {
+// A resumed run may start before the requested event. The caller must not get events
+// twice.
+func TestEventsAreNotDuplicated(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8))
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
@@ -131,8 +132,8 @@
 	is.Equal(r.ask("stream", time.Second).body, events(1, 5))
 }
 
-// All runs that the route allows break off: what the caller has must not
-// look complete.
+// All runs that the route allows fail. The stream must be aborted so that the partial
+// response does not look complete.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "a", 0, 8))
@@ -146,11 +147,11 @@
 	is.Equal(len(r.engines.seen()), 2) // the route's limit
 }
 
-// An engine in the middle of the path dies. It has no connection to this
-// node, so the stream only falls silent; the first engine is well. The
-// stream must be moved long before the caller gives up after 2 s: within
-// the zone by a new path behind the same first engine.
-func TestDeadMiddlePartIsReplacedInZone(t *testing.T) {
+// An engine in the middle of the path fails. It has no connection to this node, so the
+// stream only stalls while the first engine is healthy. The stream must be moved within
+// the zone, by a new path behind the same first engine, long before a caller gives up
+// after 2 s.
+func TestDeadMiddleHopIsReplacedInZone(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 4), engine("m2", "a", 4, 8), engine("m3", "a", 4, 8))
 	moved := make(chan struct{})
@@ -171,16 +172,16 @@
 	}
 	got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.Wait = 5 * time.Second })
 	is.Equal(got.body, events(1, 4))
-	is.Equal(len(r.engines.seen()), 1) // the run went on
+	is.Equal(len(r.engines.seen()), 1) // the run continued
 	is.Equal(len(r.engines.repaths), 1)
 	is.True(r.engines.repaths[0][1].Engine.Addr != dead)
 }
 
-// A stream waits for an engine that loads other layers by the leader's order.
-// The first engine reports the stream as stalled there, but the engine itself
-// answers. The stream is moved; the engine must not be told to the other
-// nodes as dead, or the leader would place its layers anew while they load.
-func TestStalledEngineThatAnswersIsNotDead(t *testing.T) {
+// A stream waits for an engine that loads other layers as ordered by the leader. The
+// first engine reports the stream as stalled there, but the engine itself responds to
+// probes. The stream must be moved, but the engine must not be reported to other nodes
+// as dead: the leader would place its layers again while they load.
+func TestStalledEngineThatRespondsIsNotDead(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 4), engine("m2", "a", 4, 8), engine("m3", "a", 4, 8))
 	moved := make(chan struct{})
@@ -205,18 +206,18 @@
 	is.Equal(len(r.view.Dead(time.Time{})), 0)
 }
 
-// One part of a path dies. A part behind it is sound, but the other copy of
-// the zone has a less loaded engine for the same layers. The new path keeps
-// the sound part: another would have to read all tokens of the stream again,
-// and with a hundred streams moved at once all of them would be late.
-func TestRepathKeepsSoundParts(t *testing.T) {
+// One hop of a path fails. A later hop is healthy, but the zone's other replica has a
+// less loaded engine for the same layers. The new path must keep the healthy hop:
+// another engine would have to process all tokens of the stream again, and with a
+// hundred streams moved at once all of them would be late.
+func TestRepathKeepsHealthyHops(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 3), engine("m2", "a", 3, 6), engine("m3", "a", 6, 8), engine("n2", "a", 3, 6), engine("n3", "a", 6, 8))
 	moved := make(chan struct{})
 	var dead, last string
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		dead, last = c.Hops[1].Engine.Addr, c.Hops[2].Engine.ID
-		c.Hops[2].Engine.Begin(100_000) // others have come since the path was chosen
+		c.Hops[2].Engine.Begin(100_000) // other requests have started since the path was chosen
 		return stuckUntil(ctx, moved), nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
@@ -236,10 +237,10 @@
 	is.Equal(r.engines.repaths[0][2].Engine.ID, last)
 }
 
-// A dead middle part again, but the zone has nobody else for the dead part. Handing all
-// tokens so far to another zone would take seconds on the pipe, so the
-// stream is resumed on another zone's copy.
-func TestDeadMiddlePartWithoutSpareResumesInOtherZone(t *testing.T) {
+// An engine in the middle of the path fails and no other engine of the zone holds its
+// layers. Sending all tokens so far to another zone would take seconds, so the stream
+// must be resumed on another zone's replica.
+func TestDeadMiddleHopWithoutSpareResumesInOtherZone(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 4), engine("m2", "a", 4, 8), engine("n1", "b", 0, 4), engine("n2", "b", 4, 8))
 	r.engines.answer = func(ctx context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
@@ -265,9 +266,9 @@
 	is.Equal(len(r.engines.repaths), 0)
 }
 
-// A surge: other nodes have filled all caches. One more stream would make
-// engines preempt running ones, so it is refused while the caller has time
-// to come back, and never sent.
+// In a surge, requests of other nodes have filled all caches. A further stream would
+// make engines preempt running ones, so it must be refused without being sent, while
+// the caller still has time to retry.
 func TestStreamIsRefusedWhenCachesAreFull(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8))
@@ -280,9 +281,9 @@
 	is.Equal(len(r.engines.seen()), 0)
 }
 
-// A caller that comes back with events of its own is let in: it would
-// otherwise lose what it has.
-func TestResumingCallerIsLetIn(t *testing.T) {
+// A caller that resumes a stream must be admitted although the caches are full. It would
+// otherwise lose the events that it already has.
+func TestResumingCallerIsAdmitted(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8))
 	state := *r.Current()
@@ -295,8 +296,9 @@
 	is.Equal(got.body, events(5, 6))
 }
 
-// Engines that refuse without running are left after a few, at once.
-func TestRefusingEnginesAreNotAskedForEver(t *testing.T) {
+// If engines refuse a request without running it, only a few of them may be tried before
+// the caller is refused.
+func TestRefusingEnginesAreTriedOnlyAFewTimes(t *testing.T) {
 	is := is.New(t)
 	engines := make([]citronmodel.Engine, 0, 9)
 	for i := range 9 {
@@ -310,10 +312,10 @@
 	is.True(len(r.engines.seen()) <= 5)
 }
 
-// The engine of a running stream breaks off, and all others are full for a
-// moment. The caller has half of its answer; ending the stream would lose
-// it, so the stream waits and is resumed as soon as an engine takes it.
-func TestBegunStreamWaitsForRoom(t *testing.T) {
+// The engine of a running stream fails while all others are full for a moment. Ending
+// the stream would lose the part of the response that the caller has, so the stream
+// must wait and be resumed as soon as an engine accepts it.
+func TestBegunStreamWaitsForCapacity(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "a", 0, 8))
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
@@ -332,9 +334,10 @@
 	is.True(!got.aborted)
 }
 
-// A node that is stopping takes no stream that would outlive it, but still
-// answers what ends in time. The refused caller goes to another node at once.
-func TestStoppingNodeTakesOnlyWhatEndsInTime(t *testing.T) {
+// A node that is stopping must refuse streams that would outlast it but still serve
+// requests that end in time. A refused caller may retry at another node immediately, if
+// there is one.
+func TestStoppingNodeAcceptsOnlyWhatEndsInTime(t *testing.T) {
 	for _, c := range []struct {
 		name, route string
 		state       citronforward.Stopping
@@ -342,14 +345,14 @@
 		status      int
 		after       time.Duration
 	}{
-		{"any stream, at first", "stream", citronforward.Stopping{Since: 500 * time.Millisecond, Left: 7 * time.Second}, 600, 200, 0},
+		{"any stream, shortly after the start of stopping", "stream", citronforward.Stopping{Since: 500 * time.Millisecond, Left: 7 * time.Second}, 600, 200, 0},
 		{"long stream, later", "stream", citronforward.Stopping{Since: 3 * time.Second, Left: 4 * time.Second, Others: true}, 300, 503, 0},
-		{"long stream, nobody else", "stream", citronforward.Stopping{Since: 3 * time.Second, Left: 4 * time.Second}, 300, 503, 1500 * time.Millisecond},
-		{"long stream, not yet late, nobody else", "stream", citronforward.Stopping{Since: 2700 * time.Millisecond, Left: 4900 * time.Millisecond}, 300, 200, 0},
-		{"long stream, not yet late", "stream", citronforward.Stopping{Since: 2700 * time.Millisecond, Left: 4900 * time.Millisecond, Others: true}, 300, 503, 0},
+		{"long stream, later, no other node", "stream", citronforward.Stopping{Since: 3 * time.Second, Left: 4 * time.Second}, 300, 503, 1500 * time.Millisecond},
+		{"long stream, slightly later, no other node", "stream", citronforward.Stopping{Since: 2700 * time.Millisecond, Left: 4900 * time.Millisecond}, 300, 200, 0},
+		{"long stream, slightly later", "stream", citronforward.Stopping{Since: 2700 * time.Millisecond, Left: 4900 * time.Millisecond, Others: true}, 300, 503, 0},
 		{"short stream, later", "stream", citronforward.Stopping{Since: 3 * time.Second, Left: 4 * time.Second}, 50, 200, 0},
-		{"call that ends in time", "unsafe", citronforward.Stopping{Since: 5 * time.Second, Left: 2 * time.Second}, 0, 200, 0},
-		{"call that does not", "unsafe", citronforward.Stopping{Since: 7 * time.Second, Left: 300 * time.Millisecond, Others: true}, 0, 503, 0},
+		{"unary request that ends in time", "unsafe", citronforward.Stopping{Since: 5 * time.Second, Left: 2 * time.Second}, 0, 200, 0},
+		{"unary request that does not end in time", "unsafe", citronforward.Stopping{Since: 7 * time.Second, Left: 300 * time.Millisecond, Others: true}, 0, 503, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -370,10 +373,10 @@
 	}
 }
 
-// A report that times out does not prove that the engine has ended: this
-// node may have stood still, or lost its way to an engine that is well. A
-// third engine must not run the request then.
-func TestSilentFirstEngineIsNotEnded(t *testing.T) {
+// A probe that times out does not prove that the engine's process has ended: this node
+// may have been paused, or have lost its connection to a healthy engine. A third engine
+// must not run the request then.
+func TestUnresponsiveFirstEngineHasNotEnded(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "a", 0, 8))
 	r.engines.answer = func(ctx context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
@@ -387,17 +390,17 @@
 	is.Equal(len(r.engines.seen()), 2)
 }
 
-// Both runs that the route allows have been used when the first engine of
-// the second says that it is leaving, or its entry goes. It still serves, so a third engine
-// would run the request beside two that are well: the stream stays, and is
-// resumed only when the engine has ended.
+// Both runs that the route allows have been used when the first engine of the second run
+// reports that it is leaving, or its entry disappears. The engine still serves, so moving
+// the stream would have a third engine run the request beside two healthy ones. The
+// stream must stay and be resumed only once the engine's process has ended.
 func TestLastRunStaysWithLeavingEngineUntilItEnds(t *testing.T) {
 	for _, gone := range []bool{false, true} {
-		t.Run(fmt.Sprintf("entry gone %v", gone), func(t *testing.T) { lastRunStays(t, gone) })
+		t.Run(fmt.Sprintf("entry gone %v", gone), func(t *testing.T) { checkLastRunStays(t, gone) })
 	}
 }
 
-func lastRunStays(t *testing.T, gone bool) {
+func checkLastRunStays(t *testing.T, gone bool) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "b", 0, 8))
 	state := r.Current()
@@ -425,7 +428,7 @@
 			body, w := io.Pipe()
 			go func() {
 				_, _ = io.WriteString(w, events(2, 2))
-				time.Sleep(2200 * time.Millisecond) // past the time to move
+				time.Sleep(2200 * time.Millisecond) // past the time at which streams move away
 				_, _ = io.WriteString(w, events(3, 3))
 				ended.Store(true)
 				_ = w.CloseWithError(errReset)
@@ -438,7 +441,7 @@
 	}
 	r.engines.report = func(string) (citronupstream.Report, error) {
 		if ended.Load() {
-			return citronupstream.Report{Holds: &citronmodel.Span{}}, nil // another process is there
+			return citronupstream.Report{Holds: &citronmodel.Span{}}, nil // another process has taken its place
 		}
 		return citronupstream.Report{}, nil
 	}
@@ -446,14 +449,15 @@
 	is.Equal(got.body, events(1, 4))
 	calls := r.engines.seen()
 	is.Equal(len(calls), 3)
-	is.Equal(calls[2].after, "3") // not moved before the engine ended
+	is.Equal(calls[2].after, "3") // not moved before the engine's process ended
 }
 
-// The first engine of a stream crashes and starts anew at its address, while
-// the connection to the one before stays silent. Its report says that it
-// started later: the run has ended, so the stream goes on elsewhere at once,
-// and that run does not count against the two that the route allows.
-func TestRunOnEarlierStartHasEnded(t *testing.T) {
+// The first engine of a stream crashes and restarts at the same address, while the
+// connection to the crashed process stays open and sends nothing. The engine's report has
+// a later start time, so the run has certainly ended. The stream must be resumed
+// elsewhere immediately, and the run must not count against the two that the route
+// allows.
+func TestRunOnRestartedEngineHasEnded(t *testing.T) {
 	is := is.New(t)
 	first := engine("m1", "a", 0, 8)
 	first.Born = 100
@@ -479,24 +483,24 @@
 	is.Equal(len(r.engines.seen()), 3)
 }
 
-// An engine in the middle of a path goes dark at the peak: it neither refuses
-// connections nor answers. The next request that is sent through it is refused
-// and the refusal names it, while the streams through it only fall silent. The
-// two signs together have to move a stream within some 150 ms: waiting until
-// the engine has not answered in time had streams pause for 0.6 to 0.9 s.
-func TestSilentStreamLeavesAccusedEngine(t *testing.T) {
+// An engine in the middle of a path hangs at peak load: it neither refuses connections
+// nor responds. The next request sent through it is refused with the engine named as the
+// cause (the engine is accused), while running streams through it only stall. The two
+// signs together must move a stream within about 150 ms. When streams waited for the
+// probe to time out, they paused for 0.6 to 0.9 s.
+func TestStalledStreamLeavesAccusedEngine(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 4), engine("m2", "a", 4, 8), engine("m3", "a", 4, 8))
 	moved := make(chan struct{})
-	var dark atomic.Pointer[citronpool.Engine]
+	var hung atomic.Pointer[citronpool.Engine]
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
-		dark.Store(c.Hops[1].Engine)
+		hung.Store(c.Hops[1].Engine)
 		return stuckUntil(ctx, moved), nil
 	}
 	never := make(chan struct{})
 	t.Cleanup(func() { close(never) })
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
-		if e := dark.Load(); e != nil && addr == e.Addr {
+		if e := hung.Load(); e != nil && addr == e.Addr {
 			<-never
 		}
 		return citronupstream.Report{}, nil
@@ -506,20 +510,20 @@
 		return nil
 	}
 	go func() {
-		for dark.Load() == nil {
+		for hung.Load() == nil {
 			time.Sleep(time.Millisecond)
 		}
-		dark.Load().Accuse(time.Now()) // by a refusal of another request
+		hung.Load().Accuse(time.Now()) // as after a refusal of another request
 	}()
 	got := r.ask("stream", 5*time.Second)
-	is.Equal(got.body, events(1, 4)) // the engine's own silence is never over here
+	is.Equal(got.body, events(1, 4)) // the probe of the engine never returns in this test
 	is.Equal(len(r.engines.repaths), 1)
 }
 
-// The engine that was named is only full, or gives up layers: it answers. A
-// stream that happens to pause must not be moved for it, or all streams of a
-// full engine would have their tokens read again.
-func TestAccusedEngineThatAnswersKeepsItsStreams(t *testing.T) {
+// An accused engine that is only full or is unloading layers still responds to probes. A
+// stream through it that happens to pause must not be moved. Otherwise all streams of a
+// full engine would have their tokens processed again elsewhere.
+func TestAccusedEngineThatRespondsKeepsItsStreams(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 4), engine("m2", "a", 4, 8), engine("m3", "a", 4, 8))
 	resumed := make(chan struct{})
@@ -533,15 +537,15 @@
 	is.Equal(len(r.engines.seen()), 1)
 }
 
-// A request is refused because of an engine of its path. Other nodes are told
-// once, not for each request that meets the same engine.
-func TestRefusalIsToldOnce(t *testing.T) {
+// A request is refused because of an engine of its path. Other nodes must be notified
+// once, not for each request that is refused because of the same engine.
+func TestAccusationIsSharedOnce(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 4), engine("m2", "a", 4, 8), engine("n1", "b", 0, 8))
-	var told atomic.Int64
+	var notified atomic.Int64
 	r.Accuse = func(e *citronpool.Engine) {
 		if e.ID == "m2" {
-			told.Add(1)
+			notified.Add(1)
 		}
 	}
 	r.engines.answer = func(_ context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
@@ -553,20 +557,20 @@
 	for range 5 {
 		is.Equal(r.ask("stream", time.Second).body, events(1, 2))
 	}
-	is.Equal(told.Load(), int64(1))
+	is.Equal(notified.Load(), int64(1))
 }
 
-// A stream breaks off and is not taken up again. Whoever asks why has to be told
-// whether its attempts or the shared budget were used up: the one is meant to be,
-// the other says that engines fail faster than the budget allows for.
-func TestWhatEndedAStreamIsLogged(t *testing.T) {
+// A stream fails and is not resumed. The log must say whether its attempts or the shared
+// retry budget were used up: the former is intended, the latter means that engines fail
+// faster than the budget allows for.
+func TestLimitThatEndedStreamIsLogged(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		slack float64
 		want  string
 	}{
-		{"two attempts are allowed and fail", 200, "limit=attempts"},
-		{"nothing is left of the budget after the first", 0, "limit=budget"},
+		{"both allowed attempts fail", 200, "limit=attempts"},
+		{"the retry budget is empty after the first attempt", 0, "limit=budget"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -585,9 +589,9 @@
 	}
 }
 
-// The engine of many streams refuses them all at once, and its node borrows
-// repeats for them. What one round brings the others use up; a stream that found
-// nothing left was refused although more was to be had.
+// An engine refuses many streams at once, and the node borrows retry budget for them.
+// Other streams may use up the first loan before this stream gets a retry. It must borrow
+// again instead of being refused while other nodes still have budget to lend.
 func TestRequestBorrowsAgainWhenOthersUsedTheLoan(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("a1", "a", 0, 8), engine("a2", "a", 0, 8))
@@ -595,7 +599,7 @@
 	rounds := 0
 	r.Borrow = func(service string) bool {
 		rounds++
-		if rounds > 1 { // the first loan is gone before this stream wakes
+		if rounds > 1 { // other streams use up the first loan before this one continues
 			now := time.Now()
 			r.Budget.Borrowed(service, citronbudget.Loan{Repeats: 1, Until: now.Add(100 * time.Millisecond)}, now)
 		}
