--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -330,8 +330,8 @@
 	return keepRun
 }
 
-// repath moves the running request to path p. The engines in added get a request, so
-// those with a rate limit must have granted a permit.
+// repath moves the running request to path p. To the engines in added this is a new
+// request, so it first takes a permit for each of them that has a rate limit.
 func (s *streamJob) repath(ctx context.Context, p citronpath.Path, added []*citronpool.Engine) error {
 	for _, e := range added {
 		if !s.f.mayAdd(ctx, e) {
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -64,8 +64,9 @@
 	begun bool
 	// lastEventID is the ID of the newest event that the caller has.
 	lastEventID string
-	// lastEventAt is when the newest event was forwarded, maxPause the longest
-	// pause between events so far.
+	// lastEventAt is when the newest event was forwarded, or when the request was
+	// received if there was none. maxPause is the longest pause between events so
+	// far.
 	lastEventAt time.Time
 	maxPause    time.Duration
 	// maxPauseAfter is the ID of the event before the longest pause,
@@ -183,8 +184,8 @@
 	}
 }
 
-// permittedPath returns a path with free capacity whose engines have granted a
-// permit for the stream, or the reason why there is none.
+// permittedPath returns a path with free capacity whose engines may be sent the
+// stream under their rate limits, or the reason why there is none.
 func (s *streamJob) permittedPath(ctx context.Context) (citronpath.Path, string) {
 	for {
 		p, full, ok := s.room(ctx)
@@ -259,7 +260,8 @@
 	return false
 }
 
-// recordFinished records the metrics and log lines of a completed stream.
+// recordFinished records the metrics and log lines of a stream that was completed or
+// answered with the engine's failure response.
 func (s *streamJob) recordFinished(ctx context.Context) {
 	s.f.Metrics.Pause.Observe(s.maxPause.Seconds())
 	if s.firstEventTook > s.route.Target || s.maxPause > s.route.MaxGap {
