--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -1,14 +1,14 @@
 package citronnode
 
-// Leadership: the node that holds a key under a lease places layers. A
-// leader whose lease has ended stops giving orders.
+// Leadership: the node that holds the leader key under a lease places layers. A leader
+// whose lease has expired stops giving orders.
 //
-// While the store is away nobody can take the lease, and engines die all the
-// same. So a leader that cannot renew goes on as long as it hears most of
-// the nodes that it was elected among and none of them leads. If the store
-// only turned this node away and another was elected, gossip tells it within
-// a second; what two leaders order in that second is met by the engines'
-// order counts: an order that was meant for an earlier state is refused.
+// While the store is unavailable no node can take the lease, but engines still die. So
+// a leader that cannot renew its lease continues as long as it hears from more than
+// half of the nodes among which it was elected and no other node leads. If the store
+// rejects only this node and another node is elected, gossip reports that within a
+// second. Orders that two leaders give in that second are resolved by the order counts
+// of the engines: an engine refuses an order that was meant for an earlier state.
 
 import (
 	"context"
@@ -25,34 +25,40 @@
 
 const (
 	leaderKey = "deck/leader"
-	// renewals a lease lives through.
-	renewals = 3
-	// termPoll is how often a leader looks whether its term is over.
+	// renewalsPerLease is how many renewals a leader attempts before its lease would
+	// expire.
+	renewalsPerLease = 3
+	// termPoll is how often a leader checks whether its term is over.
 	termPoll = 100 * time.Millisecond
-	// campaignWait is how long a node waits before it looks again whether
-	// it should lead. Nodes that wait as long try one after the other.
-	campaignWait = 300 * time.Millisecond
-	// leaderCores is what a leader should have: one that is short of processor
-	// time while it places engines is deaf to the others, and loses its lease.
-	// Nodes with less let the others try first, for weakWait.
-	leaderCores = 0.3
-	weakWait    = 700 * time.Millisecond
+	// campaignInterval is the mean wait before a node checks again whether it should
+	// campaign. The wait is random, so that nodes campaign one after the other.
+	campaignInterval = 300 * time.Millisecond
+	// minLeaderCores is the processor time, in cores, that a leader should have. A
+	// leader short of processor time does not hear the other nodes while it places
+	// layers, and loses its lease. Nodes with less delay their campaign by lowCPUDelay,
+	// so that others go first.
+	minLeaderCores = 0.3
+	lowCPUDelay    = 700 * time.Millisecond
 )
 
-// weak reports whether a node should leave to others what a few do for all.
-func (s Settings) weak() bool { return s.Cores > 0 && s.Cores < leaderCores }
+// weak reports whether a node has too little processor time for tasks that a few nodes
+// do for all.
+func (s Settings) weak() bool { return s.Cores > 0 && s.Cores < minLeaderCores }
 
-// errHeld means that the key of the leader is held.
-var errHeld = errors.New("another node leads")
+// errHeld means that another node holds the leader key.
+var errHeld = errors.New("leader key is held by another node")
 
+// lead campaigns for the leader key whenever no leader is known, and leads while this
+// node holds it, until ctx ends or the node leaves. If the store is unavailable, the
+// node that ranks first becomes the acting leader.
 func (n *Node) lead(ctx context.Context) {
 	for ctx.Err() == nil && !n.leaving.Load() {
-		_ = n.clock.Sleep(ctx, campaignWait/2+rand.N(campaignWait))
+		_ = n.clock.Sleep(ctx, campaignInterval/2+rand.N(campaignInterval))
 		if n.leaderKnown() {
 			continue
 		}
 		if n.set.weak() {
-			_ = n.clock.Sleep(ctx, weakWait)
+			_ = n.clock.Sleep(ctx, lowCPUDelay)
 			if n.leaderKnown() {
 				continue
 			}
@@ -62,24 +68,25 @@
 		case err == nil:
 			n.serveTerm(ctx, t)
 		case !errors.Is(err, errHeld):
-			if n.first() && n.noLeaderFor() > n.set.LeaseTTL/2 {
-				n.standIn(ctx)
+			if n.ranksFirst() && n.leaderlessFor() > n.set.LeaseTTL/2 {
+				n.actAsLeader(ctx)
 			}
 		}
 	}
 }
 
-// first reports whether this node comes before all nodes that it hears, and
-// hears others at all. A node cut off from all does not lead.
-func (n *Node) first() bool {
+// ranksFirst reports whether this node ranks before all ready nodes that it hears from.
+// It is false while the node hears from no others: a node that is cut off does not
+// lead.
+func (n *Node) ranksFirst() bool {
 	s := n.snap.Load()
 	return len(s.members) > 0 && !slices.ContainsFunc(s.members, func(m citronpeer.Member) bool {
 		return m.Ready && !m.Leaving && m.Before(s.self)
 	})
 }
 
-// noLeaderFor is how long this node has heard of no leader.
-func (n *Node) noLeaderFor() time.Duration {
+// leaderlessFor returns how long this node has known of no leader.
+func (n *Node) leaderlessFor() time.Duration {
 	since := n.leaderless.Load()
 	if since == nil {
 		now := n.clock.Now()
@@ -89,11 +96,11 @@
 	return n.clock.Now().Sub(*since)
 }
 
-// standIn places layers without a lease: the leader died while the store was
-// away, so that nobody can take the lease, and an engine's hole would stay
-// open until the store is back. It ends when the store answers or another
-// node leads.
-func (n *Node) standIn(ctx context.Context) {
+// actAsLeader places layers without a lease, as the acting leader. It runs when the
+// leader died while the store was unavailable: no node can take the lease then, and the
+// layers of a dead engine would stay unserved until the store is back. It ends when the
+// store answers or another node leads.
+func (n *Node) actAsLeader(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	citronevent.Log(ctx, n.log, citronevent.LeaderStandsIn, "members", len(n.snap.Load().members))
@@ -105,14 +112,14 @@
 		if err == nil || errors.Is(err, citronkv.ErrNotFound) {
 			break
 		}
-		_ = n.clock.Sleep(ctx, campaignWait)
+		_ = n.clock.Sleep(ctx, campaignInterval)
 	}
 	cancel()
 	wait()
 }
 
-// leaderKnown reports whether another node says that it leads. Only when
-// none does is the store asked.
+// leaderKnown reports whether another node declares itself the leader. The store is
+// asked only if none does.
 func (n *Node) leaderKnown() bool {
 	for _, m := range n.snap.Load().members {
 		if m.Leads && !m.Leaving {
@@ -123,14 +130,16 @@
 	return false
 }
 
-// term is the leadership of a node: the lease, and the store's era in which it
-// was granted. A lease ends with its era.
+// term is a node's time as the leader: the lease, and the era in which the store
+// granted it. The era is the number of times the store has been restored from an older
+// copy. A lease ends with its era.
 type term struct {
 	lease citronkv.LeaseID
 	era   int64
 }
 
-// campaign takes the key if it is free.
+// campaign takes the leader key if it is free. It returns errHeld if another node holds
+// it.
 func (n *Node) campaign(ctx context.Context) (term, error) {
 	_, err := n.src.Store.Get(ctx, leaderKey)
 	if err == nil {
@@ -147,67 +156,73 @@
 	if err == nil {
 		return term{lease, rev.Era()}, nil
 	}
-	_ = n.src.Store.Revoke(ctx, lease) // it ends by itself otherwise
+	_ = n.src.Store.Revoke(ctx, lease) // if this fails, the lease expires
 	if errors.Is(err, citronkv.ErrConflict) {
 		return term{}, errHeld
 	}
 	return term{}, err
 }
 
-// serveTerm places layers while the lease is renewed in time.
+// serveTerm places layers while the lease is renewed in time. A leader that cannot
+// reach the store continues as described at the head of this file.
 func (n *Node) serveTerm(ctx context.Context, t term) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	citronevent.Log(ctx, n.log, citronevent.LeaderElected, "lease", t.lease, "era", t.era)
 	n.leads.Store(true)
 	defer n.leads.Store(false)
-	var stop func()
-	renewed := n.clock.Now()
-	askedAt := renewed
-	among := len(n.snap.Load().members) + 1
+	var waitPlacing func()
+	lastRenewed := n.clock.Now()
+	lastAttempt := lastRenewed
+	electedAmong := len(n.snap.Load().members) + 1
 	for !n.leaving.Load() && ctx.Err() == nil && n.storeEra() <= t.era {
-		if stop == nil && n.earlierLeasesEnded(t) {
-			stop = n.startPlacing(ctx)
+		if waitPlacing == nil && n.earlierLeasesEnded(t) {
+			waitPlacing = n.startPlacing(ctx)
 		}
 		_ = n.clock.Sleep(ctx, termPoll)
-		if n.clock.Now().Sub(askedAt) < n.set.LeaseTTL/(renewals+1) {
+		if n.clock.Now().Sub(lastAttempt) < n.set.LeaseTTL/(renewalsPerLease+1) {
 			continue
 		}
-		askedAt = n.clock.Now()
+		lastAttempt = n.clock.Now()
 		err := n.renew(ctx, t.lease)
 		if err == nil {
-			renewed = askedAt
+			lastRenewed = lastAttempt
 			continue
 		}
-		if errors.Is(err, citronkv.ErrLeaseExpired) || n.leaderKnown() || 2*(len(n.snap.Load().members)+1) <= among && among > 1 {
-			citronevent.Log(ctx, n.log, citronevent.LeaderResigned, "lease", t.lease, "era", t.era, "age", n.clock.Now().Sub(renewed), "heard", len(n.snap.Load().members), "err", err)
+		if errors.Is(err, citronkv.ErrLeaseExpired) || n.leaderKnown() || 2*(len(n.snap.Load().members)+1) <= electedAmong && electedAmong > 1 {
+			citronevent.Log(ctx, n.log, citronevent.LeaderResigned, "lease", t.lease, "era", t.era, "age", n.clock.Now().Sub(lastRenewed), "heard", len(n.snap.Load().members), "err", err)
 			break
 		}
 	}
 	cancel()
-	if stop != nil {
-		stop()
+	if waitPlacing != nil {
+		waitPlacing()
 	}
-	end, done := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
+	revokeCtx, done := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer done()
-	_ = n.src.Store.Revoke(end, t.lease) // it ends by itself otherwise
+	_ = n.src.Store.Revoke(revokeCtx, t.lease) // if this fails, the lease expires
 }
 
+// renew renews the lease. It waits for the store for at most half of the lease's time
+// to live.
 func (n *Node) renew(ctx context.Context, lease citronkv.LeaseID) error {
 	limit, done := context.WithTimeout(ctx, n.set.LeaseTTL/2)
 	defer done()
 	return n.src.Store.KeepAlive(limit, lease)
 }
 
-// earlierLeasesEnded reports whether no node can lead any more under a lease of an
-// era before: by then it has heard of the new era from the others, or lost them. A
-// leader whose store returned would otherwise give orders beside the next.
+// earlierLeasesEnded reports whether no node can still lead under a lease of an earlier
+// era. That holds if this node saw the era begin at least one lease lifetime ago, or
+// did not see it begin: an earlier leader has then heard of the new era from other
+// nodes, or has lost contact with them. Without this wait, a leader elected before the
+// store was restored would give orders alongside the next leader.
 func (n *Node) earlierLeasesEnded(t term) bool {
 	s := n.snap.Load()
 	return s.list.Revision.Era() == t.era && n.clock.Now().Sub(s.eraAt) >= n.set.LeaseTTL
 }
 
-// startPlacing places layers until ctx ends; the result waits for that.
+// startPlacing places layers until ctx ends. The returned function waits until placing
+// has stopped.
 func (n *Node) startPlacing(ctx context.Context) (wait func()) {
 	n.places.Store(true)
 	p := &citronplacer.Placer{Orders: n.src.Orders, Clock: n.clock, Log: n.log, Current: n.placement}
@@ -225,7 +240,7 @@
 	}
 }
 
-// placement is what layers are placed by, nil before there is any.
+// placement returns the state by which layers are placed, or nil before there is one.
 func (n *Node) placement() *citronplacer.State {
 	s := n.snap.Load()
 	if s.traffic == nil {
