--- a/citronnode/accuse.go
+++ b/citronnode/accuse.go
@@ -1,12 +1,13 @@
 package citronnode
 
-// Accusations: an engine that refuses a request because of another names it.
+// Accusations: an engine that refuses a request because of another engine names that
+// engine, the accused.
 //
-// The load it answers: an engine in the middle of a path dies at the peak. The
-// next request that is sent through it is refused within a few milliseconds,
-// while the streams that run through it only fall silent, and each node would
-// have to learn it by a refusal of its own. So the node that is refused first
-// tells those that may use the engine, in one message each.
+// Accusations limit the damage when an engine in the middle of a path dies at peak
+// load. The next request through it is refused within a few milliseconds, while the
+// streams that run through it only stall, and each node would have to learn of the
+// death by a refusal of its own. So the first node that gets a refusal tells the nodes
+// that may use the engine, in one message each.
 
 import (
 	"context"
@@ -17,38 +18,40 @@
 )
 
 const (
-	// accuseGap is the least time between two sendings. Each goes to a zone's
-	// nodes or two.
-	accuseGap = 20 * time.Millisecond
+	// minAccuseGap is the minimum time between two rounds of accusations. Each round
+	// goes to the nodes of one or two zones.
+	minAccuseGap = 20 * time.Millisecond
 )
 
-// Accuse tells the nodes of this zone and of the engine's that the engine was
-// named in a refusal. It must not wait: a request is being answered.
+// Accuse tells the nodes of this node's zone, the nodes of the engine's zone and the
+// leader that a refusal named the engine. It does not block, because a request is being
+// answered. Accusations within minAccuseGap of the last one are dropped.
 func (n *Node) Accuse(e *citronpool.Engine) {
 	now := n.clock.Now()
 	last := n.accused.Load()
-	if last != nil && now.Sub(*last) < accuseGap || !n.accused.CompareAndSwap(last, &now) {
+	if last != nil && now.Sub(*last) < minAccuseGap || !n.accused.CompareAndSwap(last, &now) {
 		return
 	}
 	s := n.snap.Load()
-	news := s.news()
-	news.Accused = []string{e.ID}
+	update := s.update()
+	update.Accused = []string{e.ID}
 	for _, m := range s.members {
 		if m.Zone == n.set.Zone || m.Zone == e.Zone || m.Leads {
-			go n.accuse(m.Peer, news)
+			go n.sendAccusation(m.Peer, update)
 		}
 	}
 }
 
-func (n *Node) accuse(addr string, news citronpeer.Knowledge) {
+// sendAccusation sends an accusation to the node at addr and merges its answer.
+func (n *Node) sendAccusation(addr string, update citronpeer.Knowledge) {
 	ctx := context.Background()
-	if theirs, err := n.peers.News(ctx, addr, news); err == nil {
-		n.learn(ctx, theirs)
-	} // one that does not hear it learns it from its own requests
+	if theirs, err := n.peers.News(ctx, addr, update); err == nil {
+		n.merge(ctx, theirs)
+	} // a node that this message does not reach learns it from its own requests
 }
 
-// hearAccused takes another node's word.
-func (n *Node) hearAccused(ids []string) {
+// applyAccused marks the engines that another node accused.
+func (n *Node) applyAccused(ids []string) {
 	t := n.snap.Load().traffic
 	if t == nil {
 		return
--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -1,10 +1,11 @@
 package citronnode
 
-// What is barred lasts in the store. Nodes keep it in memory, and tell one that
-// starts; when all of them start at once, a request would have to crash three more
-// engines to be barred again. The node that saw the last crash writes the record,
-// under a lease that ends when the record has no more use; those that watch the
-// store read all records when they start.
+// Quarantined requests are kept in the store. Nodes hold the quarantine in memory and
+// pass it on to a node that starts. If all of them restarted at once without the store,
+// a request would have to crash three more engines before it is quarantined again. The
+// node that saw the last crash writes the record, under a lease that expires when the
+// record is no longer needed. The nodes that watch the store read all records at
+// startup.
 
 import (
 	"context"
@@ -18,24 +19,27 @@
 )
 
 const (
-	// barredPrefix is where the records are.
-	barredPrefix = "deck/barred/"
-	// barredTTL is how long they last; the store gives no longer lease.
-	barredTTL = 10 * time.Minute
+	// quarantinePrefix is the key prefix of the records in the store.
+	quarantinePrefix = "deck/barred/"
+	// quarantineTTL is the lifetime of a record. It is the longest lease that the store
+	// grants.
+	quarantineTTL = 10 * time.Minute
 )
 
-// barredRecord is a record as it lies in the store.
-type barredRecord struct {
-	Crashes []barredCrash `json:"crashes"`
+// quarantineRecord is the stored form of a quarantine record.
+type quarantineRecord struct {
+	Crashes []quarantineCrash `json:"crashes"`
 }
 
-type barredCrash struct {
+// quarantineCrash is an engine crash in such a record.
+type quarantineCrash struct {
 	Engine  uint64 `json:"engine"`
 	UnixMS  int64  `json:"unixMs"`
 	Refuted bool   `json:"refuted,omitempty"`
 }
 
-// keepBarred writes records to the store as they change.
+// keepBarred writes quarantine records to the store when they change, until ctx ends.
+// After a failed write it tries again after retryMost.
 func (n *Node) keepBarred(ctx context.Context) {
 	for {
 		select {
@@ -44,7 +48,7 @@
 		case <-n.barredNews:
 		}
 		for _, e := range n.quarantine.Dirty() {
-			if err := n.saveBarred(ctx, e); err != nil {
+			if err := n.saveQuarantined(ctx, e); err != nil {
 				citronevent.Log(ctx, n.log, citronevent.BarredUnsaved, "print", e.Print, "err", err)
 				time.AfterFunc(retryMost, func() { wake(n.barredNews) })
 				break
@@ -54,54 +58,56 @@
 	}
 }
 
-func (n *Node) saveBarred(ctx context.Context, e citronquarantine.Entry) error {
-	var r barredRecord
+// saveQuarantined writes a record to the store under a lease of quarantineTTL.
+func (n *Node) saveQuarantined(ctx context.Context, e citronquarantine.Entry) error {
+	var r quarantineRecord
 	for _, c := range e.Crashes() {
-		r.Crashes = append(r.Crashes, barredCrash{Engine: c.Engine, UnixMS: c.At.UnixMilli(), Refuted: c.Refuted})
+		r.Crashes = append(r.Crashes, quarantineCrash{Engine: c.Engine, UnixMS: c.At.UnixMilli(), Refuted: c.Refuted})
 	}
 	text, err := json.Marshal(r)
 	if err != nil {
-		return errors.Wrap(err, "write record")
+		return errors.Wrap(err, "encode quarantine record")
 	}
-	lease, err := n.src.Store.Grant(ctx, barredTTL)
+	lease, err := n.src.Store.Grant(ctx, quarantineTTL)
 	if err != nil {
-		return errors.Wrap(err, "lease of a record")
+		return errors.Wrap(err, "grant lease for quarantine record")
 	}
-	_, err = n.src.Store.Put(ctx, barredPrefix+e.Print.String(), text, citronkv.AnyRevision, lease)
-	return errors.Wrap(err, "put record")
+	_, err = n.src.Store.Put(ctx, quarantinePrefix+e.Print.String(), text, citronkv.AnyRevision, lease)
+	return errors.Wrap(err, "put quarantine record")
 }
 
-// readBarred takes what nodes have left in the store.
+// readBarred merges the quarantine records in the store.
 func (n *Node) readBarred(ctx context.Context) error {
-	items, _, err := n.src.Store.Range(ctx, barredPrefix)
+	items, _, err := n.src.Store.Range(ctx, quarantinePrefix)
 	if err != nil {
-		return errors.Wrap(err, "read records")
+		return errors.Wrap(err, "read quarantine records")
 	}
 	var entries []citronquarantine.Entry
-	for _, it := range items {
-		e, err := decodeBarred(it, n.clock.Now())
+	for _, item := range items {
+		e, err := decodeQuarantined(item, n.clock.Now())
 		if err != nil {
 			n.rejectSuspects(ctx, sourceStore, err)
 			continue
 		}
 		entries = append(entries, e)
 	}
-	n.learnEntries(ctx, sourceStore, entries)
+	n.mergeRecords(ctx, sourceStore, entries)
 	return nil
 }
 
-// decodeBarred reads a record. The clock of the node that wrote it may be ahead.
-func decodeBarred(it citronkv.Item, now time.Time) (citronquarantine.Entry, error) {
+// decodeQuarantined decodes a record. A crash time in the future becomes the present,
+// because the clock of the node that wrote the record may be ahead.
+func decodeQuarantined(item citronkv.Item, now time.Time) (citronquarantine.Entry, error) {
 	var e citronquarantine.Entry
-	if err := e.Print.UnmarshalText([]byte(it.Key[len(barredPrefix):])); err != nil {
+	if err := e.Print.UnmarshalText([]byte(item.Key[len(quarantinePrefix):])); err != nil {
 		return e, err
 	}
-	var r barredRecord
-	if err := json.Unmarshal(it.Value, &r); err != nil {
-		return e, errors.Wrapf(err, "record at %s", it.Key)
+	var r quarantineRecord
+	if err := json.Unmarshal(item.Value, &r); err != nil {
+		return e, errors.Wrapf(err, "decode quarantine record at %s", item.Key)
 	}
 	if len(r.Crashes) > citronquarantine.MostCrashes {
-		return e, errors.Newf("record of %d crashes at %s", len(r.Crashes), it.Key)
+		return e, errors.Newf("quarantine record at %s has %d crashes, the maximum is %d", item.Key, len(r.Crashes), citronquarantine.MostCrashes)
 	}
 	for _, c := range r.Crashes {
 		at := now.Add(-max(0, now.Sub(time.UnixMilli(c.UnixMS))))
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -1,8 +1,8 @@
 package citronnode
 
-// Gossip: exchanges with other nodes. Each gets what the other knows newer of
-// the nodes, and whoever has the older document gets the newer one: the
-// configuration whole, the list of engines as the changes since the other's
+// Gossip: periodic exchanges with other nodes. Each side receives the members that the
+// other knows in a newer state. The side with the older document receives the newer
+// one: the configuration in full, the list of engines as the changes since that side's
 // revision.
 
 import (
@@ -19,68 +19,71 @@
 )
 
 const (
-	// gossipEvery and fanout set how news spreads: to one node of the own
-	// zone, and now and then one of another, each round.
-	gossipEvery = 400 * time.Millisecond
-	fanout      = 2
-	// farNodes is how many nodes of a zone ask one of another zone in each
-	// round, on average: what comes from there reaches the rest of the zone
-	// within two or three rounds. Were all of a zone's nodes to ask, the bytes
-	// between zones would grow with the nodes and not with the zones.
-	farNodes = 6
-	// newsGap is the least time between two sendings of news: when many
-	// engines come or go at once, their news goes together.
-	newsGap = 60 * time.Millisecond
-	// exchangeTimeout bounds one exchange; a node that is well answers
-	// within milliseconds.
+	// gossipInterval is the mean time between two rounds of gossip. In each round a
+	// node contacts a node of its own zone and, now and then, one of another zone. A
+	// node that knows fewer than fanout others also contacts its seeds.
+	gossipInterval = 400 * time.Millisecond
+	fanout         = 2
+	// crossZoneNodes is how many nodes of a zone contact a node of another zone in each
+	// round, on average. An update from another zone reaches the rest of the zone
+	// within two or three rounds. If all nodes of a zone did so, the bytes between
+	// zones would grow with the number of nodes instead of the number of zones.
+	crossZoneNodes = 6
+	// minUpdateGap is the minimum time between an update and the one before it. When
+	// many engines come or go at once, one update covers them together. Alarms don't
+	// wait for it.
+	minUpdateGap = 60 * time.Millisecond
+	// exchangeTimeout bounds one exchange. A healthy node answers within milliseconds.
 	exchangeTimeout = 500 * time.Millisecond
 )
 
-// gossip exchanges knowledge with a few other nodes at a time.
+// gossip exchanges gossip state with a few nodes per round and sends updates between
+// the rounds, until ctx ends.
 func (n *Node) gossip(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var last time.Time
+	var lastSent time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-n.news:
-			_ = n.clock.Sleep(ctx, newsGap-n.clock.Now().Sub(last))
-			n.sendNews(ctx, n.partners())
-			last = n.clock.Now()
+			_ = n.clock.Sleep(ctx, minUpdateGap-n.clock.Now().Sub(lastSent))
+			n.sendUpdate(ctx, n.partners())
+			lastSent = n.clock.Now()
 		case <-n.alarms:
-			n.sendNews(ctx, append(n.leaders(), n.partners()...))
-			last = n.clock.Now()
+			n.sendUpdate(ctx, append(n.leaders(), n.partners()...))
+			lastSent = n.clock.Now()
 		case <-timer.C:
 			for _, addr := range n.partners() {
 				go n.exchange(ctx, addr)
 			}
-			timer.Reset(gossipEvery/2 + rand.N(gossipEvery))
+			timer.Reset(gossipInterval/2 + rand.N(gossipInterval))
 		}
 	}
 }
 
-// sendNews tells a few nodes which documents this one has, and of itself. Those
-// that lack one fetch it (puller) and tell others in turn, so that news goes
-// through the fleet in steps of newsGap without the members of the whole fleet
-// in each message: when all nodes hear of dying engines at once, those would
-// take a leader's whole processor, and it would call sound engines dead.
-func (n *Node) sendNews(ctx context.Context, addrs []string) {
+// sendUpdate tells a few nodes which document versions this node has, along with its
+// own member state. A node that lacks a version fetches it (see puller) and tells
+// others in turn, so an update crosses the fleet in steps of minUpdateGap, and no
+// message carries the members of the whole fleet. When all nodes learn of dying engines
+// at once, such messages would use up the leader's processor time, and the leader would
+// declare healthy engines dead.
+func (n *Node) sendUpdate(ctx context.Context, addrs []string) {
 	for _, addr := range addrs {
 		go n.fetch(ctx, addr)
 	}
 }
 
-// fetch sends this node's news to another, and takes the documents that the
-// other has newer.
+// fetch sends this node's update to the node at addr and merges the newer documents in
+// its answer.
 func (n *Node) fetch(ctx context.Context, addr string) {
-	n.give(ctx, addr, n.snap.Load().news())
+	n.push(ctx, addr, n.snap.Load().update())
 }
 
-// give sends another node what this one tells, and takes what the other has
-// newer.
-func (n *Node) give(ctx context.Context, addr string, k citronpeer.Knowledge) {
+// push sends k to the node at addr, completed with the recent suspects and rate limits,
+// and merges what the node answers.
+func (n *Node) push(ctx context.Context, addr string, k citronpeer.Knowledge) {
 	if k.Suspects == nil {
 		k.Suspects = n.recentSuspects()
 	}
@@ -92,25 +95,27 @@
 		citronevent.Log(ctx, n.log, citronevent.GossipFailed, "peer", addr, "err", err)
 		return
 	}
-	n.learn(ctx, theirs)
+	n.merge(ctx, theirs)
 }
 
-// news is what this node tells of itself.
-func (s *snapshot) news() citronpeer.Knowledge {
+// update returns this node's own member state and the versions of its documents.
+func (s *snapshot) update() citronpeer.Knowledge {
 	return citronpeer.Knowledge{
 		From: s.self, Config: citronpeer.ConfigDocument{Version: s.config.Version}, Engines: citronpeer.ListDocument{Revision: s.list.Revision},
 	}
 }
 
-// all is what this node tells of itself and of which others it knows.
-func (s *snapshot) all() citronpeer.Knowledge {
-	k := s.news()
+// gossipState returns the update of this node, the digest of the members that it knows,
+// and the zone totals.
+func (s *snapshot) gossipState() citronpeer.Knowledge {
+	k := s.update()
 	k.Digest = s.roster.Digest()
 	k.Sums = s.sums
 	return k
 }
 
-// leaders are the nodes that place layers, which repair what is found dead.
+// leaders returns the addresses of the nodes that place layers. They repair the layer
+// ranges of engines that are found dead.
 func (n *Node) leaders() []string {
 	var addrs []string
 	for _, m := range n.snap.Load().members {
@@ -121,29 +126,29 @@
 	return addrs
 }
 
-// partners draws the nodes to ask: a few that are known, or the seeds while
-// none is.
+// partners picks the nodes to contact in a round: a few random known nodes, or the
+// seeds while too few nodes are known.
 func (n *Node) partners() []string {
 	s := n.snap.Load()
-	var near, far []string
+	var sameZone, otherZones []string
 	for _, m := range s.members {
 		if m.Zone == n.set.Zone {
-			near = append(near, m.Peer)
+			sameZone = append(sameZone, m.Peer)
 		} else {
-			far = append(far, m.Peer)
+			otherZones = append(otherZones, m.Peer)
 		}
 	}
 	var addrs []string
-	if len(near) > 0 {
-		addrs = append(addrs, near[rand.IntN(len(near))])
+	if len(sameZone) > 0 {
+		addrs = append(addrs, sameZone[rand.IntN(len(sameZone))])
 	}
-	if len(far) > 0 && rand.IntN(len(near)+1) < farNodes {
-		addrs = append(addrs, far[rand.IntN(len(far))])
+	if len(otherZones) > 0 && rand.IntN(len(sameZone)+1) < crossZoneNodes {
+		addrs = append(addrs, otherZones[rand.IntN(len(otherZones))])
 	}
-	if len(near)+len(far) < fanout {
+	if len(sameZone)+len(otherZones) < fanout {
 		return append(addrs, n.seeds()...)
 	}
-	if rand.IntN(len(near)+len(far)+1) < seedNodes {
+	if rand.IntN(len(sameZone)+len(otherZones)+1) < seedNodes {
 		if seeds := n.seeds(); len(seeds) > 0 {
 			addrs = append(addrs, seeds[rand.IntN(len(seeds))])
 		}
@@ -151,8 +156,8 @@
 	return addrs
 }
 
-// seeds are the addresses of the settings and one of those in the store, but
-// this node's own.
+// seeds returns the seed addresses from the settings and one address registered in the
+// store, without this node's own address.
 func (n *Node) seeds() []string {
 	seeds := slices.Clone(n.set.Seeds)
 	if found := n.registered.Load(); found != nil && len(*found) > 0 {
@@ -161,17 +166,17 @@
 	return slices.DeleteFunc(seeds, func(a string) bool { return a == n.set.Peer })
 }
 
-// seedNodes is how many of all nodes also ask a seed in each round, on average,
-// so that two halves of a fleet that lost each other meet again. A fixed part
-// of the nodes would be too many for the few seeds of a large fleet: they are
-// nodes as small as the others.
+// seedNodes is how many nodes of the fleet also contact a seed in each round, on
+// average, so that two halves of a fleet that lost each other meet again. A fixed share
+// of the nodes would overload the few seeds of a large fleet, which are no larger than
+// the other nodes.
 const seedNodes = 3
 
-// exchange takes from another node what that one knows newer, and then gives
-// it what it asks for.
+// exchange merges what the node at addr knows in a newer state, and then sends it the
+// items that it requests.
 func (n *Node) exchange(ctx context.Context, addr string) {
 	s := n.snap.Load()
-	k := s.all()
+	k := s.gossipState()
 	k.SuspectSum, k.LimitSum = n.quarantine.Sum(), n.limits.Sum()
 	theirs, err := n.peers.Exchange(ctx, addr, k)
 	n.settling.exchanged(k.Digest, theirs.Digest, err)
@@ -179,12 +184,12 @@
 		citronevent.Log(ctx, n.log, citronevent.GossipFailed, "peer", addr, "err", err)
 		return
 	}
-	n.learn(ctx, theirs)
+	n.merge(ctx, theirs)
 	same, sameLimits := theirs.SuspectSum == n.quarantine.Sum(), theirs.LimitSum == n.limits.Sum()
 	if theirs.Wants.Empty() && same && sameLimits {
 		return
 	}
-	k = s.news()
+	k = s.update()
 	k.Diff = s.roster.Wanted(theirs.Wants)
 	if !same {
 		k.Suspects = n.allSuspects()
@@ -192,12 +197,12 @@
 	if !sameLimits {
 		k.Limits = n.limits.All()
 	}
-	n.give(ctx, addr, k)
+	n.push(ctx, addr, k)
 }
 
-// withBodies adds to the delta gossiped to a peer the documents that the other
-// has older.
-func (s *snapshot) withBodies(k, other citronpeer.Knowledge) (citronpeer.Knowledge, error) {
+// withDocuments adds to k the bodies of the documents of which the peer, described by
+// other, has an older version.
+func (s *snapshot) withDocuments(k, other citronpeer.Knowledge) (citronpeer.Knowledge, error) {
 	if other.Config.Version < s.config.Version {
 		k.Config = s.config
 	}
@@ -206,16 +211,17 @@
 	return k, err
 }
 
-// answerer is this node's side of what others begin.
+// answerer answers the calls of other nodes.
 type answerer struct{ n *Node }
 
-// Exchange implements citronpeer.Answerer.
+// Exchange implements citronpeer.Answerer. It answers with this node's gossip state and
+// what the peer lacks, and names the items missing here.
 func (a answerer) Exchange(theirs citronpeer.Knowledge) citronpeer.Knowledge {
 	s := a.n.snap.Load()
-	k := s.all()
-	near := theirs.From.Zone == s.self.Zone
-	k.Diff = s.roster.Diff(theirs.Digest, near)
-	k.Wants = s.roster.Wants(theirs.Digest, near)
+	k := s.gossipState()
+	sameZone := theirs.From.Zone == s.self.Zone
+	k.Diff = s.roster.Diff(theirs.Digest, sameZone)
+	k.Wants = s.roster.Wants(theirs.Digest, sameZone)
 	k.SuspectSum = a.n.quarantine.Sum()
 	if theirs.SuspectSum != k.SuspectSum {
 		k.Suspects = a.n.allSuspects()
@@ -224,74 +230,76 @@
 	if theirs.LimitSum != k.LimitSum {
 		k.Limits = a.n.limits.All()
 	}
-	return a.n.answer(s, k, theirs)
+	return a.n.respond(s, k, theirs)
 }
 
-// News implements citronpeer.Answerer.
+// News implements citronpeer.Answerer. It takes a peer's update and answers with this
+// node's own.
 func (a answerer) News(theirs citronpeer.Knowledge) citronpeer.Knowledge {
 	s := a.n.snap.Load()
-	return a.n.answer(s, s.news(), theirs)
+	return a.n.respond(s, s.update(), theirs)
 }
 
-// answer takes what another node tells and returns what this one tells it, with
-// the documents that the other lacks.
-func (n *Node) answer(s *snapshot, k, theirs citronpeer.Knowledge) citronpeer.Knowledge {
+// respond merges the message of another node and returns k, completed with the
+// documents that the peer lacks.
+func (n *Node) respond(s *snapshot, k, theirs citronpeer.Knowledge) citronpeer.Knowledge {
 	ctx := context.Background()
-	n.hearAccused(theirs.Accused)
+	n.applyAccused(theirs.Accused)
 	if k.Suspects == nil {
 		k.Suspects = n.recentSuspects()
 	}
 	if k.Limits == nil {
 		k.Limits = n.limits.Recent()
 	}
-	n.learn(ctx, theirs)
-	if theirs.From.Peer != "" && s.lacks(theirs) {
-		n.pull.from(ctx, n, theirs.From.Peer, theirs)
+	n.merge(ctx, theirs)
+	if theirs.From.Peer != "" && s.isBehind(theirs) {
+		n.pull.enqueue(ctx, n, theirs.From.Peer, theirs)
 	}
-	k, err := s.withBodies(k, theirs)
+	k, err := s.withDocuments(k, theirs)
 	if err != nil {
-		// Items are plain values; the other node asks again.
+		// Encoding plain values does not fail. If it does, the peer asks again.
 		citronevent.Log(ctx, n.log, citronevent.EngineRejected, "key", "exchange", "err", err)
 	}
 	return k
 }
 
-// lacks reports whether another node has a newer document.
-func (s *snapshot) lacks(theirs citronpeer.Knowledge) bool {
+// isBehind reports whether the peer's message names a newer version of a document.
+func (s *snapshot) isBehind(theirs citronpeer.Knowledge) bool {
 	return theirs.Config.Version > s.config.Version || theirs.Engines.Revision.After(s.list.Revision)
 }
 
-// puller fetches documents one after the other. Many nodes tell of the same
-// version at once; one of them is asked, and while it is, only the newest
-// offer is remembered.
+// puller fetches documents one after the other. Many nodes announce the same version at
+// once. The puller fetches it from one of them and meanwhile remembers only the newest
+// other offer.
 type puller struct {
-	mu   sync.Mutex
-	busy bool
-	addr string
-	has  citronpeer.Knowledge
+	mu      sync.Mutex
+	busy    bool
+	addr    string
+	offered citronpeer.Knowledge
 }
 
-// from has the documents fetched that the node at addr has.
-func (p *puller) from(ctx context.Context, n *Node, addr string, has citronpeer.Knowledge) {
+// enqueue starts fetching the documents offered by the node at addr, or remembers the
+// offer if it is newer than the current one.
+func (p *puller) enqueue(ctx context.Context, n *Node, addr string, offered citronpeer.Knowledge) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy && has.Config.Version <= p.has.Config.Version && !has.Engines.Revision.After(p.has.Engines.Revision) {
+	if p.busy && offered.Config.Version <= p.offered.Config.Version && !offered.Engines.Revision.After(p.offered.Engines.Revision) {
 		return
 	}
-	p.addr, p.has = addr, has
+	p.addr, p.offered = addr, offered
 	if !p.busy {
 		p.busy = true
 		go p.run(ctx, n)
 	}
 }
 
-// run fetches until this node has what was offered, or the offers are used up.
+// run fetches until this node has what was offered, or no offer is left.
 func (p *puller) run(ctx context.Context, n *Node) {
 	for {
 		p.mu.Lock()
-		addr, has := p.addr, p.has
+		addr, offered := p.addr, p.offered
 		p.addr = ""
-		if addr == "" || !n.snap.Load().lacks(has) {
+		if addr == "" || !n.snap.Load().isBehind(offered) {
 			p.busy = false
 			p.mu.Unlock()
 			return
@@ -301,14 +309,17 @@
 	}
 }
 
-// mostErasAhead is how many times the store may have come back from a copy since
-// this node last heard of its list. Taken from a node that tells of more, all lists
-// that follow would be old news.
-const mostErasAhead = 16
+// maxErasAhead is how many eras a list may be ahead of this node's. The era is the
+// number of times the store has been restored from an older copy, and the high part of
+// a revision. If a node accepted a list of an impossibly high era, it would treat all
+// later lists as outdated.
+const maxErasAhead = 16
 
-func (n *Node) learn(ctx context.Context, k citronpeer.Knowledge) {
+// merge applies a message of another node: it merges suspects and rate limits, and passes
+// members and documents on to the control loop.
+func (n *Node) merge(ctx context.Context, k citronpeer.Knowledge) {
 	n.mergeSuspects(ctx, k.From.Name, k.Suspects)
-	n.learnLimits(ctx, k.From.Name, k.Limits)
+	n.mergeLimits(ctx, k.From.Name, k.Limits)
 	n.send(ctx, membersSeen{from: k.From, told: k.Diff, digest: k.Digest, sums: k.Sums})
 	if len(k.Config.Body) > 0 {
 		n.offerConfig(ctx, k.Config.Version, k.Config.Body, sourceNode)
@@ -316,7 +327,7 @@
 	if len(k.Engines.Body) == 0 {
 		return
 	}
-	if own := n.storeEra(); k.Engines.Revision.Era() > own+mostErasAhead && !n.snap.Load().list.Revision.IsZero() {
+	if own := n.storeEra(); k.Engines.Revision.Era() > own+maxErasAhead && !n.snap.Load().list.Revision.IsZero() {
 		citronevent.Log(ctx, n.log, citronevent.EngineRejected, "key", "exchange", "peer", k.From.Name, "revision", k.Engines.Revision.String(), "era", own)
 		return
 	}
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -1,7 +1,7 @@
 package citronnode
 
-// Rate limits of engines: what other nodes are told of them, and the permits without
-// which nothing is sent to an engine that names one.
+// Rate limits of engines: how nodes tell each other of them, and the permits that a
+// node needs before it sends a request to an engine that names a limit.
 
 import (
 	"context"
@@ -15,18 +15,19 @@
 )
 
 const (
-	// permitTimeout bounds the wait for a permit: a request is waiting, and nodes that
-	// are well answer within a few milliseconds.
+	// permitTimeout bounds the wait for a permit. A request is waiting meanwhile, and
+	// healthy nodes answer within a few milliseconds.
 	permitTimeout = 100 * time.Millisecond
-	// permitLost is when a node asks again that got no answer.
-	permitLost = 300 * time.Millisecond
+	// permitRetryDelay is how long a node that got no answer waits before it asks for a
+	// permit again.
+	permitRetryDelay = 300 * time.Millisecond
 )
 
-// Limits are the rate limits of engines that this node knows.
+// Limits returns the rate limits of engines that this node knows.
 func (n *Node) Limits() *citronlimit.Book { return n.limits }
 
-// limitsChanged has other nodes hear of limits, and traffic use the engines again that
-// take more than before.
+// limitsChanged tells other nodes that limits changed, and stops throttling the engines
+// in eased, whose limits were raised or removed.
 func (n *Node) limitsChanged(eased []string) {
 	n.tell()
 	t := n.snap.Load().traffic
@@ -40,9 +41,10 @@
 	}
 }
 
-// learnLimits takes what another node told. Nothing is taken of an invalid message.
-func (n *Node) learnLimits(ctx context.Context, from string, told []citronpeer.Limit) {
-	if err := n.limits.Learn(told); err != nil {
+// mergeLimits merges the limits that another node sent. An invalid message is rejected
+// as a whole; only the first one of each node is logged.
+func (n *Node) mergeLimits(ctx context.Context, from string, limits []citronpeer.Limit) {
+	if err := n.limits.Learn(limits); err != nil {
 		n.limitsRejected.Add(1)
 		if _, logged := n.limitsRejectedFrom.LoadOrStore(from, true); !logged {
 			citronevent.Log(ctx, n.log, citronevent.LimitsRejected, "peer", from, "err", err)
@@ -50,25 +52,26 @@
 	}
 }
 
-// Permit asks for a permit to send an engine a request that can wait for so long.
+// Permit asks the permit issuer of an engine for a permit to send it a request that can
+// wait for up to patience.
 func (n *Node) Permit(ctx context.Context, e *citronpool.Engine, patience time.Duration) citronpermit.Decision {
 	r := n.limits.Of(e.ID)
 	if !r.Limited {
 		return citronpermit.Granted{}
 	}
-	dealer, ok := n.dealer(e.ID, e.Zone)
+	issuer, ok := n.permitIssuer(e.ID, e.Zone)
 	switch {
 	case !ok:
-		return citronpermit.Denied{Free: permitLost, Again: permitLost}
-	case dealer.Name == n.set.Name:
+		return citronpermit.Denied{Free: permitRetryDelay, Again: permitRetryDelay}
+	case issuer.Name == n.set.Name:
 		return n.permits.Deal(e.ID, r.PerSecond, patience, n.clock.Now())
 	}
-	p, err := n.peers.AskPermit(ctx, dealer.Peer, citronpeer.PermitRequest{Node: n.set.Name, Limit: r.Wire(e.ID), PatienceMS: patience.Milliseconds()}, permitTimeout)
+	p, err := n.peers.AskPermit(ctx, issuer.Peer, citronpeer.PermitRequest{Node: n.set.Name, Limit: r.Wire(e.ID), PatienceMS: patience.Milliseconds()}, permitTimeout)
 	if err != nil {
-		citronevent.Log(ctx, n.log, citronevent.PermitFailed, "engine", e.ID, "peer", dealer.Peer, "err", err)
-		return citronpermit.Denied{Free: permitLost, Again: permitLost}
+		citronevent.Log(ctx, n.log, citronevent.PermitFailed, "engine", e.ID, "peer", issuer.Peer, "err", err)
+		return citronpermit.Denied{Free: permitRetryDelay, Again: permitRetryDelay}
 	}
-	n.learnLimits(ctx, dealer.Name, []citronpeer.Limit{p.Limit})
+	n.mergeLimits(ctx, issuer.Name, []citronpeer.Limit{p.Limit})
 	wait := time.Duration(p.WaitMS) * time.Millisecond
 	if p.Granted {
 		return citronpermit.Granted{After: wait}
@@ -76,21 +79,22 @@
 	return citronpermit.Denied{Free: wait, Again: time.Duration(p.AgainMS) * time.Millisecond}
 }
 
-// dealer is the node that deals out permits for an engine.
-func (n *Node) dealer(engine, zone string) (citronpeer.Member, bool) {
+// permitIssuer returns the node that issues the permits for an engine.
+func (n *Node) permitIssuer(engine, zone string) (citronpeer.Member, bool) {
 	s := n.snap.Load()
 	nodes := append([]citronpeer.Member{s.self}, s.members...)
 	return citronpermit.DealerFor(engine, zone, nodes)
 }
 
-// Permit implements citronpeer.PermitDealer.
+// Permit implements citronpeer.PermitDealer. It issues a permit to another node, or
+// says when the node should ask again.
 func (a answerer) Permit(q citronpeer.PermitRequest) citronpeer.Permit {
 	n := a.n
-	n.learnLimits(context.Background(), q.Node, []citronpeer.Limit{q.Limit})
+	n.mergeLimits(context.Background(), q.Node, []citronpeer.Limit{q.Limit})
 	engine := q.Limit.Engine
 	known := n.limits.Of(engine)
 	out := citronpeer.Permit{Limit: known.Wire(engine)}
-	switch d := n.decide(engine, known, q).(type) {
+	switch d := n.decidePermit(engine, known, q).(type) {
 	case citronpermit.Granted:
 		out.Granted, out.WaitMS = true, d.After.Milliseconds()
 	case citronpermit.Denied:
@@ -99,19 +103,20 @@
 	return out
 }
 
-// decide answers another node. One that takes this node for the dealer when it is not
-// does not know the same nodes yet.
-func (n *Node) decide(engine string, known citronlimit.Record, q citronpeer.PermitRequest) citronpermit.Decision {
+// decidePermit decides a permit request of another node. A node that takes this node
+// for the permit issuer when it is not has a different view of the members; it is told
+// to ask again.
+func (n *Node) decidePermit(engine string, known citronlimit.Record, q citronpeer.PermitRequest) citronpermit.Decision {
 	t := n.snap.Load().traffic
 	if t == nil {
-		return citronpermit.Denied{Free: permitLost, Again: permitLost}
+		return citronpermit.Denied{Free: permitRetryDelay, Again: permitRetryDelay}
 	}
 	e, ok := t.View.ByID(engine)
 	if !ok {
-		return citronpermit.Denied{Free: permitLost, Again: permitLost}
+		return citronpermit.Denied{Free: permitRetryDelay, Again: permitRetryDelay}
 	}
-	if dealer, ok := n.dealer(engine, e.Zone); !ok || dealer.Name != n.set.Name {
-		return citronpermit.Denied{Free: permitLost, Again: permitLost}
+	if issuer, ok := n.permitIssuer(engine, e.Zone); !ok || issuer.Name != n.set.Name {
+		return citronpermit.Denied{Free: permitRetryDelay, Again: permitRetryDelay}
 	}
 	if !known.Limited {
 		return citronpermit.Granted{}
--- a/citronnode/suspects.go
+++ b/citronnode/suspects.go
@@ -1,8 +1,9 @@
 package citronnode
 
-// What nodes tell each other of requests that crash engines: what is new at once,
-// and all of it to a node that knows something else. A caller may send such a
-// request to any node, so what one has learned all must know before it comes again.
+// Gossip of suspects. A suspect is a request under which engines have crashed. Changed
+// records are sent at once, and a node whose set of relevant records differs is sent
+// that whole set. A caller may send such a request to any node, so all nodes must know
+// what one has learned before the request comes again.
 
 import (
 	"context"
@@ -15,11 +16,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Quarantine is what this node knows of requests that crash engines.
+// Quarantine returns what this node knows of requests that crash engines.
 func (n *Node) Quarantine() *citronquarantine.Ledger { return n.quarantine }
 
-// tellSuspects puts records into the form in which other nodes get them.
-func tellSuspects(entries []citronquarantine.Entry, now time.Time) []citronpeer.Suspect {
+// encodeSuspects converts records to the form in which they are sent to other nodes.
+func encodeSuspects(entries []citronquarantine.Entry, now time.Time) []citronpeer.Suspect {
 	var out []citronpeer.Suspect
 	for _, e := range entries {
 		s := citronpeer.Suspect{Print: e.Print.String()}
@@ -31,23 +32,23 @@
 	return out
 }
 
-// decodeSuspects reads what another node told.
-func decodeSuspects(told []citronpeer.Suspect, now time.Time) ([]citronquarantine.Entry, error) {
-	if len(told) > citronquarantine.MaxGossipRecords {
-		return nil, errors.Newf("%d suspects at once", len(told))
+// decodeSuspects decodes and checks the suspects that another node sent.
+func decodeSuspects(suspects []citronpeer.Suspect, now time.Time) ([]citronquarantine.Entry, error) {
+	if len(suspects) > citronquarantine.MaxGossipRecords {
+		return nil, errors.Newf("message has %d suspects, the maximum is %d", len(suspects), citronquarantine.MaxGossipRecords)
 	}
 	var out []citronquarantine.Entry
-	for _, s := range told {
+	for _, s := range suspects {
 		var e citronquarantine.Entry
 		if err := e.Print.UnmarshalText([]byte(s.Print)); err != nil {
 			return nil, err
 		}
 		if n := len(s.Crashes); n > citronquarantine.MostCrashes {
-			return nil, errors.Newf("suspect of %d crashes", n)
+			return nil, errors.Newf("suspect %s has %d crashes, the maximum is %d", s.Print, n, citronquarantine.MostCrashes)
 		}
 		for _, c := range s.Crashes {
 			if c.AgeMS < 0 || c.AgeMS > citronquarantine.OldestCrash.Milliseconds() {
-				return nil, errors.Newf("crash %d ms ago", c.AgeMS)
+				return nil, errors.Newf("suspect %s has a crash of age %d ms, want 0 to %d ms", s.Print, c.AgeMS, citronquarantine.OldestCrash.Milliseconds())
 			}
 			at := now.Add(-time.Duration(c.AgeMS) * time.Millisecond)
 			e.Record = e.WithCrash(citronquarantine.Crash{Engine: c.Engine, At: at, Refuted: c.Refuted})
@@ -57,29 +58,31 @@
 	return out, nil
 }
 
-// recentSuspects is what other nodes may not have heard yet.
+// recentSuspects returns the records that other nodes may not know yet.
 func (n *Node) recentSuspects() []citronpeer.Suspect {
-	return tellSuspects(n.quarantine.Recent(), n.clock.Now())
+	return encodeSuspects(n.quarantine.Recent(), n.clock.Now())
 }
 
-// allSuspects is what a node is told that knows something else.
+// allSuspects returns the records for a node that knows a different set: those that
+// quarantine a request, would do so after one more crash, or did so before.
 func (n *Node) allSuspects() []citronpeer.Suspect {
-	return tellSuspects(n.quarantine.All(), n.clock.Now())
+	return encodeSuspects(n.quarantine.All(), n.clock.Now())
 }
 
-// mergeSuspects merges the records that another node sent. Nothing is taken of an
-// invalid message.
-func (n *Node) mergeSuspects(ctx context.Context, from string, told []citronpeer.Suspect) {
-	entries, err := decodeSuspects(told, n.clock.Now())
+// mergeSuspects merges the records that another node sent. An invalid message is
+// rejected as a whole.
+func (n *Node) mergeSuspects(ctx context.Context, from string, suspects []citronpeer.Suspect) {
+	entries, err := decodeSuspects(suspects, n.clock.Now())
 	if err != nil {
 		n.rejectSuspects(ctx, from, err)
 		return
 	}
-	n.learnEntries(ctx, from, entries)
+	n.mergeRecords(ctx, from, entries)
 }
 
-// learnEntries takes records from a node or the store.
-func (n *Node) learnEntries(ctx context.Context, from string, entries []citronquarantine.Entry) {
+// mergeRecords merges records from a node or the store, and logs the requests that are
+// quarantined as a result.
+func (n *Node) mergeRecords(ctx context.Context, from string, entries []citronquarantine.Entry) {
 	for chunk := range slices.Chunk(entries, citronquarantine.MaxGossipRecords) {
 		barred, err := n.quarantine.Learn(chunk)
 		if err != nil {
@@ -92,8 +95,8 @@
 	}
 }
 
-// rejectSuspects counts a message that no sound node sends; the first of each node
-// is logged.
+// rejectSuspects counts an invalid message, which no healthy node sends. Only the first
+// one of each node is logged.
 func (n *Node) rejectSuspects(ctx context.Context, from string, err error) {
 	n.suspectsRejected.Add(1)
 	if _, logged := n.rejectedFrom.LoadOrStore(from, true); !logged {
