--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// usableAt is at how many nodes an engine gets new work.
+// usableAt returns how many nodes send new work to an engine.
 func (f *fleet) usableAt(id string) int {
 	n := 0
 	for _, m := range f.nodes {
@@ -30,10 +30,11 @@
 	return citronmodel.Engine{ID: id, Instance: id, Service: "app", Addr: id + ":1", Zone: "z1"}
 }
 
-// Guards against a fleet whose list stands still, or goes back, when the store comes
-// back from an older copy: an engine that leaves afterwards would stay in use, one
-// that comes would not be seen, and one that left in the gap would be used again.
-func TestStoreThatReturnsFromACopyIsFollowed(t *testing.T) {
+// Guards against a fleet whose list of engines stops changing, or reverts, when the
+// store is restored from an older copy. An engine that leaves afterwards would stay in
+// use, a new engine would not be seen, and one that left after the copy was made would
+// be used again.
+func TestNodesFollowRestoredStore(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
 	f.net = newMesh()
@@ -44,13 +45,13 @@
 	}
 	for i := range size {
 		m := f.add(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
-		m.gate.closed.Store(i%4 == 3) // some only hear of it
+		m.gate.closed.Store(i%4 == 3) // some learn of it from other nodes only
 	}
 	f.untilAllKnowAll()
-	eventually(t, "all use all", func() bool { return f.usableAt("e0") == size && f.usableAt("e19") == size })
-	made := f.store.Copy()
+	eventually(t, "all nodes use all engines", func() bool { return f.usableAt("e0") == size && f.usableAt("e19") == size })
+	copied := f.store.Copy()
 
-	// In the gap one engine leaves, one comes, and much is written.
+	// After the copy is made, one engine leaves, one joins, and many entries change.
 	gone := appEngine("e0")
 	gone.Leaving = true
 	f.engine(gone)
@@ -61,20 +62,20 @@
 		f.engine(e)
 	}
 	f.config("2")
-	eventually(t, "the gap is known", func() bool { return f.usableAt("e0") == 0 && f.usableAt("late") == size })
+	eventually(t, "all nodes know the changes since the copy", func() bool { return f.usableAt("e0") == 0 && f.usableAt("late") == size })
 
-	f.store.Return(made)
+	f.store.Return(copied)
 	from := time.Now()
-	f.engine(appEngine("late")) // the engine writes its entry again
+	f.engine(appEngine("late")) // the engine renews its entry
 	f.engine(appEngine("new"))
 	left := appEngine("e1")
 	left.Leaving = true
 	f.engine(left)
-	eventually(t, "the list of the new era is in use", func() bool {
+	eventually(t, "all nodes use the list of the new era", func() bool {
 		is.Equal(f.usableAt("e0"), 0)
 		return f.usableAt("new") == size && f.usableAt("e1") == 0
 	})
-	t.Logf("in use at %d nodes within %v", size, time.Since(from))
+	t.Logf("%d nodes use the new list after %v", size, time.Since(from))
 	is.True(time.Since(from) < 2*time.Second)
 	is.Equal(f.usableAt("late"), size)
 	for _, m := range f.nodes {
@@ -83,13 +84,14 @@
 	}
 }
 
-// Guards against what nodes wrote to the store being gone for good after it came back
-// from an older copy: the address of a node, who leads, and what is barred.
-func TestNodesWriteAgainWhatACopyLacks(t *testing.T) {
+// Guards against records that stay missing after the store is restored from an older
+// copy without them: a node's address, the leader key and the quarantined requests. The
+// nodes write them again.
+func TestNodesRewriteRecordsMissingAfterRestore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.config("1")
-	made := f.store.Copy()
+	copied := f.store.Copy()
 	for _, name := range []string{"a", "b", "c"} {
 		f.add(name, "z1")
 	}
@@ -97,7 +99,7 @@
 	for i := range 3 {
 		f.nodes[0].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
-	there := func() bool {
+	allWritten := func() bool {
 		for _, prefix := range []string{"deck/nodes/a", "deck/leader", "deck/barred/"} {
 			if items, _, err := f.store.Range(context.Background(), prefix); err != nil || len(items) == 0 {
 				return false
@@ -105,11 +107,11 @@
 		}
 		return true
 	}
-	eventually(t, "all is written", there)
-	f.store.Return(made)
+	eventually(t, "all records are in the store", allWritten)
+	f.store.Return(copied)
 	f.config("1")
 	f.engine(appEngine("e1"))
-	eventually(t, "all is written again", there)
+	eventually(t, "all records are in the store again", allWritten)
 	leaders := 0
 	for _, m := range f.nodes {
 		if m.Status().Leads {
@@ -117,47 +119,48 @@
 		}
 	}
 	if leaders > 1 {
-		t.Fatalf("%d nodes lead", leaders)
+		t.Fatalf("%d nodes lead, want at most 1", leaders)
 	}
 	_, rev, err := f.store.Range(context.Background(), "config")
 	if err != nil || rev.Era() != 1 {
-		t.Fatalf("era of %v: %v", rev, err)
+		t.Fatalf("revision %v has era %d, want 1 (error: %v)", rev, rev.Era(), err)
 	}
 }
 
-// Guards against lists of other nodes that cannot be, of eras beyond what a store may
-// have come to, or that cannot be read: taken, all that follow would be old news.
-func TestImpossibleListsAreNotTaken(t *testing.T) {
+// Guards against invalid lists from other nodes: of an era that no store can have
+// reached, or unreadable. A node that accepted one would treat all later lists as
+// outdated.
+func TestInvalidEngineListsAreRejected(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
 	f.config("1")
 	m := f.add("a", "z1")
 	f.engine(appEngine("e0"))
-	eventually(t, "the engine is used", func() bool { return f.usableAt("e0") == 1 })
+	eventually(t, "the node uses the engine", func() bool { return f.usableAt("e0") == 1 })
 	client := citronpeer.Client{HC: http.DefaultClient, Timeout: time.Second}
-	for _, told := range []citronpeer.ListDocument{
+	for _, list := range []citronpeer.ListDocument{
 		{Revision: citronkv.RevisionOf(citronkv.LastEra, citronkv.LastNumber), Body: []byte("[]")},
 		{Revision: citronkv.RevisionOf(1000, 1), Body: []byte("[]")},
 		{Revision: citronkv.RevisionOf(1, 1), Body: []byte("{")},
 		{Revision: citronkv.RevisionOf(1, 1), Base: citronkv.RevisionOf(0, 900), Body: []byte("[]")},
 		{Revision: citronkv.AnyRevision, Body: []byte("[]")},
 	} {
-		_, err := client.News(context.Background(), m.addr, citronpeer.Knowledge{From: citronpeer.Member{Name: "stranger"}, Engines: told})
+		_, err := client.News(context.Background(), m.addr, citronpeer.Knowledge{From: citronpeer.Member{Name: "stranger"}, Engines: list})
 		is.NoErr(err)
 	}
 	f.engine(appEngine("e1"))
-	eventually(t, "the next engine is used", func() bool { return f.usableAt("e1") == 1 })
+	eventually(t, "the node uses the next engine", func() bool { return f.usableAt("e1") == 1 })
 	is.Equal(f.usableAt("e0"), 1)
 	is.Equal(m.Status().StoreEra, int64(0))
 }
 
-// Guards against two nodes that give orders at once, on the strength of leases of two
-// eras: the store returns twice within a second, and turns one node away meanwhile.
-func TestOneNodeLeadsWhileTheStoreReturns(t *testing.T) {
+// Guards against two nodes that give orders at once under leases of two eras, while the
+// store is restored repeatedly within a few seconds and rejects one node at a time.
+func TestSingleLeaderDuringStoreRestores(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
-	made := f.store.Copy()
+	copied := f.store.Copy()
 	for i := range 5 {
 		f.add(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
 	}
@@ -173,10 +176,10 @@
 	eventually(t, "a node places layers", func() bool { return len(placers()) == 1 })
 	for i := range 3 {
 		f.nodes[i].gate.closed.Store(true)
-		f.store.Return(made)
+		f.store.Return(copied)
 		for end := time.Now().Add(800 * time.Millisecond); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 			if names := placers(); len(names) > 1 {
-				t.Fatalf("%v place at once", names)
+				t.Fatalf("nodes %v place layers at the same time", names)
 			}
 		}
 		f.nodes[i].gate.closed.Store(false)
