--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 )
 
-// lossCounter counts the nodes that others declared failed.
+// lossCounter counts the log events by which nodes declare others lost.
 type lossCounter struct {
 	slog.Handler
 	losses *atomic.Int64
@@ -36,18 +36,17 @@
 	return nil
 }
 
-// processorTime is what this process has used.
+// processorTime returns the processor time that this process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// The news of sound nodes is late: the others do not get to hear of them in the
-// rounds in which they should. A node that is taken for lost is missing from what
-// callers are told and from what repeats are dealt by, so before that it is asked
-// itself, and answers.
-func TestSoundNodeWithLateNewsIsNotLost(t *testing.T) {
+// Guards against a healthy node that is declared lost because the others don't hear of
+// it in time. Callers would not be told of such a node, and the retry budget would be
+// divided without it. So it is probed before, and answers.
+func TestHealthyNodeWithDelayedGossipIsNotLost(t *testing.T) {
 	f := newFleet(t)
 	c, m := newLossCounter(), newMesh()
 	f.log, f.net = c, m
@@ -63,21 +62,21 @@
 		}
 		return true
 	}
-	eventually(t, "all know all", allKnown)
+	eventually(t, "all nodes know each other", allKnown)
 	m.deaf.Store(true)
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if !allKnown() {
-			t.Fatal("a sound node is declared failed")
+			t.Fatal("a healthy node was declared lost")
 		}
 	}
 	f.nodes[2].stop()
-	eventually(t, "the node that is gone is lost", func() bool { return f.nodes[0].Status().Nodes == 1 && c.losses.Load() > 0 })
+	eventually(t, "the stopped node is declared lost", func() bool { return f.nodes[0].Status().Nodes == 1 && c.losses.Load() > 0 })
 }
 
-// One node has used up what it was dealt of the budget of repeats, and has more
-// requests that engines refused. The others need none: it borrows, and those
-// requests are sent again. Cut off from them it is told so at once.
-func TestNodeInNeedBorrows(t *testing.T) {
+// Guards against refused requests that are not retried although the retry budget has
+// capacity. One node has used up its share of the retry budget while the others need
+// none of theirs: it borrows from them. Once they are gone, its attempts fail at once.
+func TestNodeBorrowsRetryBudget(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
@@ -87,7 +86,7 @@
 		m.budget.Request("model", time.Now())
 	}
 	a := f.nodes[0]
-	eventually(t, "the others lend", func() bool {
+	eventually(t, "the other nodes lend", func() bool {
 		for a.budget.Take("model", time.Now()) {
 		}
 		return a.Borrow("model") && a.budget.Take("model", time.Now())
@@ -95,7 +94,7 @@
 	for _, m := range f.nodes[1:] {
 		m.stop()
 	}
-	eventually(t, "nobody lends", func() bool { return !a.Borrow("model") })
+	eventually(t, "no node lends", func() bool { return !a.Borrow("model") })
 	begin := time.Now()
 	for range 100 {
 		is.True(!a.Borrow("model"))
@@ -103,11 +102,12 @@
 	is.True(time.Since(begin) < time.Second)
 }
 
-// All machines of a fleet lose power and start again within a moment. Each node
-// that watches, and then finds that others do already, and leaves and reads
-// addresses makes six calls; the store serves so many a second, and each is paid
-// for. The two that callers wait for are enough.
-func TestStartOfAllAsksTheStoreLittle(t *testing.T) {
+// Guards against a store overloaded by a fleet that starts all at once, as after a
+// power failure. A node would make six calls if it watched the store, then found that
+// others already do, and also wrote its address and read the others'. The store serves
+// a limited number of calls per second, and each call is paid for. Only the two that
+// callers wait for are needed.
+func TestFleetStartMakesFewStoreCalls(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
 	f.net = newMesh()
@@ -119,7 +119,7 @@
 	for i := range nodes {
 		f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 	}
-	eventually(t, "all have the configuration and the list", func() bool {
+	eventually(t, "all nodes have the configuration and the list", func() bool {
 		for _, m := range f.nodes {
 			if m.version() != 1 || m.usable() != 12 {
 				return false
@@ -131,34 +131,34 @@
 	for _, m := range f.nodes {
 		calls += m.gate.calls.Load()
 	}
-	t.Logf("%d calls of %d nodes", calls, nodes)
+	t.Logf("%d store calls by %d nodes", calls, nodes)
 	is.True(calls < 3*nodes)
 }
 
-// A machine loses power, and its callers wait until it is back. The store answers:
-// the node has the configuration at once, and does not first look for other nodes
-// that may have it.
-func TestStartDoesNotWaitForOtherNodes(t *testing.T) {
-	const lookingAround = 500 * time.Millisecond
+// Guards against a slow start of a node while the store answers. Callers wait for a
+// machine that lost power, so the node must have the configuration at once instead of
+// looking for other nodes that may have it.
+func TestStartupDoesNotWaitForOtherNodes(t *testing.T) {
+	const discoveryTime = 500 * time.Millisecond
 	for range 5 {
 		f := newFleet(t)
 		f.net = newMesh()
 		f.config("1")
 		from := time.Now()
 		m := f.add("a", "z1")
-		eventually(t, "the configuration is in force", func() bool { return m.version() == 1 })
-		if time.Since(from) < lookingAround/2 {
+		eventually(t, "the configuration is active", func() bool { return m.version() == 1 })
+		if time.Since(from) < discoveryTime/2 {
 			return // a slow machine may take longer now and then
 		}
 	}
-	t.Fatal("no start of five was quick")
+	t.Fatalf("none of five starts had the configuration within %v", discoveryTime/2)
 }
 
-// Guards against callers that are refused although the store is back: all nodes start
-// while it is away, and first look which of them are to watch it.
-func TestStartOfAllWhileTheStoreIsAway(t *testing.T) {
-	// Half of the time after which refused callers come again.
-	const inTime = 250 * time.Millisecond
+// Guards against callers that are refused although the store is back. All nodes start
+// while the store is unavailable, and first work out which of them are to watch it.
+func TestFleetStartDuringStoreOutage(t *testing.T) {
+	// Half of the delay after which rejected callers retry.
+	const maxStart = 250 * time.Millisecond
 	for try := range 5 {
 		f := newFleet(t)
 		f.net = newMesh()
@@ -172,21 +172,21 @@
 		time.Sleep(100 * time.Millisecond)
 		f.away.Store(false)
 		from := time.Now()
-		eventually(t, "all can serve", func() bool { return f.usableAt("e0") == size })
+		eventually(t, "all nodes can serve", func() bool { return f.usableAt("e0") == size })
 		took := time.Since(from)
-		t.Logf("try %d: all can serve after %v", try, took)
-		if took < inTime {
+		t.Logf("try %d: all nodes can serve after %v", try, took)
+		if took < maxStart {
 			return // a slow machine may take longer now and then
 		}
 	}
-	t.Fatal("no start of five was in time")
+	t.Fatalf("in none of five starts all nodes could serve within %v", maxStart)
 }
 
-// Two halves of a fleet have lost each other, and all seeds of the settings are
-// gone with the machines that were replaced. Each half hears of enough nodes to go
-// on, with a leader of its own. They find each other again by the addresses in the
-// store.
-func TestHalvesMeetWithoutSeeds(t *testing.T) {
+// Guards against a fleet that stays split into two halves. The halves have lost each
+// other, and all seeds of the settings are gone with machines that were replaced. Each
+// half has enough nodes to continue, with a leader of its own. They find each other by
+// the addresses in the store.
+func TestSplitFleetRejoinsWithoutSeeds(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.net, f.strangers = newMesh(), true
@@ -194,7 +194,7 @@
 	for i := range 6 {
 		f.add(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
 	}
-	eventually(t, "all know all", func() bool {
+	eventually(t, "all nodes know each other", func() bool {
 		for _, n := range f.nodes {
 			if n.Status().Nodes < len(f.nodes)-1 {
 				return false
@@ -204,9 +204,9 @@
 	})
 }
 
-// BenchmarkFleetAtRest gives what a node spends on knowing the others: in a
-// fleet without callers, of five zones, in which nothing happens.
-func BenchmarkFleetAtRest(b *testing.B) {
+// BenchmarkIdleFleet measures what membership costs a node in a fleet of five zones
+// without callers or changes.
+func BenchmarkIdleFleet(b *testing.B) {
 	for _, size := range []int{30, 100, 300} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := newFleet(b)
@@ -219,7 +219,7 @@
 			for i := range size {
 				f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 			}
-			eventually(b, "all know all", func() bool {
+			eventually(b, "all nodes know each other", func() bool {
 				for _, n := range f.nodes {
 					if n.Status().Nodes < size-1 {
 						return false
@@ -241,15 +241,15 @@
 	}
 }
 
-// BenchmarkFleetInChange gives the same while engines of the list change ten times
-// a second, as when layers are placed.
-func BenchmarkFleetInChange(b *testing.B) {
+// BenchmarkChangingFleet measures the same while engines in the list change ten times a
+// second, as they do while layers are placed.
+func BenchmarkChangingFleet(b *testing.B) {
 	for _, c := range []struct{ nodes, engines int }{{100, 200}, {30, 1000}, {30, 3000}} {
-		b.Run(fmt.Sprintf("%d nodes %d engines", c.nodes, c.engines), func(b *testing.B) { fleetInChange(b, c.nodes, c.engines) })
+		b.Run(fmt.Sprintf("%d nodes %d engines", c.nodes, c.engines), func(b *testing.B) { benchmarkChangingFleet(b, c.nodes, c.engines) })
 	}
 }
 
-func fleetInChange(b *testing.B, size, count int) {
+func benchmarkChangingFleet(b *testing.B, size, count int) {
 	const every = 100 * time.Millisecond
 	f := newFleet(b)
 	f.net = newMesh()
@@ -274,13 +274,13 @@
 	b.ReportMetric(float64(spent.Milliseconds())/float64(size)/time.Since(from).Seconds(), "ms/s/node")
 }
 
-// Guards against callers being sent to a node long after its death: nodes that start
-// one after the other hear of it from each other, and none of them long enough ago
-// to ask it.
-func TestNodesThatStartDoNotKeepTheDead(t *testing.T) {
+// Guards against callers that are sent to a node long after its death. Nodes that start
+// one after the other hear of it from each other, and none has known of it long enough
+// to probe it.
+func TestStartingNodesDropDeadNode(t *testing.T) {
 	const (
-		named = 3 * time.Second
-		every = 300 * time.Millisecond
+		maxNamed = 3 * time.Second
+		every    = 300 * time.Millisecond
 	)
 	f := newFleet(t)
 	f.net = newMesh()
@@ -290,16 +290,16 @@
 	}
 	dead := f.add("dead", "z1")
 	b := f.add("b", "z1")
-	eventually(t, "callers are told of both", func() bool { return slices.Contains(b.Addresses("z1"), "front-dead") })
+	eventually(t, "callers are told of both nodes", func() bool { return slices.Contains(b.Addresses("z1"), "front-dead") })
 	dead.stop()
 	from := time.Now()
-	for i := 0; time.Since(from) < 2*named; i++ {
+	for i := 0; time.Since(from) < 2*maxNamed; i++ {
 		f.add(fmt.Sprintf("n%d", i), "z1")
 		time.Sleep(every)
 		since := time.Since(from)
 		for _, m := range f.nodes[1:] {
-			if since > named && slices.Contains(m.Addresses("z1"), "front-dead") {
-				t.Fatalf("a node names one that has been dead for %v", since)
+			if since > maxNamed && slices.Contains(m.Addresses("z1"), "front-dead") {
+				t.Fatalf("node %s still names a node that has been dead for %v", m.name, since)
 			}
 		}
 	}
