--- a/citronnode/leaving_test.go
+++ b/citronnode/leaving_test.go
@@ -9,16 +9,16 @@
 	"github.com/matryer/is"
 )
 
-// drainPromise is the time after which an engine whose entry has gone gets no
-// new work from any node.
-const drainPromise = 2 * time.Second
+// drainDeadline is the time after which no node sends new work to an engine whose entry
+// was removed.
+const drainDeadline = 2 * time.Second
 
-// settled is how long a fleet has run before something goes wrong: a node that
-// has just started cannot know how the store did before.
-const settled = 3 * time.Second
+// warmUp is how long a fleet runs before a test introduces a fault. A node that has
+// just started has no history of the store's health.
+const warmUp = 3 * time.Second
 
-// twelve starts nodes of these names before twelve engines and returns when they
-// are settled.
+// twelve starts nodes with the given names before twelve engines, and returns when they
+// have stabilized.
 func twelve(t *testing.T, names ...string) *fleet {
 	t.Helper()
 	f := newFleet(t)
@@ -42,11 +42,11 @@
 		}
 		return watching >= min(len(names), 4)
 	})
-	time.Sleep(settled)
+	time.Sleep(warmUp)
 	return f
 }
 
-// remove takes entries from the list.
+// remove removes entries from the list.
 func (f *fleet) remove(ids ...string) {
 	f.t.Helper()
 	for _, id := range ids {
@@ -56,26 +56,26 @@
 	}
 }
 
-// afterPromise is how long the engines in use are looked at from the moment on
-// at which an engine that left may get no more work.
-const afterPromise = 400 * time.Millisecond
+// observeFor is how long the tests watch the number of engines in use after
+// drainDeadline.
+const observeFor = 400 * time.Millisecond
 
-// keepsPromise reports nodes that do not use just so many engines from the
-// moment on at which an engine that left may get no more work.
-func (f *fleet) keepsPromise(left time.Time, want int) {
+// requireUsable fails the test if, for observeFor after the drain deadline, a node uses
+// any number of engines but want.
+func (f *fleet) requireUsable(left time.Time, want int) {
 	f.t.Helper()
-	time.Sleep(time.Until(left.Add(drainPromise)))
-	for time.Since(left) < drainPromise+afterPromise {
+	time.Sleep(time.Until(left.Add(drainDeadline)))
+	for time.Since(left) < drainDeadline+observeFor {
 		for i, m := range f.nodes {
 			if n := m.usable(); n != want {
-				f.t.Fatalf("%v after engines left, node %d uses %d of the %d that stay", time.Since(left), i, n, want)
+				f.t.Fatalf("%v after engines left, node %d uses %d engines, want %d", time.Since(left), i, n, want)
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// leader is the node that places layers, nil while none does.
+// leader returns the node that leads, or nil while none does.
 func (f *fleet) leader() *member {
 	for _, m := range f.nodes {
 		if m.Status().Leads {
@@ -85,56 +85,55 @@
 	return nil
 }
 
-// A node that led stood still until its lease had run out. When it went on, the
-// store answered its renewal with "no such key", and the node took that answer
-// for an outage of the store. An engine left a second later without having said
-// that it would: its entry went, and all nodes heard of it within 10 ms. That
-// one node put the missing entry down to the outage, and sent requests to the
-// engine for 2.5 s more. Its log, with times in seconds:
+// Guards against an error answer of the store that is taken for an outage of the store.
+// A leader was suspended until its lease expired. When it resumed, the store answered
+// its renewal with "key not found", and the node treated that answer as an outage. An
+// engine left a second later without notice: its entry went, and all nodes heard of it
+// within 10 ms. The former leader attributed the missing entry to the outage and sent
+// requests to the engine for another 2.5 s. Its log, with times in seconds:
 //
 //	13.57 leader.resigned err="POST /kv-keep/61062109581936: key not found"
 //	14.81 engines.changed peer=10.3.64.42:8145 missing=true
 //	17.32 engines.changed peer=10.3.64.42:8145 gone=true lapsed=2.508s
-func TestAnswerOfTheStoreIsNoOutage(t *testing.T) {
+func TestStoreErrorAnswerIsNotAnOutage(t *testing.T) {
 	is := is.New(t)
 	f := twelve(t, "a", "b", "c", "d", "e", "f")
 	eventually(t, "a node leads", func() bool { return f.leader() != nil })
-	led := f.leader()
+	formerLeader := f.leader()
 	held, err := f.store.Get(context.Background(), "deck/leader")
 	is.NoErr(err)
 	is.NoErr(f.store.Revoke(context.Background(), held.Lease))
-	eventually(t, "it has given up leading", func() bool { return !led.Status().Leads })
+	eventually(t, "it no longer leads", func() bool { return !formerLeader.Status().Leads })
 	left := time.Now()
 	f.remove("e3")
-	f.keepsPromise(left, 11)
+	f.requireUsable(left, 11)
 }
 
-// An engine's entry goes because the engine leaves, while something else is
-// wrong that does not keep engines from writing their entries. Callers must not
-// be sent to the engine for longer than is promised, whatever the node that
-// sends them has just been through.
-func TestLeavingEngineIsNotTakenForAnOutage(t *testing.T) {
-	turnAway := func(nodes []*member, yes bool) {
+// Guards against a leaving engine that is kept in use because of an unrelated fault,
+// one that does not keep engines from writing their entries. Whatever a node has been
+// through, it must not send callers to the engine after the drain deadline.
+func TestLeavingEngineIsNotMistakenForOutage(t *testing.T) {
+	setRejecting := func(nodes []*member, rejecting bool) {
 		for _, m := range nodes {
-			m.gate.closed.Store(yes)
+			m.gate.closed.Store(rejecting)
 		}
 	}
 	cases := []struct {
-		name  string
-		wrong func(t *testing.T, f *fleet)
-		leave []string
+		name        string
+		injectFault func(t *testing.T, f *fleet)
+		leave       []string
 	}{
-		{"the store turns one node away and serves the others", func(t *testing.T, f *fleet) {
-			turnAway(f.nodes[1:2], true)
+		{"the store rejects one node and serves the others", func(t *testing.T, f *fleet) {
+			setRejecting(f.nodes[1:2], true)
 			eventually(t, "the node notices", func() bool { return !f.nodes[1].Status().Watching })
 		}, []string{"e3"}},
-		{"one node's watch has hung and the node notices late", func(t *testing.T, f *fleet) {
+		{"one node's watch is stalled and the node notices late", func(t *testing.T, f *fleet) {
 			f.nodes[1].gate.silent.Store(true)
 			eventually(t, "the node notices", func() bool { return !f.nodes[1].Status().Watching })
 			f.nodes[1].gate.silent.Store(false)
 		}, []string{"e3"}},
 		{"all watches are cut and the store answers again at once", func(t *testing.T, f *fleet) {
-			turnAway(f.nodes, true)
+			setRejecting(f.nodes, true)
 			eventually(t, "all nodes notice", func() bool {
 				for _, m := range f.nodes {
 					if m.Status().Watching {
@@ -143,10 +142,10 @@
 				}
 				return true
 			})
-			turnAway(f.nodes, false)
+			setRejecting(f.nodes, false)
 		}, []string{"e3"}},
-		{"the store turns one node away, and the others have just started", func(t *testing.T, f *fleet) {
-			turnAway(f.nodes[:1], true)
+		{"the store rejects one node, and the others have just started", func(t *testing.T, f *fleet) {
+			setRejecting(f.nodes[:1], true)
 			time.Sleep(2600 * time.Millisecond) // over two heartbeats of 1.2 s
 			for _, m := range f.nodes[1:] {
 				m.stop()
@@ -169,19 +168,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			f := twelve(t, "a", "b", "c")
-			c.wrong(t, f)
+			c.injectFault(t, f)
 			left := time.Now()
 			f.remove(c.leave...)
-			f.keepsPromise(left, 12-len(c.leave))
+			f.requireUsable(left, 12-len(c.leave))
 		})
 	}
 }
 
-// The store is away for all nodes, and for engines, for longer than entries
-// last without renewal. It comes back without the entries; those of engines
-// that live are back after a second. Meanwhile callers are served by all of
-// them. What is not back two seconds later has ended.
-func TestEnginesThatLapseInAnOutageStayInUse(t *testing.T) {
+// Guards against healthy engines that go out of use because their entries expired in an
+// outage. The store is unavailable to all nodes and engines for longer than entries
+// last without renewal, and comes back without them. Live engines write their entries
+// again within a second, and callers are served by all of them meanwhile. An engine
+// that is not back two seconds later has ended.
+func TestEnginesExpiredDuringOutageStayInUse(t *testing.T) {
 	t.Parallel()
 	f := twelve(t, "a", "b", "c")
 	for _, m := range f.nodes {
@@ -199,7 +199,7 @@
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for i, m := range f.nodes {
 			if n := m.usable(); n != 12 {
-				t.Fatalf("node %d uses %d engines of twelve that are well", i, n)
+				t.Fatalf("node %d uses %d of twelve healthy engines", i, n)
 			}
 		}
 	}
