--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -25,49 +25,52 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// arrival is a request that an upstream got.
+// arrival is a request that an upstream received.
 type arrival struct {
 	engine string
 	at     time.Time
-	// told: its node had got the limit half a second before or earlier.
-	told bool
+	// knewLimit is set if the sending node was told the limit at least limitGrace
+	// before.
+	knewLimit bool
 }
 
-// limitedUpstreams are upstreams of which some name a rate limit.
+// limitedUpstreams are fake upstreams, some of which name a rate limit.
 type limitedUpstreams struct {
 	mu       sync.Mutex
 	limits   map[string]float64
 	arrivals []arrival
-	// told is when a node first got the limit of an engine.
-	told map[[2]string]time.Time
+	// toldAt is when a node was first told the limit of an engine. The key is the pair
+	// of both.
+	toldAt map[[2]string]time.Time
 }
 
 func newLimitedUpstreams(limits map[string]float64) *limitedUpstreams {
-	return &limitedUpstreams{limits: limits, told: map[[2]string]time.Time{}}
+	return &limitedUpstreams{limits: limits, toldAt: map[[2]string]time.Time{}}
 }
 
-// toldAfter is how long after a node got an answer with a limit it has to keep to it.
-const toldAfter = 500 * time.Millisecond
+// limitGrace is how long after it is first told a limit a node must keep to it.
+const limitGrace = 500 * time.Millisecond
 
 func (u *limitedUpstreams) arrive(node, engine string) citronupstream.RateLimit {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := time.Now()
 	key := [2]string{node, engine}
-	first, ok := u.told[key]
-	u.arrivals = append(u.arrivals, arrival{engine: engine, at: now, told: ok && now.Sub(first) >= toldAfter})
+	first, ok := u.toldAt[key]
+	u.arrivals = append(u.arrivals, arrival{engine: engine, at: now, knewLimit: ok && now.Sub(first) >= limitGrace})
 	limit, limited := u.limits[engine]
 	if !limited {
 		return citronupstream.NoRateLimit{}
 	}
 	if !ok {
-		u.told[key] = now
+		u.toldAt[key] = now
 	}
 	return citronupstream.PerSecond(limit)
 }
 
-// limit has an engine name a limit from now on; negative: none.
-func (u *limitedUpstreams) limit(engine string, perSecond float64) {
+// setLimit sets the limit that an engine names from now on. A negative value removes
+// it.
+func (u *limitedUpstreams) setLimit(engine string, perSecond float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.limits[engine] = perSecond; perSecond < 0 {
@@ -75,14 +78,14 @@
 	}
 }
 
-// most is the most requests that an engine got in any four seconds from nodes that
-// knew its limit.
-func (u *limitedUpstreams) most(engine string) int {
-	return u.busiest(func(a arrival) bool { return a.engine == engine && a.told })
+// maxInWindow returns the most requests that an engine received within any limitWindow
+// from nodes that knew its limit.
+func (u *limitedUpstreams) maxInWindow(engine string) int {
+	return u.maxWindowCount(func(a arrival) bool { return a.engine == engine && a.knewLimit })
 }
 
-// got counts what an engine got in a time.
-func (u *limitedUpstreams) got(engine string, from, to time.Time) int {
+// countBetween returns how many requests an engine received between two times.
+func (u *limitedUpstreams) countBetween(engine string, from, to time.Time) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	n := 0
@@ -96,11 +99,11 @@
 
 const limitWindow = 4 * time.Second
 
-func (u *limitedUpstreams) busiest(counts func(arrival) bool) int {
+func (u *limitedUpstreams) maxWindowCount(counts func(arrival) bool) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var window []time.Time
-	most := 0
+	maxCount := 0
 	for _, a := range u.arrivals {
 		if !counts(a) {
 			continue
@@ -109,19 +112,20 @@
 		for a.at.Sub(window[0]) > limitWindow {
 			window = window[1:]
 		}
-		most = max(most, len(window))
+		maxCount = max(maxCount, len(window))
 	}
-	return most
+	return maxCount
 }
 
-// allowedInWindow is one and a half times what a limit allows, and five.
+// allowedInWindow returns the most requests that an engine may receive in a window: one
+// and a half times what the limit allows, plus five.
 func allowedInWindow(perSecond float64) int {
 	return int(1.5*perSecond*limitWindow.Seconds()) + 5
 }
 
-// workOf is how long an upstream works on a request. i-0 is the fastest by far, so that
-// nodes have requests for it whatever they measured while the machine was busy.
-func workOf(engine string) time.Duration {
+// workTime returns how long an upstream works on a request. i-0 is the fastest by far,
+// so that nodes have requests for it whatever they measured while the machine was busy.
+func workTime(engine string) time.Duration {
 	if engine == "i-0" {
 		return 5 * time.Millisecond
 	}
@@ -136,7 +140,7 @@
 
 func (u nodeUpstreams) Send(_ context.Context, c citronupstream.Call) (*citronupstream.Reply, error) {
 	limit := u.arrive(u.node, c.Engine.ID)
-	time.Sleep(workOf(c.Engine.ID))
+	time.Sleep(workTime(c.Engine.ID))
 	return &citronupstream.Reply{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("ok")), Signed: true, RateLimit: limit}, nil
 }
 
@@ -148,11 +152,11 @@
 	return errors.New("no streams")
 }
 
-// answers counts what callers got, by status.
+// answers counts the responses to callers by status.
 type answers struct {
 	mu       sync.Mutex
 	byStatus map[int]int
-	// earliest is the soonest that a refused caller was told to come back.
+	// earliest is the shortest delay after which a rejected caller was told to retry.
 	earliest time.Duration
 }
 
@@ -186,7 +190,7 @@
 	Services: []citrontable.Weighted{{Service: "app", Weight: 1}},
 }}, []citrontable.Service{{Name: "app"}}, nil, citrontable.Limits{})
 
-// forwarder is a node's traffic before such upstreams.
+// forwarder returns the forwarder of a node in front of the given upstreams.
 func (m *member) forwarder(u *limitedUpstreams) *citronforward.Forwarder {
 	return &citronforward.Forwarder{
 		Zone: m.zone, Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Upstream: nodeUpstreams{u, m.name}, Budget: m.budget, Loads: &citronpool.Loads{},
@@ -198,8 +202,9 @@
 	}
 }
 
-// surge has each node sent requests, so many a second in all, until the end.
-func (f *fleet) surge(u *limitedUpstreams, perSecond float64, end time.Time) *answers {
+// generateLoad sends requests to all nodes, perSecond in total, until end, and returns
+// the responses.
+func (f *fleet) generateLoad(u *limitedUpstreams, perSecond float64, end time.Time) *answers {
 	out := &answers{byStatus: map[int]int{}}
 	var calls, nodes sync.WaitGroup
 	pause := time.Duration(float64(time.Second) * float64(len(f.nodes)) / perSecond)
@@ -222,8 +227,9 @@
 	return out
 }
 
-// apps starts so many nodes and upstreams of the plain service, over three zones.
-func (f *fleet) apps(nodes, upstreams int) {
+// startApps starts the given numbers of nodes and of upstreams of the plain service,
+// spread over three zones.
+func (f *fleet) startApps(nodes, upstreams int) {
 	f.t.Helper()
 	f.net = newMesh()
 	f.config("1")
@@ -244,12 +250,13 @@
 	})
 }
 
-// leastUsed is the share of a limit that is to be used where there is demand for it.
-const leastUsed = 0.8
+// minUtilization is the share of a limit that must be used while there is demand for
+// it.
+const minUtilization = 0.8
 
-// Guards against nodes that go on to send an upstream more than the rate limit that it
-// named to them.
-func TestNodesTogetherKeepToAnUpstreamsRateLimit(t *testing.T) {
+// Guards against nodes that together send an upstream more than the rate limit that it
+// named.
+func TestNodesTogetherKeepUpstreamRateLimit(t *testing.T) {
 	for _, c := range []struct {
 		nodes     int
 		perSecond float64
@@ -258,23 +265,23 @@
 			t.Parallel()
 			is := is.New(t)
 			f := newFleet(t)
-			f.apps(c.nodes, 3)
+			f.startApps(c.nodes, 3)
 			u := newLimitedUpstreams(map[string]float64{"i-0": c.perSecond})
 			from := time.Now()
 			end := from.Add(9 * time.Second)
-			out := f.surge(u, 150, end)
+			out := f.generateLoad(u, 150, end)
 			settled := from.Add(5 * time.Second)
-			got, could := u.got("i-0", settled, end), c.perSecond*end.Sub(settled).Seconds()
-			t.Logf("most in 4 s: %d of %d; after 5 s %d of %.0f used; answers %v", u.most("i-0"), allowedInWindow(c.perSecond), got, could, out.byStatus)
-			is.True(u.most("i-0") <= allowedInWindow(c.perSecond))
-			is.True(float64(got) >= leastUsed*could-1) // whole requests
-			is.Equal(len(out.byStatus), 1)             // the other upstreams serve the rest
+			used, usable := u.countBetween("i-0", settled, end), c.perSecond*end.Sub(settled).Seconds()
+			t.Logf("max in 4 s: %d, allowed %d; after 5 s: %d of %.0f used; answers %v", u.maxInWindow("i-0"), allowedInWindow(c.perSecond), used, usable, out.byStatus)
+			is.True(u.maxInWindow("i-0") <= allowedInWindow(c.perSecond))
+			is.True(float64(used) >= minUtilization*usable-1) // only complete requests count
+			is.Equal(len(out.byStatus), 1)                    // the other upstreams serve the rest
 			is.True(out.count(http.StatusOK) > 0)
 		})
 	}
 }
 
-// limitedAt is how many nodes know a limit of an engine.
+// limitedAt returns how many nodes know a limit of an engine.
 func (f *fleet) limitedAt(engine string) int {
 	n := 0
 	for _, m := range f.nodes {
@@ -285,15 +292,15 @@
 	return n
 }
 
-// heardWithin is the time in which all nodes hear of a limit that one was told.
+// heardWithin is the time in which all nodes learn of a limit that one node was told.
 const heardWithin = 500 * time.Millisecond
 
-// Guards against nodes that each have to be told a limit by the upstream in need, and
-// against a limit that stands at nodes which send the upstream nothing any more.
-func TestAllNodesHearOfALimitAndOfItsEnd(t *testing.T) {
+// Guards against nodes that each have to be told a limit by an overloaded upstream, and
+// against a limit that stays at nodes that no longer send the upstream anything.
+func TestRateLimitAndItsRemovalReachAllNodes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
-	f.apps(45, 1)
+	f.startApps(45, 1)
 	hear := func(m *member, l citronupstream.RateLimit) { m.Limits().Heard("i-0", m.Limits().Of("i-0"), l) }
 	timed := func(what string, nodes int) time.Duration {
 		from := time.Now()
@@ -303,26 +310,26 @@
 	inTime := false
 	for try := 0; try < 5 && !inTime; try++ { // a slow machine may take longer now and then
 		hear(f.nodes[7], citronupstream.PerSecond(4))
-		told := timed("all know the limit", len(f.nodes))
-		time.Sleep(time.Second) // a limit stands for so long at least
+		told := timed("all nodes know the limit", len(f.nodes))
+		time.Sleep(time.Second) // a limit is in effect for at least this long
 		hear(f.nodes[20], citronupstream.NoRateLimit{})
-		ended := timed("all know its end", 0)
-		t.Logf("45 nodes: told within %v, of the end within %v", told, ended)
+		ended := timed("all nodes know of its end", 0)
+		t.Logf("45 nodes know the limit within %v, its end within %v", told, ended)
 		inTime = told < heardWithin && ended < heardWithin
 	}
 	is.True(inTime)
 	hear(f.nodes[0], citronupstream.PerSecond(4))
 	f.add("late", "z1")
-	eventually(t, "a node that starts knows it", func() bool { return f.limitedAt("i-0") == len(f.nodes) })
+	eventually(t, "a node that starts knows the limit", func() bool { return f.limitedAt("i-0") == len(f.nodes) })
 }
 
-// Guards against an upstream that gets nothing, or more than it takes, after the node
-// that dealt out its permits has ended.
-func TestPermitsGoOnAfterTheirDealerEnded(t *testing.T) {
+// Guards against an upstream that receives nothing, or more than its limit, after the
+// node that issued its permits has ended.
+func TestPermitsContinueAfterIssuerStops(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
-	f.apps(9, 2)
+	f.startApps(9, 2)
 	const perSecond = 4
 	u := newLimitedUpstreams(map[string]float64{"i-0": perSecond})
 	from := time.Now()
@@ -331,59 +338,60 @@
 	for _, m := range f.nodes {
 		members = append(members, citronpeer.Member{Name: m.name, Zone: m.zone})
 	}
-	dealer, _ := citronpermit.DealerFor("i-0", "z0", members)
+	issuer, _ := citronpermit.DealerFor("i-0", "z0", members)
 	time.AfterFunc(4*time.Second, func() {
 		for _, m := range f.nodes {
-			if m.name == dealer.Name {
+			if m.name == issuer.Name {
 				m.stop()
 			}
 		}
 	})
-	out := f.surge(u, 120, end)
-	late := u.got("i-0", end.Add(-4*time.Second), end)
-	t.Logf("most in 4 s: %d of %d; %d in the last 4 s; answers %v", u.most("i-0"), allowedInWindow(perSecond), late, out.byStatus)
-	is.True(u.most("i-0") <= allowedInWindow(perSecond))
-	is.True(late >= perSecond) // a new dealer begins with half of the limit
+	out := f.generateLoad(u, 120, end)
+	late := u.countBetween("i-0", end.Add(-4*time.Second), end)
+	t.Logf("max in 4 s: %d, allowed %d; %d in the last 4 s; answers %v", u.maxInWindow("i-0"), allowedInWindow(perSecond), late, out.byStatus)
+	is.True(u.maxInWindow("i-0") <= allowedInWindow(perSecond))
+	is.True(late >= perSecond) // a new permit issuer begins with half of the limit
 }
 
-// Guards against callers that are held until their deadline, or told to come back at
+// Guards against callers that are delayed until their deadline, or told to retry at
 // once, while all upstreams of a service are limited.
-func TestRequestsBeyondAllLimitsAreRefusedAtOnce(t *testing.T) {
+func TestRequestsBeyondAllLimitsAreRejectedAtOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
-	f.apps(9, 3)
+	f.startApps(9, 3)
 	const perSecond = 2.5
 	u := newLimitedUpstreams(map[string]float64{"i-0": perSecond, "i-1": perSecond, "i-2": perSecond})
 	from := time.Now()
 	end := from.Add(10 * time.Second)
-	out := f.surge(u, 60, end)
+	out := f.generateLoad(u, 60, end)
 	served, settled := 0, from.Add(6*time.Second)
 	for _, id := range []string{"i-0", "i-1", "i-2"} {
-		is.True(u.most(id) <= allowedInWindow(perSecond))
-		served += u.got(id, settled, end)
+		is.True(u.maxInWindow(id) <= allowedInWindow(perSecond))
+		served += u.countBetween(id, settled, end)
 	}
-	could := 3 * perSecond * end.Sub(settled).Seconds()
-	t.Logf("%d of %.0f used in the last 4 s; answers %v, told to come back after %v at the soonest", served, could, out.byStatus, out.earliest)
-	is.True(float64(served) >= leastUsed*could-1)
-	is.Equal(len(out.byStatus), 2) // served or refused
+	usable := 3 * perSecond * end.Sub(settled).Seconds()
+	t.Logf("%d of %.0f used in the last 4 s; answers %v, told to retry after at least %v", served, usable, out.byStatus, out.earliest)
+	is.True(float64(served) >= minUtilization*usable-1)
+	is.Equal(len(out.byStatus), 2) // served or rejected
 	is.True(out.count(http.StatusServiceUnavailable) > 0)
 	is.True(out.earliest > 100*time.Millisecond)
 }
 
-// Guards against a limit that is lowered or ends, and is kept to as it was before.
-func TestNodesFollowALimitThatChanges(t *testing.T) {
+// Guards against nodes that keep to the earlier limit after a limit is lowered or
+// removed.
+func TestNodesFollowChangedRateLimit(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
-	f.apps(9, 2)
+	f.startApps(9, 2)
 	u := newLimitedUpstreams(map[string]float64{"i-0": 20})
 	from := time.Now()
-	time.AfterFunc(4*time.Second, func() { u.limit("i-0", 1) })
-	time.AfterFunc(9*time.Second, func() { u.limit("i-0", -1) })
-	f.surge(u, 120, from.Add(13*time.Second))
-	lowered := u.got("i-0", from.Add(5*time.Second), from.Add(9*time.Second))
-	freed := u.got("i-0", from.Add(11*time.Second), from.Add(13*time.Second))
+	time.AfterFunc(4*time.Second, func() { u.setLimit("i-0", 1) })
+	time.AfterFunc(9*time.Second, func() { u.setLimit("i-0", -1) })
+	f.generateLoad(u, 120, from.Add(13*time.Second))
+	lowered := u.countBetween("i-0", from.Add(5*time.Second), from.Add(9*time.Second))
+	freed := u.countBetween("i-0", from.Add(11*time.Second), from.Add(13*time.Second))
 	t.Logf("%d in 4 s at 1 a second, %d in 2 s without a limit", lowered, freed)
 	is.True(lowered <= allowedInWindow(1))
 	is.True(freed >= 60) // half of the load
