--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -21,14 +21,14 @@
 	"pgregory.net/rapid"
 )
 
-// loopRig is a control loop without its sources: a test hands it what they
-// would bring, one message at a time.
+// loopRig is a control loop without its sources. A test passes it their messages one at
+// a time.
 type loopRig struct {
 	*control
 	revision int64
 }
 
-func newLoop(t require) *loopRig {
+func newLoop(t testingT) *loopRig {
 	t.Helper()
 	set := Settings{Name: "n1", Zone: "z"}
 	src := Sources{EnginePrefix: "engines/", DecodeEngine: func(key string, text []byte) (citronmodel.Engine, error) {
@@ -46,19 +46,19 @@
 	return &loopRig{control: c, revision: 10}
 }
 
-// require is what plain tests and rapid's have in common.
-type require interface {
+// testingT is the part of testing.T and rapid.T that newLoop uses.
+type testingT interface {
 	Fatalf(format string, args ...any)
 	Helper()
 }
 
 func listEntry(e citronmodel.Engine) []byte {
-	text, _ := json.Marshal(e) // of plain values
+	text, _ := json.Marshal(e) // encoding plain values does not fail
 	return text
 }
 
-// bring has the store write some entries and the loop take them.
-func (r *loopRig) bring(entries map[string][]byte) {
+// deliver has the store write entries and the loop take them.
+func (r *loopRig) deliver(entries map[string][]byte) {
 	var items []citronkv.Item
 	for key, text := range entries {
 		r.revision++
@@ -72,7 +72,7 @@
 	r.publish()
 }
 
-// inUse are the engines that new work may go to, by address.
+// inUse returns the engines that new work may go to, by address.
 func (r *loopRig) inUse() map[string]citronmodel.Engine {
 	out := map[string]citronmodel.Engine{}
 	for _, e := range r.n.snap.Load().engines {
@@ -87,17 +87,18 @@
 	return citronmodel.Engine{Instance: instance, Born: born, Service: "m", Addr: addr, Zone: "z", Kind: "fast", Layers: citronmodel.Span{To: to}, Slots: 4}
 }
 
-// An engine crashes and starts again under its id. Streams that ran on it wait
-// for a process that knows nothing of them; the node has to learn from the
-// later start that they have ended, and must not take what the process before
-// held, or a refusal of that one, for the new one's.
-func TestEntryOfALaterStart(t *testing.T) {
+// Guards against a restarted engine that is taken for its predecessor. An engine
+// crashes and restarts under the same id. Streams that ran on it wait for a process
+// that does not know them. The node must conclude from the later start that they have
+// ended, and must not attribute to the new process the layers or the refusals of the
+// previous one.
+func TestListEntryOfRestartedEngine(t *testing.T) {
 	is := is.New(t)
 	r := newLoop(t)
-	r.bring(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 100, 8))})
+	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 100, 8))})
 	before, _ := r.view.ByID("i-1@100")
 	before.Failed(time.Now())
-	r.bring(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 200, 0))})
+	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 200, 0))})
 	is.True(before.Ended())
 	is.True(!before.DeadSince().IsZero())
 	after := r.inUse()["a:1"]
@@ -105,21 +106,21 @@
 	is.True(after.Layers.Empty())
 	seen, _ := r.view.ByID("i-1@200")
 	is.True(seen.Usable(time.Now()))
-	// The earlier start's last entry arrives late.
-	r.bring(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 100, 8))})
+	// The last entry of the earlier start arrives late.
+	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 100, 8))})
 	is.Equal(r.inUse()["a:1"].ID, "i-1@200")
 }
 
-// The same behind a cut from the store: the list still tells what the process
-// before held, and every request through those layers is refused. The engine's
-// own report tells of the later start; this node has to act on it at once, and
-// the others by its message.
-func TestReportOfALaterStart(t *testing.T) {
+// Guards against the same fault in a node that is cut off from the store. The list
+// still names the layers of the previous process, and every request through them is
+// refused. The engine's own report names the later start. The node must act on it at
+// once, and other nodes on its message.
+func TestReportOfRestartedEngine(t *testing.T) {
 	is := is.New(t)
 	r, other := newLoop(t), newLoop(t)
 	old := map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 100, 8)), "i-2": listEntry(modelEngine("i-2", "b:1", 100, 8))}
-	r.bring(old)
-	other.bring(old)
+	r.deliver(old)
+	other.deliver(old)
 	before, _ := r.view.ByID("i-1@100")
 	before.StartedAnew(200, time.Now())
 	r.tick(context.Background())
@@ -128,33 +129,34 @@
 	is.Equal(r.self.Starts, map[string]int64{"i-1": 200})
 	told := r.self
 	told.Name, told.Beat = "n2", 7
-	there, _ := other.view.ByID("i-1@100")
+	otherView, _ := other.view.ByID("i-1@100")
 	other.take(context.Background(), membersSeen{told: citronpeer.Diff{Members: []citronpeer.Member{told}}})
 	other.publish()
 	is.True(other.inUse()["a:1"].Layers.Empty())
-	is.True(there.Ended())
-	is.Equal(other.inUse()["b:1"].Layers.Len(), 8) // the others hold
-	// Once the list tells it too, there is nothing more to say.
-	r.bring(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 200, 3))})
+	is.True(otherView.Ended())
+	is.Equal(other.inUse()["b:1"].Layers.Len(), 8) // the other engine keeps its layers
+	// Once the list has the later start too, the node stops reporting it.
+	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 200, 3))})
 	r.tick(context.Background())
 	is.Equal(len(r.self.Starts), 0)
 	is.Equal(r.inUse()["a:1"].Layers.Len(), 3)
 }
 
-// An engine crashes and starts again under another id at its address. The entry
-// of the one before lasts for three heartbeats more; requests sent by it are
-// refused by the new one, and streams on it have ended.
-func TestAddressBelongsToTheLaterEntry(t *testing.T) {
+// Guards against an address that stays with an ended engine. An engine crashes and
+// restarts under another id at its address. The entry of its predecessor lasts for
+// three more heartbeats; the new engine refuses requests sent by that entry, and
+// streams on the predecessor have ended.
+func TestAddressBelongsToLatestEntry(t *testing.T) {
 	is := is.New(t)
 	r := newLoop(t)
-	r.bring(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 0, 8))})
+	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 0, 8))})
 	before, _ := r.view.ByID("i-1")
-	r.bring(map[string][]byte{"i-9": listEntry(modelEngine("i-9", "a:1", 0, 0))})
+	r.deliver(map[string][]byte{"i-9": listEntry(modelEngine("i-9", "a:1", 0, 0))})
 	is.True(before.Ended())
 	is.Equal(len(r.inUse()), 1)
 	is.Equal(r.inUse()["a:1"].ID, "i-9")
-	// A whole reading of the list still has the earlier entry, with its own
-	// revision; it must not take the address back.
+	// A full read of the list still has the earlier entry, with its own revision. That
+	// entry must not take the address back.
 	old := citronkv.Item{Key: "engines/i-1", Value: listEntry(modelEngine("i-1", "a:1", 0, 8)), Revision: citronkv.RevisionOf(0, 11)}
 	now := citronkv.Item{Key: "engines/i-9", Value: listEntry(modelEngine("i-9", "a:1", 0, 0)), Revision: citronkv.RevisionOf(0, 12)}
 	r.take(context.Background(), listSeen{items: []citronkv.Item{old, now}, revision: citronkv.RevisionOf(0, 30)})
@@ -163,10 +165,11 @@
 	is.Equal(len(r.inUse()), 1)
 }
 
-// Somebody writes over an engine's entry, or beside it. It names no engine to
-// use from then on; the engine's own next entry brings it back. Whatever was
-// written, nothing changes for the other engines.
-func TestSpoiledEntryChangesNothingForOthers(t *testing.T) {
+// Guards against a corrupt entry that affects other engines. An entry is overwritten,
+// or one is written under a key of no engine. From then on it names no usable engine,
+// until the engine's own next entry brings it back. Whatever was written, nothing
+// changes for the other engines.
+func TestCorruptEntryDoesNotAffectOtherEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newLoop(t)
 		n := rapid.IntRange(1, 8).Draw(t, "engines")
@@ -175,54 +178,54 @@
 			name := fmt.Sprintf("i-%d", i)
 			entries[name] = listEntry(modelEngine(name, fmt.Sprintf("a%d:1", i), int64(rapid.IntRange(0, 2).Draw(t, "born")), i))
 		}
-		r.bring(entries)
+		r.deliver(entries)
 		before := r.inUse()
-		hit := rapid.IntRange(0, n).Draw(t, "hit") // n: a key that no engine has
-		key := fmt.Sprintf("i-%d", hit)
+		target := rapid.IntRange(0, n).Draw(t, "hit") // n is a key that no engine has
+		key := fmt.Sprintf("i-%d", target)
 		text := entries["i-0"]
-		bad := rapid.OneOf(
+		corrupt := rapid.OneOf(
 			rapid.SliceOf(rapid.Byte()),
 			rapid.Map(rapid.IntRange(0, len(text)-1), func(cut int) []byte { return text[:cut] }),
 			rapid.Map(rapid.SampledFrom([]string{"Addr", "Layers", "Born", "Service"}), func(field string) []byte {
 				return []byte(fmt.Sprintf(`{"Instance":%q,"Addr":"a0:1","Service":"unknown",%q:{"x":[1]}}`, key, field))
 			}),
 		).Draw(t, "bad")
-		r.bring(map[string][]byte{key: bad})
+		r.deliver(map[string][]byte{key: corrupt})
 		after := r.inUse()
-		delete(after, fmt.Sprintf("a%d:1", hit))
-		delete(before, fmt.Sprintf("a%d:1", hit))
+		delete(after, fmt.Sprintf("a%d:1", target))
+		delete(before, fmt.Sprintf("a%d:1", target))
 		if fmt.Sprint(after) != fmt.Sprint(before) {
-			t.Fatalf("%v became %v", before, after)
+			t.Fatalf("engines in use changed from %v to %v", before, after)
 		}
-		if hit < n {
-			if _, ok := r.inUse()[fmt.Sprintf("a%d:1", hit)]; ok {
-				t.Fatalf("the spoiled entry %q still names an engine", bad)
+		if target < n {
+			if _, ok := r.inUse()[fmt.Sprintf("a%d:1", target)]; ok {
+				t.Fatalf("the corrupt entry %q still names an engine", corrupt)
 			}
-			r.bring(map[string][]byte{key: entries[key]})
+			r.deliver(map[string][]byte{key: entries[key]})
 			if len(r.inUse()) != n {
-				t.Fatalf("the engine's own entry does not bring it back")
+				t.Fatalf("the engine's own entry does not bring back engine %s", key)
 			}
 		}
 	})
 }
 
-// Many entries are spoiled at once: that is no outage of the store, in which
-// lapsed engines stay in use.
-func TestManySpoiledEntriesAreNoOutage(t *testing.T) {
+// Guards against many corrupt entries that are taken for an outage of the store, in
+// which engines with expired entries stay in use.
+func TestManyCorruptEntriesAreNotAnOutage(t *testing.T) {
 	is := is.New(t)
 	r := newLoop(t)
-	entries, bad := map[string][]byte{}, map[string][]byte{}
+	entries, corrupt := map[string][]byte{}, map[string][]byte{}
 	for i := range 12 {
 		name := fmt.Sprintf("i-%d", i)
 		entries[name] = listEntry(modelEngine(name, fmt.Sprintf("a%d:1", i), 0, 8))
 		if i < 6 {
-			bad[name] = []byte("{")
+			corrupt[name] = []byte("{")
 		}
 	}
-	r.bring(entries)
-	r.bring(bad)
+	r.deliver(entries)
+	r.deliver(corrupt)
 	r.tick(context.Background())
 	r.publish()
 	is.Equal(len(r.inUse()), 6)
-	is.Equal(r.n.Status().Unreadable, 6) // told in the metrics
+	is.Equal(r.n.Status().Unreadable, 6) // reported in the metrics
 }
