--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -14,7 +14,7 @@
 
 var suspect = citronquarantine.PrintOf("council", "POST", "h", "/nest/7", []byte("a plan"))
 
-// barredAt is how many nodes do not let a request run.
+// barredAt returns how many nodes quarantine a request.
 func (f *fleet) barredAt(p citronquarantine.Print) int {
 	n := 0
 	for _, m := range f.nodes {
@@ -27,7 +27,7 @@
 
 func (f *fleet) untilAllKnowAll() {
 	f.t.Helper()
-	eventually(f.t, "all know all", func() bool {
+	eventually(f.t, "all nodes know each other", func() bool {
 		for _, n := range f.nodes {
 			if n.Status().Nodes < len(f.nodes)-1 {
 				return false
@@ -37,14 +37,13 @@
 	})
 }
 
-// knownWithin is the time after which a request that crashed its third engine must
-// not be sent on by any node.
+// knownWithin is the time after which no node may send on a request that crashed its
+// third engine.
 const knownWithin = 3 * time.Second
 
-// Guards against a request that comes to another node each time, so that each of
-// them starts to count from zero. A third of the nodes are turned away by the
-// store meanwhile.
-func TestAllNodesKnowWhatThreeNodesSaw(t *testing.T) {
+// Guards against a request that reaches a different node each time, so that each node
+// counts its crashes from zero. The store rejects a third of the nodes meanwhile.
+func TestCrashesSeenByThreeNodesQuarantineFleetWide(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
 	f.net = newMesh()
@@ -59,15 +58,15 @@
 		f.nodes[i*size/3].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
 	from := time.Now()
-	eventually(t, "all nodes bar the request", func() bool { return f.barredAt(suspect) == size })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.barredAt(suspect) == size })
 	took := time.Since(from)
-	t.Logf("known by %d nodes within %v", size, took)
+	t.Logf("%d nodes quarantined the request within %v", size, took)
 	is.True(took < knownWithin)
 }
 
-// Guards against a node that starts, or had stood still, and lets a request run
-// that all others bar.
-func TestNodeThatStartsLearnsWhatIsBarred(t *testing.T) {
+// Guards against a node that starts, or was suspended, and runs a request that all
+// other nodes quarantine.
+func TestStartingNodeLearnsQuarantine(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.config("1")
@@ -78,17 +77,17 @@
 	for i := range 3 {
 		f.nodes[0].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
-	eventually(t, "all nodes bar the request", func() bool { return f.barredAt(suspect) == 3 })
-	time.Sleep(2 * time.Second) // it is no news any more
+	eventually(t, "all nodes quarantine the request", func() bool { return f.barredAt(suspect) == 3 })
+	time.Sleep(2 * time.Second) // its record is no longer recent
 	f.add("d", "z1")
-	eventually(t, "the new node bars it too", func() bool { return f.barredAt(suspect) == 4 })
+	eventually(t, "the new node quarantines it too", func() bool { return f.barredAt(suspect) == 4 })
 	f.nodes[3].Quarantine().Succeeded(suspect)
-	eventually(t, "all hear that it ran well", func() bool { return f.barredAt(suspect) == 0 })
+	eventually(t, "all nodes learn that it succeeded", func() bool { return f.barredAt(suspect) == 0 })
 }
 
-// Guards against a request that crashes three more engines when all nodes have
-// started at once and remember nothing.
-func TestBarredRequestOutlivesARestartOfAllNodes(t *testing.T) {
+// Guards against a request that crashes three more engines after all nodes restarted at
+// once and lost what they had in memory.
+func TestQuarantineSurvivesFleetRestart(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
@@ -116,16 +115,16 @@
 	}
 	restart()
 	from := time.Now()
-	eventually(t, "all nodes bar the request", func() bool { return f.barredAt(suspect) == len(names) })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.barredAt(suspect) == len(names) })
 	is.True(time.Since(from) < knownWithin)
-	// It turns out to be sound, and stays so.
+	// The request turns out to be harmless. No node quarantines it again.
 	f.nodes[0].Quarantine().Succeeded(suspect)
-	eventually(t, "no node bars it", func() bool { return f.barredAt(suspect) == 0 })
+	eventually(t, "no node quarantines it", func() bool { return f.barredAt(suspect) == 0 })
 }
 
-// Guards against messages that no sound node sends: impossible counts and ages, or
-// a flood of fingerprints. They are counted and bar nothing.
-func TestImpossibleSuspectsAreCounted(t *testing.T) {
+// Guards against messages that no healthy node sends: impossible counts and ages, or a
+// flood of fingerprints. They are counted and quarantine nothing.
+func TestInvalidSuspectsAreCounted(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
@@ -144,7 +143,7 @@
 		flood[i] = citronpeer.Suspect{Print: p.String(), Crashes: crashes(3, 1)}
 	}
 	client := citronpeer.Client{HC: http.DefaultClient, Timeout: time.Second}
-	bad := [][]citronpeer.Suspect{
+	invalid := [][]citronpeer.Suspect{
 		{{Print: suspect.String(), Crashes: crashes(3, -5000)}},
 		{{Print: suspect.String(), Crashes: crashes(1000, 1)}},
 		{{Print: suspect.String(), Crashes: crashes(3, 1<<62)}},
@@ -152,11 +151,11 @@
 		{{Print: "no fingerprint", Crashes: crashes(3, 1)}},
 		flood,
 	}
-	for _, told := range bad {
-		_, err := client.News(context.Background(), m.addr, citronpeer.Knowledge{From: citronpeer.Member{Name: "stranger"}, Suspects: told})
+	for _, suspects := range invalid {
+		_, err := client.News(context.Background(), m.addr, citronpeer.Knowledge{From: citronpeer.Member{Name: "stranger"}, Suspects: suspects})
 		is.NoErr(err)
 	}
-	is.Equal(m.Status().SuspectsRejected, int64(len(bad)))
+	is.Equal(m.Status().SuspectsRejected, int64(len(invalid)))
 	is.Equal(m.Status().Suspects, 0)
 	is.Equal(f.barredAt(suspect), 0)
 }
