--- a/citronplace/copies.go
+++ b/citronplace/copies.go
@@ -9,57 +9,62 @@
 	"citrondeck.dev/citrondeck/citronmodel"
 )
 
-// Copies of the model in one zone.
+// Replicas of the model in one zone.
 //
-// The load they answer: a zone of thirty engines that holds one copy loses
-// all of its capacity when any of them dies, and a few die at once at the
-// peak. With two copies, each divided over half of the engines, running
-// streams go on over the other copy at once, and the rest of the zone carries
-// half of its callers while the hole is filled. A small zone has no memory
-// for that: what layers do not use caches the running requests.
+// A zone of thirty engines with one replica loses all of its capacity when
+// any engine dies, and at peak load several may die at once. With two
+// replicas, each divided over half of the engines, running streams continue
+// on the other replica at once, and the zone serves half of its callers while
+// the gap is filled. A small zone has no memory for a second replica: the
+// memory that layers do not occupy caches the running requests.
 const (
-	// copyShare is the part of a zone's memory that copies may take; the rest is
-	// cache.
-	copyShare = 0.55
-	// keepShare is the same for a copy that is there: a zone that has lost a
-	// few engines does not give up the rest of a copy.
-	keepShare = 0.7
-	// worthShare is the part of what an engine should cache that it must keep
-	// for a hole of one copy to be filled while other copies hold the layers.
-	// A copy that has lost most of its engines would otherwise be divided over
-	// the few left, each with places for a quarter of its requests: they load
-	// for seconds and refuse most of what is sent there, and the zone was
-	// better served without. Its engines serve on as parts of other paths.
-	worthShare = 0.6
+	// maxReplicaShare is the fraction of a zone's memory that replicas may
+	// occupy; the rest is cache.
+	maxReplicaShare = 0.55
+	// keepReplicaShare replaces maxReplicaShare for a replica that exists
+	// already, so that a zone which loses a few engines does not give up the
+	// rest of a replica.
+	keepReplicaShare = 0.7
+	// minRepairShare is the fraction of the cache it should have that an
+	// engine must keep when a gap of one replica is filled while other
+	// replicas hold the layers. Without this limit, a replica that has lost
+	// most of its engines would be divided over the few left, each with room
+	// for a quarter of its requests. They would load for seconds and then
+	// refuse most requests, and the zone is better off without them. Until
+	// the replica is repaired its engines serve as hops on the paths of other
+	// replicas.
+	minRepairShare = 0.6
 )
 
-// copies is how many copies of the model a zone holds.
-func copies(spec citronmodel.Spec, engines []Engine) int {
+// replicaCount returns how many replicas of the model a zone should hold.
+func replicaCount(spec citronmodel.Spec, engines []Engine) int {
 	memory, held := 0.0, 0
 	for _, e := range engines {
 		memory += spec.Kinds[e.Kind].MemoryMB
 		held += e.Goal.Len()
 	}
-	one := spec.LayerMB * float64(spec.Layers)
-	if one <= 0 {
+	replicaMB := spec.LayerMB * float64(spec.Layers)
+	if replicaMB <= 0 {
 		return 1
 	}
-	most := int(keepShare * memory / one)
-	have := int(math.Round(float64(held) / float64(spec.Layers)))
-	return max(1, int(copyShare*memory/one), min(have, most))
+	maxKept := int(keepReplicaShare * memory / replicaMB)
+	present := int(math.Round(float64(held) / float64(spec.Layers)))
+	return max(1, int(maxReplicaShare*memory/replicaMB), min(present, maxKept))
 }
 
-// group is the engines of one copy.
-type group struct {
+// replica is the set of engines that hold one replica of the model. end is
+// the layer after the last layer that they hold.
+type replica struct {
 	engines []Engine
 	end     int
 }
 
-// split divides the engines of a zone into copies by what they hold: each
-// engine belongs to the copy that ends where it begins. Engines that hold
-// nothing, or only repeat what the copies hold, are returned apart.
-func split(engines []Engine, n int) (groups []group, free []Engine) {
-	groups = make([]group, n)
+// splitReplicas divides the engines of a zone into replicas by the layers
+// they hold: an engine belongs to the replica that ends where the engine's
+// layers begin. Engines that hold nothing, or only duplicate layers of the
+// replicas, are returned in free.
+func splitReplicas(engines []Engine, n int) (replicas []replica, free []Engine) {
+	replicas = make([]replica, n)
 	var placed []Engine
 	for _, e := range engines {
 		if e.Goal.Empty() {
@@ -73,25 +78,26 @@
 		return a.From < b.From || a.From == b.From && a.To > b.To
 	})
 	for _, e := range placed {
-		i := next(groups, e.Goal)
+		i := nextReplica(replicas, e.Goal)
 		if i < 0 {
 			free = append(free, e)
 			continue
 		}
-		g := &groups[i]
+		g := &replicas[i]
 		g.engines = append(g.engines, e)
 		g.end = max(g.end, e.Goal.To)
 	}
-	return groups, free
+	return replicas, free
 }
 
-// next is the copy that a span goes on: the one with the smallest hole before
-// it, or the shortest one if all reach beyond its beginning; -1 if the span
-// adds nothing.
-func next(groups []group, s citronmodel.Span) int {
+// nextReplica returns the index of the replica that a span extends: the
+// replica with the smallest gap before the span, or the shortest replica if
+// all of them end after the span begins. It returns -1 if the span adds no
+// layer.
+func nextReplica(replicas []replica, s citronmodel.Span) int {
 	best := -1
-	for i, g := range groups {
-		if g.end <= s.From && (best < 0 || g.end > groups[best].end) {
+	for i, g := range replicas {
+		if g.end <= s.From && (best < 0 || g.end > replicas[best].end) {
 			best = i
 		}
 	}
@@ -99,63 +105,63 @@
 		return best
 	}
 	best = 0
-	for i, g := range groups {
-		if g.end < groups[best].end {
+	for i, g := range replicas {
+		if g.end < replicas[best].end {
 			best = i
 		}
 	}
-	if groups[best].end >= s.To {
+	if replicas[best].end >= s.To {
 		return -1
 	}
 	return best
 }
 
-// decideCopies decides for each copy of a zone. Engines that belong to none
-// go to the copy that lacks most.
-func decideCopies(spec citronmodel.Spec, engines []Engine, served []citronmodel.Span) Plan {
-	n := copies(spec, engines)
+// decideReplicas decides for each replica of a zone. Engines that belong to
+// no replica go to the replica that misses most layers.
+func decideReplicas(spec citronmodel.Spec, engines []Engine, served []citronmodel.Span) Plan {
+	n := replicaCount(spec, engines)
 	if n == 1 {
-		return decideZone(spec, engines, served, bounds{within: anywhere})
+		return decideZone(spec, engines, served, bounds{scope: anyLayers})
 	}
-	groups, free := split(engines, n)
+	replicas, free := splitReplicas(engines, n)
 	if !slices.ContainsFunc(engines, func(e Engine) bool { return !e.Goal.Empty() }) {
-		return firstCopies(spec, free, n)
+		return placeFirstReplicas(spec, free, n)
 	}
-	sort.SliceStable(groups, func(i, j int) bool {
-		return missing(spec, groups[i].engines) > missing(spec, groups[j].engines)
+	sort.SliceStable(replicas, func(i, j int) bool {
+		return missingLayers(spec, replicas[i].engines) > missingLayers(spec, replicas[j].engines)
 	})
 	plan := Plan{}
 	whole := true
-	least := worthShare * min(fullCache(spec), evenCacheFor(spec, engines, n*spec.Layers))
-	for i, g := range groups {
+	minCache := minRepairShare * min(fullCache(spec), evenCacheFor(spec, engines, n*spec.Layers))
+	for i, g := range replicas {
 		all := slices.Concat(g.engines, free)
 		if len(all) == 0 {
 			continue
 		}
-		part := improveCopy(spec, g.engines, free)
-		if missing(spec, all) > 0 {
+		replicaPlan := improveReplica(spec, g.engines, free)
+		if missingLayers(spec, all) > 0 {
 			whole = false
-			others := spans(groups, i)
-			b := bounds{within: withinOne}
-			if covered(Gaps(spec, all), others) {
-				b.least = least
+			others := spansOfOthers(replicas, i)
+			b := bounds{scope: oneEngine}
+			if allServed(Gaps(spec, all), others) {
+				b.minCache = minCache
 			}
-			part = decideZone(spec, all, slices.Concat(served, others, held(free)), b)
+			replicaPlan = decideZone(spec, all, slices.Concat(served, others, heldSpans(free)), b)
 		}
-		maps.Copy(plan, part)
+		maps.Copy(plan, replicaPlan)
 		free = slices.DeleteFunc(free, func(e Engine) bool { _, used := plan[e.ID]; return used })
 	}
 	if whole && len(plan) == 0 {
-		return cover(spec, engines, plan, withinOne)
+		return duplicateLayers(spec, engines, plan, oneEngine)
 	}
 	return plan
 }
 
-// improveCopy relieves the weakest part of a whole copy by an engine that
-// holds nothing. Layers are not passed on between neighbours as in a zone with
-// one copy (balance): which copy an engine belongs to is told by where it
-// begins, and that would change on the way.
-func improveCopy(spec citronmodel.Spec, engines, free []Engine) Plan {
+// improveReplica relieves the weakest engine of a complete replica with an
+// engine that holds nothing. It does not move layers between neighbours as
+// balance does in a zone with one replica: the first layer of an engine
+// determines its replica, and it would change on the way.
+func improveReplica(spec citronmodel.Spec, engines, free []Engine) Plan {
 	even := usefulCache(spec, engines)
 	all := slices.Concat(engines, free)
 	for _, e := range all {
@@ -164,24 +170,25 @@
 		}
 	}
 	for _, e := range engines {
-		if s, ok := trim(spec, all, e, even); ok {
+		if s, ok := trimWeak(spec, all, e, even); ok {
 			return Plan{e.ID: {Span: s}}
 		}
 	}
-	plan, ok := help(spec, slices.DeleteFunc(all, func(e Engine) bool { return e.Layers.Empty() && e.Fresh }), even, true)
-	if !ok || !gains(spec, all, plan, even) {
+	plan, ok := addHelper(spec, slices.DeleteFunc(all, func(e Engine) bool { return e.Layers.Empty() && e.Fresh }), even, true)
+	if !ok || !lowersStrain(spec, all, plan, even) {
 		return Plan{}
 	}
 	return plan
 }
 
-// spans are what the engines of all copies but one hold. It is served, so
-// that nothing needs to be cut off for a hole of that one.
-func spans(groups []group, but int) []citronmodel.Span {
+// spansOfOthers returns the spans that the engines of all replicas but one
+// hold. These layers are served, so no request needs to be cut to fill a gap
+// of that replica.
+func spansOfOthers(replicas []replica, except int) []citronmodel.Span {
 	var out []citronmodel.Span
-	for i, g := range groups {
+	for i, g := range replicas {
 		for _, e := range g.engines {
-			if i != but {
+			if i != except {
 				out = append(out, e.Layers)
 			}
 		}
@@ -189,8 +196,8 @@
 	return out
 }
 
-// held are what engines hold.
-func held(engines []Engine) []citronmodel.Span {
+// heldSpans returns the spans that the engines hold now.
+func heldSpans(engines []Engine) []citronmodel.Span {
 	out := make([]citronmodel.Span, len(engines))
 	for i, e := range engines {
 		out[i] = e.Layers
@@ -198,8 +205,9 @@
 	return out
 }
 
-// missing is how many layers a copy lacks.
-func missing(spec citronmodel.Spec, engines []Engine) int {
+// missingLayers returns how many layers the engines neither hold nor were
+// ordered to hold.
+func missingLayers(spec citronmodel.Spec, engines []Engine) int {
 	n := 0
 	for _, g := range Gaps(spec, engines) {
 		n += g.Len()
@@ -207,9 +215,9 @@
 	return n
 }
 
-// firstCopies divides empty engines over copies, those of each kind in turn,
-// and places each copy.
-func firstCopies(spec citronmodel.Spec, engines []Engine, n int) Plan {
+// placeFirstReplicas distributes empty engines over replicas, taking the
+// engines of each kind in turn, and places each replica.
+func placeFirstReplicas(spec citronmodel.Spec, engines []Engine, n int) Plan {
 	order := slices.Clone(engines)
 	sort.SliceStable(order, func(i, j int) bool { return order[i].Kind < order[j].Kind })
 	parts := make([][]Engine, n)
@@ -218,7 +226,7 @@
 	}
 	plan := Plan{}
 	for _, part := range parts {
-		maps.Copy(plan, decideZone(spec, part, nil, bounds{within: withinOne}))
+		maps.Copy(plan, decideZone(spec, part, nil, bounds{scope: oneEngine}))
 	}
 	return plan
 }
--- a/citronplace/copies_test.go
+++ b/citronplace/copies_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// least is the smallest number of engines that hold a layer.
-func least(engines []citronplace.Engine) int {
+// minHolders returns the smallest number of engines that hold the same layer.
+func minHolders(engines []citronplace.Engine) int {
 	held := make([]int, spec.Layers)
 	for _, e := range engines {
 		for l := e.Layers.From; l < e.Layers.To; l++ {
@@ -26,44 +26,45 @@
 	return n
 }
 
-// A zone of thirty engines at the peak loses one of them. Its callers must not
-// be refused until the hole is filled, so each layer is held twice and the
-// loss of any one engine leaves none unheld. A zone of a dozen has no room
-// for that beside its requests' cache.
-func TestLargeZoneOutlivesAnyLoss(t *testing.T) {
+// At peak load a zone of thirty engines loses one of them. Its callers must
+// not be refused until the gap is filled, so every layer is held twice and
+// the loss of any single engine leaves no layer without a holder. A zone of a
+// dozen engines has no memory for that beside the cache of its requests.
+func TestLargeZoneSurvivesAnySingleLoss(t *testing.T) {
 	for _, size := range [][3]int{{4, 10, 11}, {3, 14, 16}, {2, 24, 9}} {
 		is := is.New(t)
-		engines := settle(t, fleet("z", size[0], size[1], size[2]))
-		is.Equal(least(engines), 2)
+		engines := decideUntilStable(t, fleet("z", size[0], size[1], size[2]))
+		is.Equal(minHolders(engines), 2)
 		for _, lost := range engines {
 			left := without(engines, func(e citronplace.Engine) bool { return e.ID == lost.ID })
-			is.True(least(left) >= 1)
-			after := settle(t, left)
-			is.Equal(least(after), 2) // and the second copy is whole again
-			is.True(moved(left, after) <= 16)
+			is.True(minHolders(left) >= 1)
+			after := decideUntilStable(t, left)
+			is.Equal(minHolders(after), 2) // the second replica is complete again
+			is.True(countMoved(left, after) <= 16)
 		}
 	}
-	is.New(t).Equal(least(settle(t, fleet("z", 2, 4, 4))), 1)
-	is.New(t).Equal(least(settle(t, fleet("z", 1, 10, 4))), 1)
+	is.New(t).Equal(minHolders(decideUntilStable(t, fleet("z", 2, 4, 4))), 1)
+	is.New(t).Equal(minHolders(decideUntilStable(t, fleet("z", 1, 10, 4))), 1)
 }
 
-// Whatever a large zone loses, the placement comes to rest, keeps to each
-// engine's memory, and holds every layer while the engines left can.
+// Whichever engines a large zone loses, the placement stabilizes, stays
+// within the memory of every engine, and holds every layer as long as the
+// remaining engines can.
 func TestLargePlacementHoldsAllLayers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := fleet("z", rapid.IntRange(0, 5).Draw(t, "large"), rapid.IntRange(6, 24).Draw(t, "small"), rapid.IntRange(4, 16).Draw(t, "slow"))
 		slices.SortFunc(engines, func(a, b citronplace.Engine) int { return cmp.Compare(a.ID, b.ID) })
 		for range rapid.IntRange(1, 6).Draw(t, "losses") {
-			engines = settle(t, engines)
-			room := 0
+			engines = decideUntilStable(t, engines)
+			capacity := 0
 			for _, e := range engines {
-				room += spec.MaxLayers(e.Kind)
+				capacity += spec.MaxLayers(e.Kind)
 				if e.Layers.Len() > spec.MaxLayers(e.Kind) {
 					t.Fatalf("%s holds %d layers", e.ID, e.Layers.Len())
 				}
 			}
-			if room >= spec.Layers && least(engines) < 1 {
-				t.Fatalf("a layer is held by nobody: %v", engines)
+			if capacity >= spec.Layers && minHolders(engines) < 1 {
+				t.Fatalf("no engine holds some layer: %v", engines)
 			}
 			lost := rapid.IntRange(0, len(engines)-1).Draw(t, "lost")
 			engines = without(engines, func(e citronplace.Engine) bool { return e.ID == engines[lost].ID })
@@ -71,15 +72,15 @@
 	})
 }
 
-// A zone with three copies of the model loses eight engines at once. Streams
-// that ran through them are moved to the other copies within a second, and go
-// through whatever engine holds their layers there. An order that does not wait
-// for running requests then breaks those streams a second time, for a hole that
-// the zone serves meanwhile: while any engines hold all layers between them,
-// no order may cut requests off.
-func TestNothingIsCutOffWhileOtherCopiesServe(t *testing.T) {
+// A zone with three replicas loses eight engines at once. Within a second the
+// streams that ran through them move to the other replicas, and there pass
+// through any engine that holds their layers. An order that does not wait for
+// running requests would break these streams a second time, for a gap that
+// the other replicas cover. So no order may cut requests while the remaining
+// engines together hold all layers.
+func TestNoRequestIsCutWhileOtherReplicasServe(t *testing.T) {
 	is := is.New(t)
-	engines := settle(t, fleet("z", 3, 21, 20))
+	engines := decideUntilStable(t, fleet("z", 3, 21, 20))
 	orders := 0
 	for first := range engines {
 		lost := map[string]bool{}
@@ -87,62 +88,64 @@
 			lost[engines[(first+i*5)%len(engines)].ID] = true
 		}
 		left := without(engines, func(e citronplace.Engine) bool { return lost[e.ID] })
-		if least(left) == 0 {
+		if minHolders(left) == 0 {
 			continue
 		}
 		plan := citronplace.Decide(spec, left, nil)
 		orders += len(plan)
 		for id, o := range plan {
 			if o.Cut {
-				t.Fatalf("%s is to hold %v at once, after the loss of %v", id, o.Span, lost)
+				t.Fatalf("%s is ordered to hold %v without waiting for its requests, after the loss of %v", id, o.Span, lost)
 			}
 		}
 	}
 	is.True(orders > 0)
 }
 
-// evenCacheOf is what each part of a zone could cache, in tokens, if so many
-// copies were divided over the memory of its engines without loss.
-func evenCacheOf(engines []citronplace.Engine, copies float64) float64 {
+// evenCacheTokens returns the cache, in tokens, that each engine of a zone
+// would have if the given number of replicas could be divided over the memory
+// of its engines without loss.
+func evenCacheTokens(engines []citronplace.Engine, replicas float64) float64 {
 	memory := 0.0
 	for _, e := range engines {
 		memory += spec.Kinds[e.Kind].MemoryMB
 	}
-	weights := copies * float64(spec.Layers) * spec.LayerMB
-	return (memory - weights) * 1e6 / (copies * spec.TokenBytes)
+	weights := replicas * float64(spec.Layers) * spec.LayerMB
+	return (memory - weights) * 1e6 / (replicas * spec.TokenBytes)
 }
 
-// A zone with three copies loses most of the engines of one at the peak. Divided
-// over the few that are left, that copy's parts would have room for a quarter of
-// the requests, refuse the rest, and be loaded for seconds while the other copies
-// serve the zone. So nobody is ordered to hold so much that less than half of
-// what a part of the zone should have is left for requests.
-func TestBrokenCopyIsNotMendedPoorly(t *testing.T) {
-	usual(t, 980)
+// At peak load a zone with three replicas loses most of the engines of one.
+// Divided over the few that remain, the layers of that replica would leave
+// cache for a quarter of the requests; the engines would refuse the rest, and
+// load for seconds while the other replicas serve the zone. So no engine may
+// be ordered to hold so many layers that it keeps less than half of the cache
+// that an engine of the zone should have.
+func TestDamagedReplicaIsNotRepairedWithTooLittleCache(t *testing.T) {
+	setMeanTokens(t, 980)
 	is := is.New(t)
-	engines := settle(t, fleet("z", 3, 21, 20))
-	places := float64(spec.Slots * spec.MeanTokens)
+	engines := decideUntilStable(t, fleet("z", 3, 21, 20))
+	usefulTokens := float64(spec.Slots * spec.MeanTokens)
 	orders := 0
 	for seed := range uint64(200) {
-		drawn := rand.New(rand.NewPCG(seed, 1))
+		rng := rand.New(rand.NewPCG(seed, 1))
 		lost := map[string]bool{}
-		from := drawn.IntN(spec.Layers)
+		from := rng.IntN(spec.Layers)
 		for _, e := range engines {
-			if e.Layers.From >= from && drawn.IntN(3) == 0 || drawn.IntN(6) == 0 {
+			if e.Layers.From >= from && rng.IntN(3) == 0 || rng.IntN(6) == 0 {
 				lost[e.ID] = true
 			}
 		}
 		left := without(engines, func(e citronplace.Engine) bool { return lost[e.ID] })
-		if least(left) == 0 {
+		if minHolders(left) == 0 {
 			continue
 		}
 		plan := citronplace.Decide(spec, left, nil)
 		orders += len(plan)
-		should := min(places, evenCacheOf(left, 3))
+		evenTokens := min(usefulTokens, evenCacheTokens(left, 3))
 		for _, e := range left {
 			o, ok := plan[e.ID]
-			if room := spec.CacheTokens(e.Kind, o.Len()); ok && o.Len() > e.Layers.Len() && room < should/2 {
-				t.Fatalf("%s is to hold %v, with room for %.0f tokens, after the loss of %v", e.ID, o.Span, room, lost)
+			if cache := spec.CacheTokens(e.Kind, o.Len()); ok && o.Len() > e.Layers.Len() && cache < evenTokens/2 {
+				t.Fatalf("%s is ordered to hold %v, which leaves cache for %.0f tokens, after the loss of %v", e.ID, o.Span, cache, lost)
 			}
 		}
 	}
--- a/citronplace/improve.go
+++ b/citronplace/improve.go
@@ -3,20 +3,23 @@
 import "citrondeck.dev/citrondeck/citronmodel"
 
 const (
-	// weakShare is the part of the zone's even cache below which a part of
-	// the model limits what the zone carries.
+	// weakShare is the fraction of the zone's even cache below which an
+	// engine is weak: it limits the load that the zone can carry.
 	weakShare = 0.7
-	// goodShare is what the engine that is to help keeps.
-	goodShare = 0.85
-	// leastHelp is the fewest layers for which a spare is moved.
-	leastHelp = 2
+	// helperShare is the fraction of the even cache that an engine keeps when
+	// it takes over layers of a weak engine.
+	helperShare = 0.85
+	// minHelpLayers is the smallest number of layers for which a spare is
+	// moved.
+	minHelpLayers = 2
 )
 
-// improve relieves the part of a whole zone that has the least cache: after
-// a repair in haste one engine may hold so much that it limits all others.
-// A spare repeats some of its layers, and once it has them the weak engine
-// gives up those. One step is taken at a time, when no order is under way.
-func improve(spec citronmodel.Spec, engines []Engine, even float64, within reach) Plan {
+// improve relieves the engine with the least cache in a zone without gaps.
+// After a quick repair one engine may hold so many layers that it limits all
+// others. A spare duplicates some of these layers, and once it has loaded
+// them the weak engine gives them up. Only one step is taken at a time, and
+// only while no order is pending.
+func improve(spec citronmodel.Spec, engines []Engine, even float64, scope duplicateScope) Plan {
 	for _, e := range engines {
 		if e.Goal != e.Layers {
 			return Plan{}
@@ -25,52 +28,56 @@
 	if plan := dropRepeated(spec, engines, even); len(plan) > 0 {
 		return plan
 	}
-	if plan, ok := help(spec, engines, even, false); ok && gains(spec, engines, plan, even) {
+	if plan, ok := addHelper(spec, engines, even, false); ok && lowersStrain(spec, engines, plan, even) {
 		return plan
 	}
-	if plan := balance(spec, engines, even); gains(spec, engines, plan, even) {
+	if plan := balance(spec, engines, even); lowersStrain(spec, engines, plan, even) {
 		return plan
 	}
-	return cover(spec, engines, Plan{}, within)
+	return duplicateLayers(spec, engines, Plan{}, scope)
 }
 
-// dropRepeated has an engine give up layers that another has taken in for it.
+// dropRepeated makes an engine give up layers that another engine has loaded
+// for it.
 func dropRepeated(spec citronmodel.Spec, engines []Engine, even float64) Plan {
 	for _, e := range engines {
-		if s, ok := trim(spec, engines, e, even); ok {
+		if s, ok := trimWeak(spec, engines, e, even); ok {
 			return Plan{e.ID: {Span: s}}
 		}
 	}
-	return shed(spec, engines, even)
+	return dropOverlap(spec, engines, even)
 }
 
-// stepGain is by how much a step must lower a zone's strain.
-const stepGain = 0.99
+// maxStrainRatio is the ratio of new to old strain that a step must stay
+// below.
+const maxStrainRatio = 0.99
 
-// gains reports whether a zone's strain is lower once a plan is carried out
-// and what it repeats has been given up. Each step lowers it, so the steps
-// come to an end.
-func gains(spec citronmodel.Spec, engines []Engine, plan Plan, even float64) bool {
+// lowersStrain reports whether the zone's strain is lower after the plan is
+// carried out and the duplicated layers have been given up. Every step lowers
+// the strain, so the sequence of steps ends.
+func lowersStrain(spec citronmodel.Spec, engines []Engine, plan Plan, even float64) bool {
 	if len(plan) == 0 {
 		return false
 	}
 	after := afterPlan(engines, plan)
 	after = afterPlan(after, dropRepeated(spec, after, even))
-	return strain(spec, after) < stepGain*strain(spec, engines)
+	return strain(spec, after) < maxStrainRatio*strain(spec, engines)
 }
 
-// afterPlan returns the engines as they are once a plan is carried out.
+// afterPlan returns the engines with the layers they hold after the plan is
+// carried out.
 func afterPlan(engines []Engine, plan Plan) []Engine {
-	out := carriedOut(engines, plan)
+	out := withGoals(engines, plan)
 	for i := range out {
 		out[i].Layers = out[i].Goal
 	}
 	return out
 }
 
-// strain sums over all layers what share of the cache, which the engines that
-// hold the layer have together, one token takes. The weakest part counts most,
-// but relieving one of two that are equally weak counts too.
+// strain sums, over all layers, the fraction that one token takes of the
+// combined cache of the engines that hold the layer. The weakest engine
+// counts most, but relieving one of two equally weak engines lowers the sum
+// too.
 func strain(spec citronmodel.Spec, engines []Engine) float64 {
 	cache := make([]float64, spec.Layers)
 	for _, e := range engines {
@@ -86,28 +93,28 @@
 	return sum
 }
 
-func weak(spec citronmodel.Spec, e Engine, even float64) bool {
+func isWeak(spec citronmodel.Spec, e Engine, even float64) bool {
 	return !e.Layers.Empty() && spec.CacheTokens(e.Kind, e.Layers.Len()) < even*weakShare
 }
 
-// trim returns what a weak engine should keep: the layers that no helper
-// repeats, if these are some but not all.
-func trim(spec citronmodel.Spec, engines []Engine, e Engine, even float64) (citronmodel.Span, bool) {
-	if !weak(spec, e, even) {
+// trimWeak returns the layers that a weak engine should keep: those that no
+// helper duplicates. ok is false if these are all of its layers or none.
+func trimWeak(spec citronmodel.Spec, engines []Engine, e Engine, even float64) (citronmodel.Span, bool) {
+	if !isWeak(spec, e, even) {
 		return citronmodel.Span{}, false
 	}
-	alone := citronmodel.Span{From: spec.Layers, To: 0}
+	unshared := citronmodel.Span{From: spec.Layers, To: 0}
 	for l := e.Layers.From; l < e.Layers.To; l++ {
-		if !helped(engines, e, l) {
-			alone.From, alone.To = min(alone.From, l), max(alone.To, l+1)
+		if !hasHelper(engines, e, l) {
+			unshared.From, unshared.To = min(unshared.From, l), max(unshared.To, l+1)
 		}
 	}
-	return alone, !alone.Empty() && alone != e.Layers
+	return unshared, !unshared.Empty() && unshared != e.Layers
 }
 
-// helped reports whether a helper, an engine that holds nothing but layers
-// of e, holds a layer.
-func helped(engines []Engine, e Engine, layer int) bool {
+// hasHelper reports whether a layer of e is held by a helper, an engine that
+// holds only layers of e.
+func hasHelper(engines []Engine, e Engine, layer int) bool {
 	for _, o := range engines {
 		if o.ID != e.ID && e.Layers.Covers(o.Layers) && o.Layers.From <= layer && layer < o.Layers.To {
 			return true
@@ -116,14 +123,14 @@
 	return false
 }
 
-// help has a spare repeat layers of the weakest engine; idle asks for one
-// that holds nothing.
-func help(spec citronmodel.Spec, engines []Engine, even float64, idle bool) (Plan, bool) {
+// addHelper makes a spare duplicate layers of the weakest engine. With
+// idleOnly it considers only spares that hold nothing.
+func addHelper(spec citronmodel.Spec, engines []Engine, even float64, idleOnly bool) (Plan, bool) {
 	var weakest Engine
 	least := even * weakShare
 	for _, e := range engines {
 		cache := spec.CacheTokens(e.Kind, e.Layers.Len())
-		if !e.Layers.Empty() && cache < least && !heldTwice(engines, e) {
+		if !e.Layers.Empty() && cache < least && !sharesLayers(engines, e) {
 			weakest, least = e, cache
 		}
 	}
@@ -131,10 +138,11 @@
 		return nil, false
 	}
 	for _, s := range spares(spec, engines, Plan{}) {
-		n := min(capacity(spec, s.Kind, even*goodShare), spec.Layers)
-		// One that repeats layers further on helps somebody already: it
-		// would go from one weak engine to the next for ever.
-		if s.ID == weakest.ID || s.Fresh || n < leastHelp || !s.Layers.Empty() && (idle || s.Layers.From > 0) {
+		n := min(layerCapacity(spec, s.Kind, even*helperShare), spec.Layers)
+		// A spare that duplicates layers other than the first helps an engine
+		// already. Moving it would send it from one weak engine to the next
+		// forever.
+		if s.ID == weakest.ID || s.Fresh || n < minHelpLayers || !s.Layers.Empty() && (idleOnly || s.Layers.From > 0) {
 			continue
 		}
 		from := min(weakest.Layers.From, spec.Layers-n)
@@ -143,8 +151,8 @@
 	return nil, false
 }
 
-// heldTwice reports whether another engine holds a part of e's layers.
-func heldTwice(engines []Engine, e Engine) bool {
+// sharesLayers reports whether another engine holds some of e's layers.
+func sharesLayers(engines []Engine, e Engine) bool {
 	for _, o := range engines {
 		if o.ID != e.ID && !overlap(o.Layers, e.Layers).Empty() {
 			return true
--- a/citronplace/orders.go
+++ b/citronplace/orders.go
@@ -7,28 +7,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// EngineState is what an engine says of itself.
+// EngineState is the state that an engine reports about itself.
 type EngineState struct {
 	Layers citronmodel.Span
-	// Busy: an order is being carried out.
+	// Busy is true while the engine carries out an order.
 	Busy bool
-	// Accepted is how many orders the engine has accepted since it started.
+	// Accepted counts the orders that the engine has accepted since it
+	// started.
 	Accepted int64
-	// Slowdown is over 1 when the engine is slower than declared.
+	// Slowdown is greater than 1 when the engine is slower than declared.
 	Slowdown float64
-	// Born is when the engine started, in milliseconds since 1970; zero if
-	// it does not tell.
+	// Born is the start time of the engine in Unix milliseconds, or zero if
+	// the engine does not report it.
 	Born int64
 }
 
 // ErrRefused means that the engine did not accept an order.
 var ErrRefused = errors.New("engine refused the order")
 
-// Orders speaks to engines about what they hold.
+// Orders reads the state of engines and tells them which layers to hold.
 type Orders interface {
 	State(ctx context.Context, addr string) (EngineState, error)
-	// Place orders an engine that has accepted so many orders to hold a
-	// span. An order that was meant for an earlier state is refused, so an
-	// order that arrives late, or twice, changes nothing.
+	// Place orders an engine to hold a span. The engine refuses the order
+	// unless it has accepted exactly the given number of orders so far, so an
+	// order that arrives late or twice changes nothing.
 	Place(ctx context.Context, e citronmodel.Engine, o Order, accepted int64) error
 }
--- a/citronplace/plan.go
+++ b/citronplace/plan.go
@@ -1,23 +1,25 @@
 // Package citronplace decides which engine holds which layers of a model.
 //
-// The load it answers: each availability zone carries its share of the
-// callers at the peak, and what layers do not use of an engine's memory
-// caches the running requests. So each zone gets one whole copy, or two or
-// more where its memory allows that (copies.go), each divided so
-// that fast engines hold as many layers as leave them the cache that the
-// others have too; the rest goes to slow engines. Engines left over are
-// spares: they repeat the first layers, since the first engine of a path
-// bounds how many requests run at once, until they are needed.
+// At peak load each availability zone carries its share of the callers. The
+// part of an engine's memory that layers do not occupy caches the running
+// requests. So each zone gets one whole replica of the model, a set of
+// engines that together hold all layers, or several where its memory allows
+// that (copies.go). Within a replica, fast engines hold as many layers as
+// leave them the same cache as the other engines; slow engines hold the rest.
+// Engines left over are spares. Until they are needed they duplicate the
+// layers with the least cache (cover.go); of equal layers the first, since
+// the first engine of a path limits how many requests run at once.
 //
-// What works is not moved. A hole is filled, in this order, by spare engines
-// and by the engines beside it taking in more layers, which is a load of a
-// few layers and nothing else; by moving the boundaries of as few engines
-// around it as have the room; by dividing the whole zone anew (repair.go).
-// A zone that is whole but has a part with little cache gets a spare for
-// that part (improve.go).
+// Layers that are served are not moved. A gap, a range of layers that no
+// engine holds, is filled in this order: by spares and by neighbouring
+// engines that extend their layer ranges, which loads only a few layers; by
+// moving the boundaries of as few engines around the gap as have the free
+// capacity; by dividing the whole zone again (repair.go). A zone without gaps
+// in which one engine has little cache gets a spare to relieve that engine
+// (improve.go).
 //
-// All of it is a function of what the engines hold and were ordered to hold,
-// so a new leader decides as the old one would have.
+// The decision depends only on what the engines hold and were ordered to
+// hold, so a new leader decides as its predecessor would have.
 package citronplace
 
 import (
@@ -30,53 +32,55 @@
 
 // Engine is an engine that may hold layers.
 type Engine struct {
-	// Engine's Layers are what it holds now.
+	// Engine.Layers is the layer range that the engine holds now.
 	citronmodel.Engine
-	// Goal is what it was last ordered to hold, Layers if no order is
-	// under way.
+	// Goal is the target layer range: the range that the engine was last
+	// ordered to hold, or Layers if no order is pending.
 	Goal citronmodel.Span
-	// Fresh engines joined a moment ago. They wait for the engine that they
-	// may have come to replace, and are no spares yet.
+	// Fresh marks an engine that has just joined. It is reserved for the
+	// engine that it may replace, and is not used as a spare yet.
 	Fresh bool
 }
 
-// Order is what an engine is to hold.
+// Order tells an engine which layers to hold.
 type Order struct {
 	citronmodel.Span
-	// Cut: requests that pass through layers it gives up are not waited
-	// for. Set where a hole has broken all of them anyway.
+	// Cut tells the engine not to wait for the requests that pass through the
+	// layers it gives up. It is set where a gap has broken all of these
+	// requests anyway.
 	Cut bool
 }
 
-// Plan is the orders by engine id. An engine that is not in it keeps what it
-// has.
+// Plan maps engine IDs to orders. An engine without an order keeps its
+// layers.
 type Plan map[string]Order
 
-// bytesPerMB converts the sizes that a model declares.
+// bytesPerMB converts the megabytes in which a model declares its sizes.
 const bytesPerMB = 1e6
 
 const (
-	// headroom is the part of the largest even cache that a new division
-	// aims for. Less than all of it leaves slow engines fewer layers,
-	// which shortens every token, and some engines free as spares.
+	// headroom is the fraction of the even cache that a new division aims
+	// for. Aiming below 1 leaves slow engines fewer layers, which shortens
+	// every token step, and leaves some engines free as spares.
 	headroom = 0.8
 )
 
-// Decide returns the orders for all engines of a service. Engines that are
-// leaving must not be among them; served are the spans that engines which
-// are leaving still serve, by zone.
+// Decide returns the orders for all engines of a service. The engines must
+// not include engines that are leaving; served lists, by zone, the layer
+// ranges that the leaving engines still serve.
 func Decide(spec citronmodel.Spec, engines []Engine, served map[string][]citronmodel.Span) Plan {
 	plan := Plan{}
-	for _, zone := range zones(engines) {
-		for id, o := range decideCopies(spec, zone, served[zone[0].Zone]) {
+	for _, zone := range groupByZone(engines) {
+		for id, o := range decideReplicas(spec, zone, served[zone[0].Zone]) {
 			plan[id] = o
 		}
 	}
 	return plan
 }
 
-// zones groups engines by zone, in a fixed order.
-func zones(engines []Engine) [][]Engine {
+// groupByZone groups engines by zone. The zones are sorted by name and the
+// engines of each zone by ID, so that the decision is deterministic.
+func groupByZone(engines []Engine) [][]Engine {
 	by := map[string][]Engine{}
 	for _, e := range engines {
 		by[e.Zone] = append(by[e.Zone], e)
@@ -100,14 +104,14 @@
 	gaps := Gaps(spec, engines)
 	switch {
 	case len(gaps) == 0:
-		return improve(spec, engines, even, b.within)
+		return improve(spec, engines, even, b.scope)
 	case gaps[0].Len() == spec.Layers:
 		return divide(spec, engines, even*headroom, false, b)
 	}
 	return repair(spec, engines, gaps, served, even, b)
 }
 
-// Gaps returns the layers that no engine holds or was ordered to hold.
+// Gaps returns the layer ranges that no engine holds or was ordered to hold.
 func Gaps(spec citronmodel.Spec, engines []Engine) []citronmodel.Span {
 	held := make([]bool, spec.Layers)
 	for _, e := range engines {
@@ -129,9 +133,9 @@
 	return gaps
 }
 
-// capacity is how many layers an engine may hold and still cache so many
-// tokens.
-func capacity(spec citronmodel.Spec, kind string, tokens float64) int {
+// layerCapacity returns how many layers an engine of the given kind can hold
+// and still cache the given number of tokens.
+func layerCapacity(spec citronmodel.Spec, kind string, tokens float64) int {
 	k, ok := spec.Kinds[kind]
 	if !ok || spec.Layers == 0 {
 		return 0
@@ -140,27 +144,29 @@
 	return min(int(math.Floor(k.MemoryMB/perLayer)), spec.MaxLayers(kind))
 }
 
-// evenCache is the largest cache, in tokens, that all engines of a zone can
-// have at once while they hold all layers; zero if they cannot hold them.
+// evenCache returns the largest cache, in tokens, that all engines of a zone
+// can have at once while together they hold all layers. It returns zero if
+// they cannot hold all layers.
 func evenCache(spec citronmodel.Spec, engines []Engine) float64 {
 	return evenCacheFor(spec, engines, spec.Layers)
 }
 
 const (
-	// mostTokens and searchSteps bound the search for an even cache.
-	mostTokens  = 1e7
-	searchSteps = 40
+	// maxCacheTokens (in tokens) and searchSteps bound the binary search for
+	// the even cache.
+	maxCacheTokens = 1e7
+	searchSteps    = 40
 )
 
 func evenCacheFor(spec citronmodel.Spec, engines []Engine, layers int) float64 {
 	fits := func(tokens float64) bool {
 		sum := 0
 		for _, e := range engines {
-			sum += capacity(spec, e.Kind, tokens)
+			sum += layerCapacity(spec, e.Kind, tokens)
 		}
 		return sum >= layers
 	}
-	low, high := 0.0, mostTokens
+	low, high := 0.0, maxCacheTokens
 	if !fits(low) {
 		return 0
 	}
@@ -174,43 +180,45 @@
 	return low
 }
 
-// usefulCache is the even cache of a zone, as far as its requests can fill it.
-// Memory beyond that serves nobody as cache, and holds layers a second time
-// instead (cover).
+// usefulCache returns the even cache of a zone, limited to what the zone's
+// requests can fill. Memory beyond that is useless as cache and holds
+// duplicate layers instead (duplicateLayers).
 func usefulCache(spec citronmodel.Spec, engines []Engine) float64 {
 	return min(evenCache(spec, engines), fullCache(spec)/headroom)
 }
 
-// fullCache is the cache that the requests of one first engine take when all
-// its places are taken by usual requests, in tokens.
+// fullCache returns the cache, in tokens, that requests of mean length take
+// when all request slots of one first engine are occupied.
 func fullCache(spec citronmodel.Spec) float64 {
 	if spec.Slots <= 0 || spec.MeanTokens <= 0 {
-		return mostTokens
+		return maxCacheTokens
 	}
 	return float64(spec.Slots * spec.MeanTokens)
 }
 
-// current is what an engine holds once plan is carried out.
-func current(plan Plan, e Engine) citronmodel.Span {
+// plannedSpan returns the layer range that an engine holds after the plan is
+// carried out.
+func plannedSpan(plan Plan, e Engine) citronmodel.Span {
 	if o, ok := plan[e.ID]; ok {
 		return o.Span
 	}
 	return e.Goal
 }
 
-// overlap is the part that two spans share.
+// overlap returns the layers that both spans contain; the result may be
+// empty.
 func overlap(a, b citronmodel.Span) citronmodel.Span {
 	return citronmodel.Span{From: max(a.From, b.From), To: min(a.To, b.To)}
 }
 
-// spares returns the engines without which all layers that are held now
-// stay held, fastest first; empty ones go before those that repeat layers.
-// An engine that has not yet loaded what it was ordered to hold stands for
-// nobody.
+// spares returns the engines that can be taken away without creating a gap in
+// the layers held now. Engines that hold nothing come before engines that
+// duplicate layers, and fast engines before slow ones. An engine that has not
+// yet loaded its target layer range does not count as a duplicate of another.
 func spares(spec citronmodel.Spec, engines []Engine, plan Plan) []Engine {
 	count := make([]int, spec.Layers)
 	for _, e := range engines {
-		s := overlap(e.Layers, current(plan, e))
+		s := overlap(e.Layers, plannedSpan(plan, e))
 		for l := s.From; l < min(s.To, spec.Layers); l++ {
 			count[l]++
 		}
@@ -244,10 +252,10 @@
 	return out
 }
 
-// divide assigns all layers anew. Engines keep their order along the model,
+// divide assigns all layers again. Engines keep their order along the model,
 // so that as many layers as possible stay where they are.
 func divide(spec citronmodel.Spec, engines []Engine, tokens float64, cut bool, b bounds) Plan {
-	if tokens < b.least {
+	if tokens < b.minCache {
 		return Plan{}
 	}
 	counts, ok := allocate(spec, engines, tokens, spec.Layers)
@@ -261,16 +269,17 @@
 			return b.Goal.Empty()
 		}
 		if a.Goal.Empty() {
-			// Slow engines first: they have few layers, and copies
-			// of the first layers are cheap.
+			// Slow engines first: they get few layers, and duplicates of the
+			// first layers are cheap.
 			return spec.Kinds[a.Kind].StepFactor > spec.Kinds[b.Kind].StepFactor
 		}
 		return a.Goal.From < b.Goal.From
 	})
-	return cover(spec, engines, assign(order, counts, 0, cut), b.within)
+	return duplicateLayers(spec, engines, assign(order, counts, 0, cut), b.scope)
 }
 
-// assign gives the engines their counts of layers one after the other.
+// assign gives each engine its count of layers, one range after the other,
+// starting at layer at.
 func assign(order []Engine, counts map[string]int, at int, cut bool) Plan {
 	plan := Plan{}
 	for _, e := range order {
@@ -284,8 +293,9 @@
 	return plan
 }
 
-// allocate says how many of the layers each engine gets: the fastest are filled
-// first, each up to what leaves it the cache asked for.
+// allocate returns how many of the layers each engine gets, and whether all
+// layers found a place. The fastest engines are filled first, each up to the
+// number that leaves it the given cache.
 func allocate(spec citronmodel.Spec, engines []Engine, tokens float64, layers int) (map[string]int, bool) {
 	order := slices.Clone(engines)
 	sort.SliceStable(order, func(i, j int) bool {
@@ -294,7 +304,7 @@
 	counts := map[string]int{}
 	left := layers
 	for _, e := range order {
-		n := min(capacity(spec, e.Kind, tokens), left)
+		n := min(layerCapacity(spec, e.Kind, tokens), left)
 		if n > 0 {
 			counts[e.ID] = n
 			left -= n
--- a/citronplace/plan_test.go
+++ b/citronplace/plan_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// spec is an 80-layer model on three kinds of accelerators whose speeds
-// differ sevenfold.
+// spec describes an 80-layer model on three kinds of accelerators whose
+// speeds differ by a factor of seven.
 var spec = citronmodel.Spec{
 	Layers: 80, LayerMB: 1750, TokenBytes: 590_000, StepMS: 1.02, PerSeqMS: 0.0046, ContextMSPerK: 0.0062, ReadPerS: 164_000, Slots: 192,
 	Kinds: map[string]citronmodel.Kind{
@@ -21,7 +21,7 @@
 	},
 }
 
-// fleet is a zone of empty engines.
+// fleet returns the engines of one zone, all of them empty.
 func fleet(zone string, large, small, slow int) []citronplace.Engine {
 	var out []citronplace.Engine
 	for kind, n := range map[string]int{"large": large, "small": small, "slow": slow} {
@@ -33,7 +33,7 @@
 	return out
 }
 
-// carryOut returns the engines as they are once a plan is carried out.
+// carryOut returns the engines as they are after the plan is carried out.
 func carryOut(engines []citronplace.Engine, plan citronplace.Plan) []citronplace.Engine {
 	out := append([]citronplace.Engine(nil), engines...)
 	for i, e := range out {
@@ -44,10 +44,10 @@
 	return out
 }
 
-// settle carries plans out until nothing is left to do. Layers are passed on
-// one pair of engines a time, so a zone of thirty takes more steps than one
-// of a dozen.
-func settle(t interface{ Fatalf(string, ...any) }, engines []citronplace.Engine) []citronplace.Engine {
+// decideUntilStable carries out plans until Decide returns no orders. Layers
+// move between one pair of engines at a time, so a zone of thirty engines
+// takes more steps than a zone of a dozen.
+func decideUntilStable(t interface{ Fatalf(string, ...any) }, engines []citronplace.Engine) []citronplace.Engine {
 	for range max(40, 6*len(engines)) {
 		plan := citronplace.Decide(spec, engines, nil)
 		if len(plan) == 0 {
@@ -55,7 +55,7 @@
 		}
 		engines = carryOut(engines, plan)
 	}
-	t.Fatalf("placement does not come to rest: %v", citronplace.Decide(spec, engines, nil))
+	t.Fatalf("placement does not stabilize; the next plan is %v", citronplace.Decide(spec, engines, nil))
 	return nil
 }
 
@@ -69,7 +69,7 @@
 	return out
 }
 
-func moved(a, b []citronplace.Engine) int {
+func countMoved(a, b []citronplace.Engine) int {
 	had := map[string]citronmodel.Span{}
 	for _, e := range a {
 		had[e.ID] = e.Layers
@@ -83,25 +83,25 @@
 	return n
 }
 
-// Whatever the zone and whatever is lost, an engine is never ordered to hold
-// more than its memory, the placement comes to rest, and if the engines left
-// can hold the model they do.
+// Whatever the zone and the engines it loses, no engine is ordered to hold
+// more than its memory, the placement stabilizes, and the remaining engines
+// hold all layers if they can.
 func TestPlacementHoldsAllLayers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := fleet("z", rapid.IntRange(0, 2).Draw(t, "large"), rapid.IntRange(0, 10).Draw(t, "small"), rapid.IntRange(0, 8).Draw(t, "slow"))
 		for range rapid.IntRange(1, 4).Draw(t, "losses") {
-			room := 0
+			capacity := 0
 			for _, e := range engines {
-				room += spec.MaxLayers(e.Kind)
+				capacity += spec.MaxLayers(e.Kind)
 			}
-			engines = settle(t, engines)
+			engines = decideUntilStable(t, engines)
 			for _, e := range engines {
 				if e.Layers.Len() > spec.MaxLayers(e.Kind) {
 					t.Fatalf("%s holds %d layers", e.ID, e.Layers.Len())
 				}
 			}
-			if gaps := citronplace.Gaps(spec, engines); room >= spec.Layers && len(engines) > 0 && len(gaps) > 0 {
-				t.Fatalf("gaps %v with room for %d layers", gaps, room)
+			if gaps := citronplace.Gaps(spec, engines); capacity >= spec.Layers && len(engines) > 0 && len(gaps) > 0 {
+				t.Fatalf("gaps %v though the engines have memory for %d layers", gaps, capacity)
 			}
 			if len(engines) == 0 {
 				return
@@ -112,20 +112,20 @@
 	})
 }
 
-// A zone that is whole is left alone.
-func TestWholeZoneIsNotMoved(t *testing.T) {
+// Engines of a zone that holds all layers get no orders.
+func TestCompleteZoneIsLeftUnchanged(t *testing.T) {
 	is := is.New(t)
-	engines := settle(t, fleet("z", 1, 6, 6))
+	engines := decideUntilStable(t, fleet("z", 1, 6, 6))
 	is.Equal(len(citronplace.Decide(spec, engines, nil)), 0)
 }
 
-// The busiest moment, one engine dies. Its layers must be back after loads
-// of a few layers, so most engines keep what they have.
+// At peak load one engine dies. Its layers must be back after loads of a few
+// layers, so most engines keep the layers they hold.
 func TestCrashMovesFewEngines(t *testing.T) {
 	for _, kind := range []string{"small", "slow"} {
 		t.Run(kind, func(t *testing.T) {
 			is := is.New(t)
-			engines := settle(t, fleet("z", 1, 10, 4))
+			engines := decideUntilStable(t, fleet("z", 1, 10, 4))
 			for _, e := range engines {
 				if e.Kind != kind {
 					continue
@@ -133,41 +133,43 @@
 				left := without(engines, func(o citronplace.Engine) bool { return o.ID == e.ID })
 				after := carryOut(left, citronplace.Decide(spec, left, nil))
 				is.Equal(len(citronplace.Gaps(spec, after)), 0)
-				is.True(moved(left, after) <= 8)
+				is.True(countMoved(left, after) <= 8)
 			}
 		})
 	}
 }
 
-// The loss of a zone's one large engine leaves a hole of a quarter of the
-// model. Filling the first spares up would leave a zone that
-// caches a third of what it could; the hole is spread instead.
-func TestLossOfLargeEngineIsSpread(t *testing.T) {
+// The loss of a zone's only large engine leaves a gap of a quarter of the
+// model. Filling the first spares up would leave a zone that caches a third
+// of what it could, so the gap must be spread over more engines.
+func TestGapOfLargeEngineIsSpread(t *testing.T) {
 	is := is.New(t)
-	engines := settle(t, fleet("z", 1, 6, 6))
+	engines := decideUntilStable(t, fleet("z", 1, 6, 6))
 	left := without(engines, func(e citronplace.Engine) bool { return e.Kind == "large" })
-	after := settle(t, left)
+	after := decideUntilStable(t, left)
 	least := 1e9
 	for _, e := range after {
 		if !e.Layers.Empty() {
 			least = min(least, spec.CacheTokens(e.Kind, e.Layers.Len()))
 		}
 	}
-	is.True(least > 80_000) // the best even division of these engines caches 129,000
+	is.True(least > 80_000) // the most even division of these engines caches 129,000 tokens
 }
 
-// A replacement that has not loaded yet does not stand for the engine whose
-// layers it repeats: moving that one away would leave a hole.
-func TestEngineUnderOrderStandsForNobody(t *testing.T) {
+// An engine that has not yet loaded its target layers does not replace the
+// engine whose layers it duplicates: moving that engine away would leave a
+// gap.
+func TestEngineWithPendingOrderIsNoDuplicate(t *testing.T) {
 	is := is.New(t)
-	engines := settle(t, fleet("z", 2, 4, 4))
+	engines := decideUntilStable(t, fleet("z", 2, 4, 4))
 	var twin, victim string
 	for i, e := range engines {
 		switch {
 		case e.Kind == "large" && twin == "":
 			twin = e.ID
 		case e.Kind == "large":
-			// This one is empty and has been ordered to repeat its twin.
+			// This engine is empty and has been ordered to duplicate its
+			// twin.
 			for _, o := range engines {
 				if o.ID == twin {
 					engines[i].Goal = o.Layers
@@ -183,17 +185,17 @@
 	if o, ok := plan[twin]; ok {
 		for _, e := range left {
 			if e.ID == twin {
-				is.True(o.Covers(e.Layers)) // it may take in more, not leave
+				is.True(o.Covers(e.Layers)) // it may add layers, but not give any up
 			}
 		}
 	}
 }
 
-// The hole of an engine that is leaving is still served: running requests
-// are not cut off to fill it.
-func TestLeavingEngineCutsNothingOff(t *testing.T) {
+// The layers of an engine that is leaving are still served, so running
+// requests are not cut to fill its gap.
+func TestGapOfLeavingEngineCutsNoRequests(t *testing.T) {
 	is := is.New(t)
-	engines := settle(t, fleet("z", 1, 10, 4))
+	engines := decideUntilStable(t, fleet("z", 1, 10, 4))
 	var gone citronplace.Engine
 	for _, e := range engines {
 		if e.Kind == "small" && e.Layers.From > 0 {
@@ -208,10 +210,11 @@
 	}
 }
 
-// A zone is told that one of its two large engines leaves. The other and one
-// spare could take in its layers without moving anything, but would then
-// cache a fifth of what the zone's engines could, and limit it for good.
-func TestLeavingLargeEngineLeavesNoWeakPart(t *testing.T) {
+// One of a zone's two large engines leaves. The other one and a single spare
+// could take over its layers without moving anything else, but would then
+// cache a fifth of what the zone's engines could, and limit the zone
+// permanently.
+func TestGapOfLeavingLargeEngineLeavesNoWeakEngine(t *testing.T) {
 	is := is.New(t)
 	var left []citronplace.Engine
 	hold := func(id, kind string, from, to int) {
@@ -236,11 +239,11 @@
 			least = min(least, spec.CacheTokens(e.Kind, e.Layers.Len()))
 		}
 	}
-	is.True(least > 70_000) // the even cache of what is left is 129,000
+	is.True(least > 70_000) // the even cache of the remaining engines is 129,000 tokens
 }
 
-// BenchmarkDecide gives the cost of one decision about so many engines in
-// zones of about 14, all of them placed: what a leader does ten times a
+// BenchmarkDecide measures one decision for the given number of engines in
+// zones of about 14, all of them placed. A leader makes ten such decisions a
 // second.
 func BenchmarkDecide(b *testing.B) {
 	for _, zones := range []int{1, 3, 8, 70} {
@@ -248,7 +251,7 @@
 		for z := range zones {
 			engines = append(engines, fleet(fmt.Sprintf("z%d", z), 1, 7, 6)...)
 		}
-		engines = settle(b, engines)
+		engines = decideUntilStable(b, engines)
 		b.Run(fmt.Sprint(len(engines)), func(b *testing.B) {
 			for range b.N {
 				citronplace.Decide(spec, engines, nil)
--- a/citronplace/repair.go
+++ b/citronplace/repair.go
@@ -9,63 +9,67 @@
 )
 
 const (
-	// extendShare is the part of the zone's even cache that engines must
-	// keep when they only take in layers: less, and the zone carries so
-	// much less until it is balanced that moving boundaries pays.
+	// extendShare is the fraction of the zone's even cache that engines must
+	// keep when they only add layers. Below that the zone carries so much
+	// less until it is balanced that moving boundaries is worth its cost.
 	extendShare = 0.5
-	// servedShare is the same for a gap that an engine which is leaving
-	// still serves: whoever gives up layers for it would have to wait for
-	// running requests, and the zone would have a hole meanwhile.
+	// servedShare replaces extendShare for a gap that a leaving engine still
+	// serves. An engine that gave up layers for such a gap would have to wait
+	// for running requests, and the zone would have a gap meanwhile.
 	servedShare = 0.3
-	// standInShare is the same for an engine that fills a gap alone.
-	standInShare = 0.5
-	// windowShare is the same for moving the boundaries of some engines.
+	// idleFillShare is the fraction that an engine must keep when it alone
+	// fills a gap.
+	idleFillShare = 0.5
+	// windowShare is the fraction that engines must keep when the boundaries
+	// of some engines are moved.
 	windowShare = 0.7
-	// poorShare is what engines keep when nothing better is to be had: a
-	// zone that carries a fifth is better than one that carries nothing.
-	poorShare = 0.2
-	// repairSearch and repairSteps bound the search for the evenest
-	// extension.
-	repairSearch = 4
-	repairSteps  = 12
+	// lastResortShare is the fraction that engines must keep when no better
+	// plan exists: a zone that carries a fifth of its load is better than one
+	// that carries nothing.
+	lastResortShare = 0.2
+	// extendSearchFactor and extendSearchSteps bound the binary search for
+	// the extension with the most even cache.
+	extendSearchFactor = 4
+	extendSearchSteps  = 12
 )
 
-// bounds are what a plan for some engines of a zone keeps to.
+// bounds limits a plan for some engines of a zone.
 type bounds struct {
-	within reach
-	// least is the cache, in tokens, that an engine must keep; zero: a gap is
-	// filled whatever is left.
-	least float64
+	scope duplicateScope
+	// minCache is the cache, in tokens, that an engine must keep. If it is
+	// zero, a gap is filled however little cache is left.
+	minCache float64
 }
 
-// repair fills gaps.
+// repair fills gaps: first with engines that hold nothing, then with engines
+// that hold layers already.
 func repair(spec citronmodel.Spec, engines []Engine, gaps, served []citronmodel.Span, even float64, b bounds) Plan {
-	cut := !covered(gaps, served)
-	plan := standIns(spec, engines, gaps, max(b.least, even*standInShare))
-	engines = carriedOut(engines, plan)
-	if left := Gaps(spec, engines); len(left) > 0 {
-		maps.Copy(plan, move(spec, engines, left, even, cut, b))
+	cut := !allServed(gaps, served)
+	plan := fillWithIdle(spec, engines, gaps, max(b.minCache, even*idleFillShare))
+	engines = withGoals(engines, plan)
+	if unfilled := Gaps(spec, engines); len(unfilled) > 0 {
+		maps.Copy(plan, fillFromHolders(spec, engines, unfilled, even, cut, b))
 	}
 	return plan
 }
 
-// standIns gives whole gaps to engines that hold nothing.
+// fillWithIdle fills each gap that fits into one engine with an engine that
+// holds nothing.
 //
-// The load it answers: a release replaces engines one after the other, each
-// by a new one of its kind which starts a second before. One load then
-// brings the zone back to where it was, often before the old engine has
-// left. A gap that was shared out for an even cache left every engine of the
-// zone moved by the end of a release, and the zone with holes on the way.
-// The engine with the least room that fits is taken: that is the kind which
-// held the gap before.
-func standIns(spec citronmodel.Spec, engines []Engine, gaps []citronmodel.Span, tokens float64) Plan {
+// A release replaces engines one after the other, each by a new engine of the
+// same kind that starts a second earlier. A single load then restores the
+// zone, often before the old engine has left. Sharing the gap out for an even
+// cache instead moved every engine of the zone by the end of a release, and
+// left gaps in the zone on the way. The engine with the smallest capacity
+// that fits is taken: it is of the kind that held the gap before.
+func fillWithIdle(spec citronmodel.Spec, engines []Engine, gaps []citronmodel.Span, tokens float64) Plan {
 	plan := Plan{}
 	for _, g := range gaps {
 		var best Engine
 		least := 0
 		for _, e := range engines {
 			_, taken := plan[e.ID]
-			n := capacity(spec, e.Kind, tokens)
+			n := layerCapacity(spec, e.Kind, tokens)
 			if taken || !e.Goal.Empty() || !e.Layers.Empty() || n < g.Len() {
 				continue
 			}
@@ -80,87 +84,89 @@
 	return plan
 }
 
-// move fills gaps by engines that hold layers already, as far as there are
-// no others. Ways that only add layers go first, even if they leave some
-// engines little cache: they are done after a load of a few layers and take
-// nothing from running requests, and balance evens the cache out later. An
-// engine that gives up layers first waits for the requests that run through
-// them, which lasts up to 15 s, or cuts them off.
-func move(spec citronmodel.Spec, engines []Engine, gaps []citronmodel.Span, even float64, cut bool, b bounds) Plan {
+// fillFromHolders fills gaps with engines that hold layers already, once
+// fillWithIdle has found no engine. Plans that only add layers come first,
+// even if they leave some engines little cache: they need only a load of a
+// few layers and do not affect running requests, and balance evens out the
+// cache later. An engine that gives up layers first waits up to 15 s for the
+// requests that run through them, or cuts these requests.
+func fillFromHolders(spec citronmodel.Spec, engines []Engine, gaps []citronmodel.Span, even float64, cut bool, b bounds) Plan {
 	share := extendShare
 	if !cut {
 		share = servedShare
 	}
-	if plan, ok := extend(spec, engines, gaps, max(b.least, even*share), keepAll); ok {
+	if plan, ok := extend(spec, engines, gaps, max(b.minCache, even*share), keepLayers); ok {
 		return plan
 	}
-	if plan, ok := extend(spec, engines, gaps, max(b.least, even*extendShare), way(cut)); ok {
+	if plan, ok := extend(spec, engines, gaps, max(b.minCache, even*extendShare), spareUseFor(cut)); ok {
 		return plan
 	}
-	if plan, ok := windows(spec, engines, gaps, max(b.least, even*windowShare), cut); ok {
+	if plan, ok := shiftWindows(spec, engines, gaps, max(b.minCache, even*windowShare), cut); ok {
 		return plan
 	}
-	if plan, ok := extend(spec, engines, gaps, max(b.least, even*poorShare), way(cut)); ok {
+	if plan, ok := extend(spec, engines, gaps, max(b.minCache, even*lastResortShare), spareUseFor(cut)); ok {
 		return plan
 	}
 	return divide(spec, engines, even*headroom, cut, b)
 }
 
-// giving says what spares that repeat layers may do to fill a gap.
-type giving int
+// spareUse says what spares that duplicate layers may do to fill a gap.
+type spareUse int
 
 const (
-	// keepAll: they keep what they have.
-	keepAll giving = iota
-	// giveUp: they give it up once no request runs through it.
-	giveUp
-	// cutOff: they give it up at once. A hole that nobody serves has
-	// stopped all requests of the zone anyway.
-	cutOff
+	// keepLayers: spares keep the layers they hold.
+	keepLayers spareUse = iota
+	// releaseWhenIdle: spares give up their layers once no request runs
+	// through them.
+	releaseWhenIdle
+	// releaseAtOnce: spares give up their layers at once. A gap that no
+	// engine serves has stopped all requests of the zone anyway.
+	releaseAtOnce
 )
 
-func way(cut bool) giving {
+func spareUseFor(cut bool) spareUse {
 	if cut {
-		return cutOff
+		return releaseAtOnce
 	}
-	return giveUp
+	return releaseWhenIdle
 }
 
-// windows fills gaps one after the other by moving the boundaries around
-// each. Engines die in numbers within seconds of each other; dividing the
-// whole zone anew for that would take it out of use until all of it is
-// loaded again.
-func windows(spec citronmodel.Spec, engines []Engine, gaps []citronmodel.Span, least float64, cut bool) (Plan, bool) {
+// shiftWindows fills gaps one after the other by moving the boundaries around
+// each. Several engines may die within seconds of each other; dividing the
+// whole zone again for that would take it out of service until all of it is
+// loaded.
+func shiftWindows(spec citronmodel.Spec, engines []Engine, gaps []citronmodel.Span, minCache float64, cut bool) (Plan, bool) {
 	plan := Plan{}
 	for range gaps {
-		after := carriedOut(engines, plan)
+		after := withGoals(engines, plan)
 		left := Gaps(spec, after)
 		if len(left) == 0 {
 			break
 		}
-		part, ok := window(spec, after, left[0], least, cut)
+		part, ok := shiftWindow(spec, after, left[0], minCache, cut)
 		if !ok {
 			return nil, false
 		}
 		maps.Copy(plan, part)
 	}
-	return plan, len(Gaps(spec, carriedOut(engines, plan))) == 0
+	return plan, len(Gaps(spec, withGoals(engines, plan))) == 0
 }
 
-// carriedOut returns the engines with a plan's orders as their goals.
-func carriedOut(engines []Engine, plan Plan) []Engine {
+// withGoals returns the engines with the plan's orders as their target layer
+// ranges. The layers they hold stay unchanged.
+func withGoals(engines []Engine, plan Plan) []Engine {
 	out := slices.Clone(engines)
 	for i, e := range out {
-		out[i].Goal = current(plan, e)
+		out[i].Goal = plannedSpan(plan, e)
 	}
 	return out
 }
 
-// covered reports whether the served spans hold every layer of the gaps between
-// them. Copies of the model are divided at different layers, so that a gap
-// seldom lies in one span of another copy; asked for that, orders broke the
-// streams that had just been moved to those copies.
-func covered(gaps, served []citronmodel.Span) bool {
+// allServed reports whether the served spans together hold every layer of the
+// gaps. Replicas are divided at different layers, so a gap seldom lies within
+// one span of another replica. Requiring a single span produced orders that
+// cut the streams which had just been moved to the other replicas.
+func allServed(gaps, served []citronmodel.Span) bool {
 	for _, g := range gaps {
 		for l := g.From; l < g.To; l++ {
 			held := func(s citronmodel.Span) bool { return s.From <= l && l < s.To }
@@ -173,24 +179,24 @@
 }
 
 // extend fills gaps without giving up any layer that only one engine holds,
-// as evenly as it can: with the largest cache that all engines which take
-// part can keep. It fails if that is less than least.
-func extend(spec citronmodel.Spec, engines []Engine, gaps []citronmodel.Span, least float64, g giving) (Plan, bool) {
+// as evenly as it can: it searches for the largest cache that all engines
+// taking part can keep. It fails if that cache is smaller than minCache.
+func extend(spec citronmodel.Spec, engines []Engine, gaps []citronmodel.Span, minCache float64, use spareUse) (Plan, bool) {
 	try := func(tokens float64) (Plan, bool) {
 		plan := Plan{}
 		for _, gap := range gaps {
-			if !fillGap(spec, engines, plan, gap, tokens, g) {
+			if !fillGap(spec, engines, plan, gap, tokens, use) {
 				return nil, false
 			}
 		}
 		return plan, true
 	}
-	best, ok := try(least)
+	best, ok := try(minCache)
 	if !ok {
 		return nil, false
 	}
-	low, high := least, least*repairSearch
-	for range repairSteps {
+	low, high := minCache, minCache*extendSearchFactor
+	for range extendSearchSteps {
 		mid := (low + high) / 2
 		if plan, ok := try(mid); ok {
 			low, best = mid, plan
@@ -201,46 +207,48 @@
 	return best, true
 }
 
-// fillGap gives a gap to spares, then to the engines beside it.
-func fillGap(spec citronmodel.Spec, engines []Engine, plan Plan, g citronmodel.Span, tokens float64, give giving) bool {
+// fillGap gives the layers of a gap to spares first and to the neighbouring
+// engines after that. It adds the orders to plan and reports whether it
+// filled the whole gap.
+func fillGap(spec citronmodel.Spec, engines []Engine, plan Plan, g citronmodel.Span, tokens float64, use spareUse) bool {
 	for _, e := range spares(spec, engines, plan) {
 		if g.Empty() {
 			return true
 		}
-		n := min(capacity(spec, e.Kind, tokens), g.Len())
-		if n <= 0 || give == keepAll && !e.Layers.Empty() {
+		n := min(layerCapacity(spec, e.Kind, tokens), g.Len())
+		if n <= 0 || use == keepLayers && !e.Layers.Empty() {
 			continue
 		}
-		plan[e.ID] = Order{Span: citronmodel.Span{From: g.From, To: g.From + n}, Cut: give == cutOff}
+		plan[e.ID] = Order{Span: citronmodel.Span{From: g.From, To: g.From + n}, Cut: use == releaseAtOnce}
 		g.From += n
 	}
 	for _, e := range engines {
-		s := current(plan, e)
+		s := plannedSpan(plan, e)
 		if g.Empty() || s.Empty() {
 			continue
 		}
-		room := min(capacity(spec, e.Kind, tokens)-s.Len(), g.Len())
-		if room <= 0 {
+		free := min(layerCapacity(spec, e.Kind, tokens)-s.Len(), g.Len())
+		if free <= 0 {
 			continue
 		}
 		switch {
 		case s.To == g.From:
-			plan[e.ID] = Order{Span: citronmodel.Span{From: s.From, To: s.To + room}}
-			g.From += room
+			plan[e.ID] = Order{Span: citronmodel.Span{From: s.From, To: s.To + free}}
+			g.From += free
 		case s.From == g.To:
-			plan[e.ID] = Order{Span: citronmodel.Span{From: s.From - room, To: s.To}}
-			g.To -= room
+			plan[e.ID] = Order{Span: citronmodel.Span{From: s.From - free, To: s.To}}
+			g.To -= free
 		}
 	}
 	return g.Empty()
 }
 
-// window moves the boundaries of as few engines around a gap as have the
-// room for it.
-func window(spec citronmodel.Spec, engines []Engine, g citronmodel.Span, least float64, cut bool) (Plan, bool) {
+// shiftWindow moves the boundaries of as few engines around a gap as have the
+// free capacity to fill it.
+func shiftWindow(spec citronmodel.Spec, engines []Engine, g citronmodel.Span, minCache float64, cut bool) (Plan, bool) {
 	free := spares(spec, engines, Plan{})
 	var left, right []Engine
-	for _, e := range chain(engines, free) {
+	for _, e := range holdersInOrder(engines, free) {
 		if e.Goal.To <= g.From {
 			left = append(left, e)
 		} else if e.Goal.From >= g.To {
@@ -258,7 +266,7 @@
 		}
 		order := slices.Concat(l, free, rt)
 		even := evenCacheFor(spec, order, all.Len())
-		if even < least {
+		if even < minCache {
 			continue
 		}
 		if counts, ok := allocate(spec, order, even, all.Len()); ok {
@@ -268,9 +276,9 @@
 	return nil, false
 }
 
-// chain returns the engines that hold layers and are no spares, in the order
-// of the model.
-func chain(engines, free []Engine) []Engine {
+// holdersInOrder returns the engines that hold layers and are not spares, in
+// the order of their first layers.
+func holdersInOrder(engines, free []Engine) []Engine {
 	spare := map[string]bool{}
 	for _, e := range free {
 		spare[e.ID] = true
