--- a/citronroute/backend.go
+++ b/citronroute/backend.go
@@ -1,11 +1,11 @@
 // Package citronroute decides where a request goes. It holds the immutable
-// routing snapshot that traffic reads, picks chains of engines that cover
-// a model's layers exactly once and in order, picks upstreams of plain
-// services, and watches over the calls in flight so that a back end that
-// stops answering is noticed long before the callers' deadlines.
+// routing snapshot that traffic reads, picks chains of engines that cover a
+// model's layers exactly once and in order, and picks upstreams of plain
+// services. Its watchdog monitors the calls in flight, so that a back end
+// that stops answering is noticed long before the callers' deadlines.
 //
-// The control goroutine of an entry builds snapshots; traffic only reads
-// them and reports back what it sees of back ends.
+// The control goroutine of an entry builds snapshots. Request goroutines only
+// read them and report back what they learn about back ends.
 package citronroute
 
 import (
@@ -23,14 +23,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrFrozen is the cause of a call ended because its back end answered
-// neither the call nor the probes sent after it. The call had reached the
-// back end, so whether it ran is unknown.
+// ErrFrozen is the cause of a call that was ended because its back end
+// answered neither the call nor the probes sent after it. The call had
+// reached the back end, so it is unknown whether it ran.
 var ErrFrozen = errors.New("back end stopped answering")
 
-// Backend is one engine or upstream as traffic sees it. Its clients and
-// its activity live across snapshots; only the control goroutine creates
-// them.
+// Backend is one engine or upstream as request goroutines see it. Its clients
+// and its activity are kept across snapshots. Only the control goroutine
+// creates back ends.
 type Backend struct {
 	Spec   citronfleet.Backend
 	Kind   citronfleet.Kind
@@ -41,18 +41,18 @@
 	*activity
 }
 
-// activity is what an entry knows of the calls it has in flight at one
+// activity is what an entry knows about the calls it has in flight at one
 // back end.
 type activity struct {
 	inflight atomic.Int64
-	// bound is the number of requests whose chain runs through here. It
-	// says what is coming, where calls in flight only say where the
-	// requests happen to be at this instant.
+	// bound is the number of requests whose chain contains the back end. It
+	// shows the load to expect, while inflight only shows where the requests
+	// are at this instant.
 	bound   atomic.Int64
 	probing atomic.Bool
-	// saidLeaving is when a call was last told that it is leaving, in Unix
-	// nanoseconds; zero: never.
-	saidLeaving atomic.Int64
+	// reportedLeaving is when a call was last answered that the back end is
+	// leaving, in Unix nanoseconds; zero means never.
+	reportedLeaving atomic.Int64
 
 	mu         sync.Mutex
 	calls      map[*call]struct{}
@@ -60,34 +60,36 @@
 }
 
 type call struct {
-	// frozen is called when the back end is found frozen.
-	frozen func()
-	start  time.Time
+	// onFrozen is called when the back end is found frozen.
+	onFrozen func()
+	start    time.Time
 }
 
-// Inflight is the number of calls this entry has in flight at b.
+// Inflight returns the number of calls that this entry has in flight at b.
 func (b *Backend) Inflight() int64 { return b.inflight.Load() }
 
-// leavingMemory is how long the word of a back end that it leaves counts by itself. The
-// control goroutine, which may be behind, has it in the snapshots by then.
-const leavingMemory = 2 * time.Second
+// leavingTTL is how long a back end's own report that it is leaving keeps
+// requests away from it. The control goroutine may lag behind, but has the
+// report in its snapshots by then.
+const leavingTTL = 2 * time.Second
 
-// SaidLeaving keeps requests from a back end that has just told one that it leaves.
-func (b *Backend) SaidLeaving(now time.Time) { b.saidLeaving.Store(now.UnixNano()) }
+// SaidLeaving records that b has told a request that it is leaving, and keeps
+// further requests away from it for leavingTTL.
+func (b *Backend) SaidLeaving(now time.Time) { b.reportedLeaving.Store(now.UnixNano()) }
 
 func (a *activity) isLeaving(now time.Time) bool {
-	at := a.saidLeaving.Load()
-	return at != 0 && now.Sub(time.Unix(0, at)) < leavingMemory
+	at := a.reportedLeaving.Load()
+	return at != 0 && now.Sub(time.Unix(0, at)) < leavingTTL
 }
 
-// Bind notes that a request's chain runs through b; Unbind ends that.
+// Bind records that a request's chain contains b. Unbind reverses it.
 func (b *Backend) Bind() { b.bound.Add(1) }
 
-// Unbind ends a Bind.
+// Unbind reverses one Bind.
 func (b *Backend) Unbind() { b.bound.Add(-1) }
 
-// Do runs fn, one call to b, under the watchdog's eye. If b freezes, fn's
-// context ends and Do returns ErrFrozen.
+// Do runs fn, which makes one call to b, under the watchdog. If b freezes,
+// fn's context is cancelled and Do returns ErrFrozen.
 func (b *Backend) Do(ctx context.Context, clock citronclock.Clock, fn func(context.Context) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -98,15 +100,15 @@
 	return err
 }
 
-// DoPatiently runs fn as Do does, but when b freezes it only calls frozen
-// and goes on waiting: a call that must not run twice cannot be sent
-// elsewhere, and its answer, should b thaw, is worth recording.
-func (b *Backend) DoPatiently(clock citronclock.Clock, frozen func(), fn func() error) error {
-	return b.track(clock, frozen, fn)
+// DoPatiently runs fn as Do does, but if b freezes it calls onFrozen and
+// continues to wait. A call that must not run twice cannot be sent elsewhere,
+// and its answer is worth recording if b recovers.
+func (b *Backend) DoPatiently(clock citronclock.Clock, onFrozen func(), fn func() error) error {
+	return b.track(clock, onFrozen, fn)
 }
 
-func (b *Backend) track(clock citronclock.Clock, frozen func(), fn func() error) error {
-	c := &call{frozen: frozen, start: clock.Now()}
+func (b *Backend) track(clock citronclock.Clock, onFrozen func(), fn func() error) error {
+	c := &call{onFrozen: onFrozen, start: clock.Now()}
 	b.inflight.Add(1)
 	b.mu.Lock()
 	b.calls[c] = struct{}{}
@@ -122,9 +124,9 @@
 	return err
 }
 
-// silentSince returns the moment since which b has had a call in flight
-// and given no answer to anything; ok is false when it has no calls.
-func (a *activity) silentSince() (since time.Time, ok bool) {
+// stalledSince returns the time since which the back end has had a call in
+// flight and has answered nothing; ok is false if no call is in flight.
+func (a *activity) stalledSince() (since time.Time, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for c := range a.calls {
@@ -138,33 +140,34 @@
 	return since, ok
 }
 
-// sawAnswer notes that it is alive.
-func (a *activity) sawAnswer(now time.Time) {
+// noteAnswer records that the back end answered at the given time.
+func (a *activity) noteAnswer(now time.Time) {
 	a.mu.Lock()
 	a.lastAnswer = now
 	a.mu.Unlock()
 }
 
-// freeze tells every call in flight that the back end is frozen, and
-// stops watching those calls.
+// freeze calls onFrozen for every call in flight and stops watching these
+// calls.
 func (a *activity) freeze() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for c := range a.calls {
-		c.frozen()
+		c.onFrozen()
 		delete(a.calls, c)
 	}
 }
 
-// Health is what a probe of a back end found.
+// Health is the result of a probe of a back end.
 type Health struct {
-	// Leaving: it answers, but takes no new work.
+	// Leaving means that the back end answers but takes no new requests.
 	Leaving bool
-	// WrongLayers: it holds other layers than the fleet text says.
+	// WrongLayers means that the back end holds other layers than the fleet
+	// configuration says.
 	WrongLayers bool
 }
 
-// Probe asks b whether it lives and takes work.
+// Probe asks b whether it is alive and takes new requests.
 func (b *Backend) Probe(ctx context.Context) (Health, error) {
 	if b.Kind == citronfleet.Model {
 		s, err := b.Engine.Status(ctx)
@@ -179,12 +182,13 @@
 }
 
 // Pool keeps one activity and one set of clients per back end across
-// snapshots, so they survive a configuration change. The control
-// goroutine alone uses it.
+// snapshots, so they survive a configuration change. Only the control
+// goroutine uses it.
 type Pool struct {
 	hc *http.Client
-	// salt differs between entries. Without it every entry would give its
-	// first requests to the back ends that stand first in the fleet text.
+	// salt differs between entries. Without it all entries would send their
+	// first requests to the back ends that stand first in the fleet
+	// configuration.
 	salt  string
 	byKey map[string]*Backend
 }
@@ -212,10 +216,11 @@
 	return b
 }
 
-// keep forgets back ends that no snapshot names any more.
-func (p *Pool) keep(used map[string]*Backend) {
-	live := make(map[*activity]bool, len(used))
-	for _, b := range used {
+// prune removes back ends that are in no current snapshot and have no calls
+// in flight.
+func (p *Pool) prune(current map[string]*Backend) {
+	live := make(map[*activity]bool, len(current))
+	for _, b := range current {
 		live[b.activity] = true
 	}
 	for k, b := range p.byKey {
--- a/citronroute/route_test.go
+++ b/citronroute/route_test.go
@@ -12,16 +12,16 @@
 	"pgregory.net/rapid"
 )
 
-func build(svc citronfleet.Service, avoid map[string]citronroute.Reason) *citronroute.Snapshot {
+func buildSnapshot(svc citronfleet.Service, avoid map[string]citronroute.Reason) *citronroute.Snapshot {
 	f := citronfleet.Fleet{Services: []citronfleet.Service{svc}}
 	return citronroute.NewPool(http.DefaultClient, "").Build(f, avoid, nil, true)
 }
 
-// Random layer ranges, some engines avoided. Oracle: boundaries reachable
-// by plain dynamic programming. A chain must be found exactly when one
-// exists, and must cover every layer once and in order with engines that
-// are not avoided.
-func TestChainIsAnExactCover(t *testing.T) {
+// Uses random layer ranges with some engines avoided, and computes the
+// reachable boundaries by dynamic programming as the reference. A chain must
+// be found exactly if one exists, and must cover every layer once and in
+// order with engines that are not avoided.
+func TestChainCoversEachLayerOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		layers := rapid.IntRange(1, 12).Draw(rt, "layers")
 		svc := citronfleet.Service{Name: "m", Kind: citronfleet.Model, Layers: layers}
@@ -44,7 +44,7 @@
 				}
 			}
 		}
-		pick := citronroute.Picker{Snapshot: build(svc, avoid)}
+		pick := citronroute.Picker{Snapshot: buildSnapshot(svc, avoid)}
 		chain := pick.Chain(svc, 0)
 		if (chain != nil) != reach[layers] {
 			rt.Fatalf("chain found: %v, one exists: %v", chain != nil, reach[layers])
@@ -52,7 +52,7 @@
 		next := 0
 		for _, b := range chain {
 			if b.Spec.Range[0] != next || avoid[b.Spec.Name] != "" {
-				rt.Fatalf("after layer %d comes %s [%d,%d), avoided: %q", next, b.Spec.Name, b.Spec.Range[0], b.Spec.Range[1], avoid[b.Spec.Name])
+				rt.Fatalf("at layer %d the chain continues with %s [%d,%d), avoided: %q", next, b.Spec.Name, b.Spec.Range[0], b.Spec.Range[1], avoid[b.Spec.Name])
 			}
 			next = b.Spec.Range[1]
 		}
@@ -62,7 +62,7 @@
 	})
 }
 
-// grid is a service of replicas times stages engines.
+// grid returns a model service with one engine per stage and replica.
 func grid(stages, replicas int) citronfleet.Service {
 	svc := citronfleet.Service{Name: "m", Kind: citronfleet.Model, Layers: 8 * stages}
 	for r := range replicas {
@@ -74,12 +74,12 @@
 	return svc
 }
 
-// Requests that stay on their chains must spread evenly: no engine may
-// hold two more than another that does the same work.
+// Chains of bound requests must spread evenly: no engine may have two
+// requests more than another that holds the same layers.
 func TestChainsSpreadEvenly(t *testing.T) {
 	is := is.New(t)
 	svc := grid(4, 5)
-	s := build(svc, nil)
+	s := buildSnapshot(svc, nil)
 	held := map[string]int{}
 	for range 52 {
 		pick := citronroute.Picker{Snapshot: s}
@@ -89,31 +89,31 @@
 		}
 	}
 	for name, n := range held {
-		is.True(n == 10 || n == 11) // 52 over 5 replicas
+		is.True(n == 10 || n == 11) // 52 requests over 5 replicas
 		_ = name
 	}
 	is.Equal(len(held), 20)
 }
 
-// The window is the entries' even share of the requests that keep the
-// engines busy at the token gap aimed for.
+// The window is the entry's even share of the requests that keep the engines
+// busy at the wanted token gap.
 func TestWindow(t *testing.T) {
 	is := is.New(t)
 	svc := grid(2, 5) // 2000 tokens/s
-	s := build(svc, nil)
+	s := buildSnapshot(svc, nil)
 	is.Equal(s.Window(svc, 100*time.Millisecond, 7), 200)
 	s.Entries = make([]citronroute.EntryAddr, 4)
 	is.Equal(s.Window(svc, 100*time.Millisecond, 7), 50)
 	is.Equal(s.Window(citronfleet.Service{Kind: citronfleet.Plain}, time.Second, 7), 7)
 }
 
-// Choosing a chain, for the fleets of today and of two years on (one of
-// 25 models on 4,100 engines).
+// Picks a chain for a present-day fleet and for the fleet expected in two
+// years (one of 25 models on 4,100 engines).
 func BenchmarkChain(b *testing.B) {
 	for _, replicas := range []int{10, 41} {
 		b.Run(fmt.Sprintf("engines=%d", 4*replicas), func(b *testing.B) {
 			svc := grid(4, replicas)
-			s := build(svc, nil)
+			s := buildSnapshot(svc, nil)
 			b.ReportAllocs()
 			for b.Loop() {
 				pick := citronroute.Picker{Snapshot: s}
@@ -123,7 +123,7 @@
 	}
 }
 
-// Building a snapshot, as after each configuration change.
+// Builds a snapshot, as the entry does after each configuration change.
 func BenchmarkBuild(b *testing.B) {
 	for _, models := range []int{1, 25} {
 		b.Run(fmt.Sprintf("models=%d/engines=%d", models, models*164), func(b *testing.B) {
--- a/citronroute/seed_test.go
+++ b/citronroute/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// CI gives the same verdict every time, so rapid's seed is fixed; try
-// others with -rapid.seed=N.
+// rapid's seed is fixed so that CI gives the same verdict every time. Use
+// -rapid.seed=N to try other seeds.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
--- a/citronroute/watchdog.go
+++ b/citronroute/watchdog.go
@@ -1,14 +1,15 @@
 package citronroute
 
-// The watchdog. A back end that freezes (paused, or cut off with its
-// connections still open) neither answers nor resets: without a guard each
-// call to it waits for the caller's whole deadline, and the caller sees a
-// request that hangs. A fixed time-out per call cannot tell frozen from
-// busy, and in a surge it would abandon work that is merely queued. So a
-// back end that has had calls in flight and given no answer for StallAfter
-// is probed on a path that does not queue; a busy one answers the probe
-// and its calls go on, a frozen one misses probesToFreeze in a row and all
-// its calls end with ErrFrozen.
+// A back end that freezes (it is paused, or cut off with its connections
+// still open) neither answers nor resets its connections. Without the
+// watchdog every call to it waits for the caller's whole deadline, and the
+// caller sees a request that hangs. A fixed timeout per call cannot tell a
+// frozen back end from a busy one, and in a surge it would abandon requests
+// that are merely queued. So a back end that has had calls in flight and has
+// answered nothing for StallAfter is probed on a path that does not queue. A
+// busy back end answers the probe and its calls continue. A frozen one misses
+// missedProbesToFreeze probes in a row, and the watchdog ends all of its
+// calls with ErrFrozen.
 
 import (
 	"context"
@@ -17,31 +18,31 @@
 	"citrondeck.dev/citrondeck/citronclock"
 )
 
-const probesToFreeze = 2
+const missedProbesToFreeze = 2
 
 // Watchdog ends the calls in flight at back ends that stop answering.
 type Watchdog struct {
 	Clock citronclock.Clock
-	// StallAfter is how long a back end may stay silent with calls in
-	// flight before it is probed.
+	// StallAfter is how long a back end with calls in flight may answer
+	// nothing before it is probed.
 	StallAfter time.Duration
-	// ProbeTimeout bounds one probe.
+	// ProbeTimeout limits the duration of one probe.
 	ProbeTimeout time.Duration
-	// Current returns the snapshot whose back ends to watch.
+	// Current returns the snapshot whose back ends are watched.
 	Current func() *Snapshot
-	// Frozen is told of each back end found frozen.
+	// Frozen is called for each back end that is found frozen.
 	Frozen func(*Backend)
 }
 
-// Run watches until ctx ends.
+// Run watches the back ends until ctx ends.
 func (w *Watchdog) Run(ctx context.Context) {
 	for w.Clock.Sleep(ctx, w.StallAfter/4) == nil {
 		now := w.Clock.Now()
-		for _, b := range w.Current().list {
+		for _, b := range w.Current().backendList {
 			if b.Inflight() == 0 {
 				continue
 			}
-			since, ok := b.silentSince()
+			since, ok := b.stalledSince()
 			if !ok || now.Sub(since) < w.StallAfter || !b.probing.CompareAndSwap(false, true) {
 				continue
 			}
@@ -53,14 +54,14 @@
 	}
 }
 
-// check probes b until it answers or has missed probesToFreeze probes.
+// check probes b until it answers or has missed missedProbesToFreeze probes.
 func (w *Watchdog) check(ctx context.Context, b *Backend) {
-	for range probesToFreeze {
+	for range missedProbesToFreeze {
 		pctx, cancel := context.WithTimeout(ctx, w.ProbeTimeout)
 		_, err := b.Probe(pctx)
 		cancel()
 		if err == nil {
-			b.sawAnswer(w.Clock.Now())
+			b.noteAnswer(w.Clock.Now())
 			return
 		}
 	}
