--- a/citronplace/balance.go
+++ b/citronplace/balance.go
@@ -23,20 +23,22 @@
 // can help, and does not move layers through the whole zone for a small gain.
 func balance(spec citronmodel.Spec, engines []Engine, even float64) Plan {
 	order := holdersInOrder(engines, spares(spec, engines, nil))
-	plan, least := Plan{}, math.Inf(1)
+	plan, leastCache := Plan{}, math.Inf(1)
 	for i := 0; i+1 < len(order); i++ {
 		a, b := order[i], order[i+1]
 		weaker := min(cacheTokens(spec, a), cacheTokens(spec, b))
-		if weaker >= min(least, even*weakShare) {
+		if weaker >= min(leastCache, even*weakShare) {
 			continue
 		}
 		if id, o, ok := shiftBoundary(spec, a, b); ok {
-			plan, least = Plan{id: o}, weaker
+			plan, leastCache = Plan{id: o}, weaker
 		}
 	}
 	return plan
 }
 
+// cacheTokens returns the cache, in tokens, that the layers an engine holds now
+// leave it.
 func cacheTokens(spec citronmodel.Spec, e Engine) float64 {
 	return spec.CacheTokens(e.Kind, e.Layers.Len())
 }
@@ -46,45 +48,46 @@
 // has given up the layers that both hold. Each engine keeps at least one
 // layer of its own: an engine whose layers the other holds entirely would
 // count as a spare and be moved elsewhere.
-func shiftBoundary(spec citronmodel.Spec, a, b Engine) (taker string, o Order, ok bool) {
+func shiftBoundary(spec citronmodel.Spec, a, b Engine) (receiverID string, o Order, ok bool) {
 	if a.Layers.To != b.Layers.From {
 		return "", Order{}, false
 	}
-	give, take := a, b
+	giver, receiver := a, b
 	if cacheTokens(spec, b) < cacheTokens(spec, a) {
-		give, take = b, a
+		giver, receiver = b, a
 	}
-	best, minWanted := 0, cacheTokens(spec, give)*minBalanceGain
-	for n := 1; n < give.Layers.Len(); n++ {
-		least := min(spec.CacheTokens(give.Kind, give.Layers.Len()-n), spec.CacheTokens(take.Kind, take.Layers.Len()+n))
-		if least > minWanted {
-			best, minWanted = n, least
+	bestCount, bestCache := 0, cacheTokens(spec, giver)*minBalanceGain
+	for n := 1; n < giver.Layers.Len(); n++ {
+		smaller := min(spec.CacheTokens(giver.Kind, giver.Layers.Len()-n), spec.CacheTokens(receiver.Kind, receiver.Layers.Len()+n))
+		if smaller > bestCache {
+			bestCount, bestCache = n, smaller
 		}
 	}
-	s := take.Layers
-	if take.ID == b.ID {
-		s.From -= best
+	s := receiver.Layers
+	if receiver.ID == b.ID {
+		s.From -= bestCount
 	} else {
-		s.To += best
+		s.To += bestCount
 	}
-	return take.ID, Order{Span: s}, best > 0
+	return receiver.ID, Order{Span: s}, bestCount > 0
 }
 
 // dropOverlap makes one of two neighbours that hold the same layers give them
-// up. It chooses the engine that leaves the larger minimum cache of the two.
+// up. It chooses the engine whose release leaves the smaller cache of the two
+// largest.
 func dropOverlap(spec citronmodel.Spec, engines []Engine, even float64) Plan {
 	order := holdersInOrder(engines, spares(spec, engines, nil))
 	for i := 0; i+1 < len(order); i++ {
 		a, b := order[i], order[i+1]
-		both := overlap(a.Layers, b.Layers)
-		if both.Empty() || both == a.Layers || both == b.Layers || !isWeak(spec, a, even) && !isWeak(spec, b, even) {
+		shared := overlap(a.Layers, b.Layers)
+		if shared.Empty() || shared == a.Layers || shared == b.Layers || !isWeak(spec, a, even) && !isWeak(spec, b, even) {
 			continue
 		}
-		left, right := a.Layers.Len()-both.Len(), b.Layers.Len()-both.Len()
-		if min(spec.CacheTokens(a.Kind, left), cacheTokens(spec, b)) >= min(cacheTokens(spec, a), spec.CacheTokens(b.Kind, right)) {
-			return Plan{a.ID: {Span: citronmodel.Span{From: a.Layers.From, To: both.From}}}
+		aRest, bRest := a.Layers.Len()-shared.Len(), b.Layers.Len()-shared.Len()
+		if min(spec.CacheTokens(a.Kind, aRest), cacheTokens(spec, b)) >= min(cacheTokens(spec, a), spec.CacheTokens(b.Kind, bRest)) {
+			return Plan{a.ID: {Span: citronmodel.Span{From: a.Layers.From, To: shared.From}}}
 		}
-		return Plan{b.ID: {Span: citronmodel.Span{From: both.To, To: b.Layers.To}}}
+		return Plan{b.ID: {Span: citronmodel.Span{From: shared.To, To: b.Layers.To}}}
 	}
 	return nil
 }
--- a/citronplace/copies.go
+++ b/citronplace/copies.go
@@ -9,7 +9,7 @@
 	"citrondeck.dev/citrondeck/citronmodel"
 )
 
-// Replicas of the model in one zone.
+// A zone may hold several replicas of the model.
 //
 // A zone of thirty engines with one replica loses all of its capacity when
 // any engine dies, and at peak load several may die at once. With two
@@ -25,14 +25,13 @@
 	// already, so that a zone which loses a few engines does not give up the
 	// rest of a replica.
 	keepReplicaShare = 0.7
-	// minRepairShare is the fraction of the cache it should have that an
-	// engine must keep when a gap of one replica is filled while other
-	// replicas hold the layers. Without this limit, a replica that has lost
-	// most of its engines would be divided over the few left, each with room
-	// for a quarter of its requests. They would load for seconds and then
-	// refuse most requests, and the zone is better off without them. Until
-	// the replica is repaired its engines serve as hops on the paths of other
-	// replicas.
+	// minRepairShare is the fraction of its intended cache that an engine
+	// must keep when a gap of one replica is filled while other replicas hold
+	// the layers. Without this limit, a replica that has lost most of its
+	// engines would be divided over the few left, each with cache for a
+	// quarter of its requests. They would load for seconds and then refuse
+	// most requests; the zone is better off without such a replica. Its
+	// engines continue to serve as hops on other paths.
 	minRepairShare = 0.6
 )
 
@@ -83,9 +82,9 @@
 			free = append(free, e)
 			continue
 		}
-		g := &replicas[i]
-		g.engines = append(g.engines, e)
-		g.end = max(g.end, e.Goal.To)
+		r := &replicas[i]
+		r.engines = append(r.engines, e)
+		r.end = max(r.end, e.Goal.To)
 	}
 	return replicas, free
 }
@@ -96,8 +95,8 @@
 // layer.
 func nextReplica(replicas []replica, s citronmodel.Span) int {
 	best := -1
-	for i, g := range replicas {
-		if g.end <= s.From && (best < 0 || g.end > replicas[best].end) {
+	for i, r := range replicas {
+		if r.end <= s.From && (best < 0 || r.end > replicas[best].end) {
 			best = i
 		}
 	}
@@ -105,8 +104,8 @@
 		return best
 	}
 	best = 0
-	for i, g := range replicas {
-		if g.end < replicas[best].end {
+	for i, r := range replicas {
+		if r.end < replicas[best].end {
 			best = i
 		}
 	}
@@ -131,16 +130,16 @@
 		return missingLayers(spec, replicas[i].engines) > missingLayers(spec, replicas[j].engines)
 	})
 	plan := Plan{}
-	whole := true
+	complete := true
 	minCache := minRepairShare * min(fullCache(spec), evenCacheFor(spec, engines, n*spec.Layers))
-	for i, g := range replicas {
-		all := slices.Concat(g.engines, free)
+	for i, r := range replicas {
+		all := slices.Concat(r.engines, free)
 		if len(all) == 0 {
 			continue
 		}
-		replicaPlan := improveReplica(spec, g.engines, free)
+		replicaPlan := improveReplica(spec, r.engines, free)
 		if missingLayers(spec, all) > 0 {
-			whole = false
+			complete = false
 			others := spansOfOthers(replicas, i)
 			b := bounds{scope: oneEngine}
 			if allServed(Gaps(spec, all), others) {
@@ -151,7 +150,7 @@
 		maps.Copy(plan, replicaPlan)
 		free = slices.DeleteFunc(free, func(e Engine) bool { _, used := plan[e.ID]; return used })
 	}
-	if whole && len(plan) == 0 {
+	if complete && len(plan) == 0 {
 		return duplicateLayers(spec, engines, plan, oneEngine)
 	}
 	return plan
@@ -186,8 +185,8 @@
 // of that replica.
 func spansOfOthers(replicas []replica, except int) []citronmodel.Span {
 	var out []citronmodel.Span
-	for i, g := range replicas {
-		for _, e := range g.engines {
+	for i, r := range replicas {
+		for _, e := range r.engines {
 			if i != except {
 				out = append(out, e.Layers)
 			}
@@ -220,13 +219,13 @@
 func placeFirstReplicas(spec citronmodel.Spec, engines []Engine, n int) Plan {
 	order := slices.Clone(engines)
 	sort.SliceStable(order, func(i, j int) bool { return order[i].Kind < order[j].Kind })
-	parts := make([][]Engine, n)
+	replicas := make([][]Engine, n)
 	for i, e := range order {
-		parts[i%n] = append(parts[i%n], e)
+		replicas[i%n] = append(replicas[i%n], e)
 	}
 	plan := Plan{}
-	for _, part := range parts {
-		maps.Copy(plan, decideZone(spec, part, nil, bounds{scope: oneEngine}))
+	for _, members := range replicas {
+		maps.Copy(plan, decideZone(spec, members, nil, bounds{scope: oneEngine}))
 	}
 	return plan
 }
--- a/citronplace/copies_test.go
+++ b/citronplace/copies_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// minHolders returns the smallest number of engines that hold the same layer.
+// minHolders returns the number of engines that hold the layer with the fewest
+// holders.
 func minHolders(engines []citronplace.Engine) int {
 	held := make([]int, spec.Layers)
 	for _, e := range engines {
--- a/citronplace/cover.go
+++ b/citronplace/cover.go
@@ -2,7 +2,7 @@
 
 import "citrondeck.dev/citrondeck/citronmodel"
 
-// Duplicates: layers that a zone holds a second time.
+// A zone with spare memory holds duplicates of some layers.
 //
 // At peak load one engine dies, slows down or leaves. If no other engine in
 // the zone holds its layers, all streams of the zone stop at once. They are
--- a/citronplace/improve.go
+++ b/citronplace/improve.go
@@ -93,12 +93,15 @@
 	return sum
 }
 
+// isWeak reports whether an engine holds layers but less than weakShare of the
+// even cache.
 func isWeak(spec citronmodel.Spec, e Engine, even float64) bool {
 	return !e.Layers.Empty() && spec.CacheTokens(e.Kind, e.Layers.Len()) < even*weakShare
 }
 
 // trimWeak returns the layers that a weak engine should keep: those that no
-// helper duplicates. ok is false if these are all of its layers or none.
+// helper duplicates. It reports false if e is not weak, or if these layers are
+// all of its layers or none.
 func trimWeak(spec citronmodel.Spec, engines []Engine, e Engine, even float64) (citronmodel.Span, bool) {
 	if !isWeak(spec, e, even) {
 		return citronmodel.Span{}, false
@@ -127,26 +130,26 @@
 // idleOnly it considers only spares that hold nothing.
 func addHelper(spec citronmodel.Spec, engines []Engine, even float64, idleOnly bool) (Plan, bool) {
 	var weakest Engine
-	least := even * weakShare
+	leastCache := even * weakShare
 	for _, e := range engines {
 		cache := spec.CacheTokens(e.Kind, e.Layers.Len())
-		if !e.Layers.Empty() && cache < least && !sharesLayers(engines, e) {
-			weakest, least = e, cache
+		if !e.Layers.Empty() && cache < leastCache && !sharesLayers(engines, e) {
+			weakest, leastCache = e, cache
 		}
 	}
 	if weakest.ID == "" {
 		return nil, false
 	}
 	for _, s := range spares(spec, engines, Plan{}) {
-		n := min(layerCapacity(spec, s.Kind, even*helperShare), spec.Layers)
+		capacity := min(layerCapacity(spec, s.Kind, even*helperShare), spec.Layers)
 		// A spare that duplicates layers other than the first helps an engine
 		// already. Moving it would send it from one weak engine to the next
 		// forever.
-		if s.ID == weakest.ID || s.Fresh || n < minHelpLayers || !s.Layers.Empty() && (idleOnly || s.Layers.From > 0) {
+		if s.ID == weakest.ID || s.Fresh || capacity < minHelpLayers || !s.Layers.Empty() && (idleOnly || s.Layers.From > 0) {
 			continue
 		}
-		from := min(weakest.Layers.From, spec.Layers-n)
-		return Plan{s.ID: {Span: citronmodel.Span{From: from, To: from + n}}}, true
+		from := min(weakest.Layers.From, spec.Layers-capacity)
+		return Plan{s.ID: {Span: citronmodel.Span{From: from, To: from + capacity}}}, true
 	}
 	return nil, false
 }
--- a/citronplace/plan.go
+++ b/citronplace/plan.go
@@ -37,8 +37,8 @@
 	// Goal is the target layer range: the range that the engine was last
 	// ordered to hold, or Layers if no order is pending.
 	Goal citronmodel.Span
-	// Fresh marks an engine that has just joined. It is reserved for the
-	// engine that it may replace, and is not used as a spare yet.
+	// Fresh marks an engine that has just joined. It waits to take over from
+	// the engine that it may replace, and is not used as a spare yet.
 	Fresh bool
 }
 
@@ -81,24 +81,27 @@
 // groupByZone groups engines by zone. The zones are sorted by name and the
 // engines of each zone by ID, so that the decision is deterministic.
 func groupByZone(engines []Engine) [][]Engine {
-	by := map[string][]Engine{}
+	byZone := map[string][]Engine{}
 	for _, e := range engines {
-		by[e.Zone] = append(by[e.Zone], e)
+		byZone[e.Zone] = append(byZone[e.Zone], e)
 	}
-	names := make([]string, 0, len(by))
-	for z := range by {
+	names := make([]string, 0, len(byZone))
+	for z := range byZone {
 		names = append(names, z)
 	}
 	sort.Strings(names)
-	out := make([][]Engine, 0, len(by))
+	out := make([][]Engine, 0, len(byZone))
 	for _, z := range names {
-		es := by[z]
+		es := byZone[z]
 		sort.Slice(es, func(i, j int) bool { return es[i].ID < es[j].ID })
 		out = append(out, es)
 	}
 	return out
 }
 
+// decideZone decides for the engines of a zone, or of one replica in it: it
+// improves the placement if there is no gap, places the model if no layer is
+// held, and repairs the gaps otherwise.
 func decideZone(spec citronmodel.Spec, engines []Engine, served []citronmodel.Span, b bounds) Plan {
 	even := usefulCache(spec, engines)
 	gaps := Gaps(spec, engines)
@@ -158,6 +161,7 @@
 	searchSteps    = 40
 )
 
+// evenCacheFor is like evenCache, but for the given number of layers.
 func evenCacheFor(spec citronmodel.Spec, engines []Engine, layers int) float64 {
 	fits := func(tokens float64) bool {
 		sum := 0
@@ -302,13 +306,13 @@
 		return spec.Kinds[order[i].Kind].StepFactor < spec.Kinds[order[j].Kind].StepFactor
 	})
 	counts := map[string]int{}
-	left := layers
+	unplaced := layers
 	for _, e := range order {
-		n := min(layerCapacity(spec, e.Kind, tokens), left)
+		n := min(layerCapacity(spec, e.Kind, tokens), unplaced)
 		if n > 0 {
 			counts[e.ID] = n
-			left -= n
+			unplaced -= n
 		}
 	}
-	return counts, left == 0
+	return counts, unplaced == 0
 }
--- a/citronplace/repair.go
+++ b/citronplace/repair.go
@@ -66,15 +66,15 @@
 	plan := Plan{}
 	for _, g := range gaps {
 		var best Engine
-		least := 0
+		leastCapacity := 0
 		for _, e := range engines {
 			_, taken := plan[e.ID]
-			n := layerCapacity(spec, e.Kind, tokens)
-			if taken || !e.Goal.Empty() || !e.Layers.Empty() || n < g.Len() {
+			capacity := layerCapacity(spec, e.Kind, tokens)
+			if taken || !e.Goal.Empty() || !e.Layers.Empty() || capacity < g.Len() {
 				continue
 			}
-			if best.ID == "" || n < least {
-				best, least = e, n
+			if best.ID == "" || capacity < leastCapacity {
+				best, leastCapacity = e, capacity
 			}
 		}
 		if best.ID != "" {
@@ -139,15 +139,15 @@
 	plan := Plan{}
 	for range gaps {
 		after := withGoals(engines, plan)
-		left := Gaps(spec, after)
-		if len(left) == 0 {
+		unfilled := Gaps(spec, after)
+		if len(unfilled) == 0 {
 			break
 		}
-		part, ok := shiftWindow(spec, after, left[0], minCache, cut)
+		gapPlan, ok := shiftWindow(spec, after, unfilled[0], minCache, cut)
 		if !ok {
 			return nil, false
 		}
-		maps.Copy(plan, part)
+		maps.Copy(plan, gapPlan)
 	}
 	return plan, len(Gaps(spec, withGoals(engines, plan))) == 0
 }
@@ -257,20 +257,20 @@
 	}
 	for r := 1; r <= max(len(left), len(right)); r++ {
 		l, rt := left[max(0, len(left)-r):], right[:min(r, len(right))]
-		all := citronmodel.Span{From: g.From, To: g.To}
+		span := citronmodel.Span{From: g.From, To: g.To}
 		if len(l) > 0 {
-			all.From = l[0].Goal.From
+			span.From = l[0].Goal.From
 		}
 		if len(rt) > 0 {
-			all.To = rt[len(rt)-1].Goal.To
+			span.To = rt[len(rt)-1].Goal.To
 		}
 		order := slices.Concat(l, free, rt)
-		even := evenCacheFor(spec, order, all.Len())
+		even := evenCacheFor(spec, order, span.Len())
 		if even < minCache {
 			continue
 		}
-		if counts, ok := allocate(spec, order, even, all.Len()); ok {
-			return assign(order, counts, all.From, cut), true
+		if counts, ok := allocate(spec, order, even, span.Len()); ok {
+			return assign(order, counts, span.From, cut), true
 		}
 	}
 	return nil, false
