--- a/citronplace/balance.go
+++ b/citronplace/balance.go
@@ -6,82 +6,88 @@
 	"citrondeck.dev/citrondeck/citronmodel"
 )
 
-// balanceGain is by how much a step must raise the smaller cache of two
-// neighbours: a load and a few moved requests are its price.
-const balanceGain = 1.1
+// minBalanceGain is the factor by which a step must raise the smaller cache
+// of two neighbours. A smaller gain is not worth the load and the few moved
+// requests that the step costs.
+const minBalanceGain = 1.1
 
-// balance evens out the cache of a zone that is whole but has a weak part.
+// balance evens out the cache of a zone that has no gap but an engine with
+// little cache.
 //
-// The load it answers: at the peak an engine dies or leaves, and those
-// beside it take in its layers. The zone is whole again after half a second,
-// but carries only what its weakest part can cache. Layers are passed on
-// from one engine to its neighbour without a hole at any moment: first the
-// one with more cache takes layers in, then the other gives them up (shed).
-// One pair a time, the weakest first; it comes to rest where no neighbour
-// can help, and does not move layers through the whole zone for little.
+// At peak load an engine dies or leaves, and its neighbours take over its
+// layers. The zone is complete again after half a second, but carries only
+// what its weakest engine can cache. Layers move from one engine to its
+// neighbour without ever causing a gap: first the engine with more cache
+// loads the layers, then the other gives them up (dropOverlap). One pair is
+// handled at a time, the weakest first. The process stops where no neighbour
+// can help, and does not move layers through the whole zone for a small gain.
 func balance(spec citronmodel.Spec, engines []Engine, even float64) Plan {
-	order := chain(engines, spares(spec, engines, nil))
-	plan, least := Plan{}, math.Inf(1)
+	order := holdersInOrder(engines, spares(spec, engines, nil))
+	plan, leastCache := Plan{}, math.Inf(1)
 	for i := 0; i+1 < len(order); i++ {
 		a, b := order[i], order[i+1]
-		weaker := min(cacheOf(spec, a), cacheOf(spec, b))
-		if weaker >= min(least, even*weakShare) {
+		weaker := min(cacheTokens(spec, a), cacheTokens(spec, b))
+		if weaker >= min(leastCache, even*weakShare) {
 			continue
 		}
-		if id, o, ok := handOver(spec, a, b); ok {
-			plan, least = Plan{id: o}, weaker
+		if id, o, ok := shiftBoundary(spec, a, b); ok {
+			plan, leastCache = Plan{id: o}, weaker
 		}
 	}
 	return plan
 }
 
-func cacheOf(spec citronmodel.Spec, e Engine) float64 {
+// cacheTokens returns the cache, in tokens, that the layers an engine holds now
+// leave it.
+func cacheTokens(spec citronmodel.Spec, e Engine) float64 {
 	return spec.CacheTokens(e.Kind, e.Layers.Len())
 }
 
-// handOver says what the one of two neighbours that has more cache should hold
-// so that the smaller cache of the two is largest once the other has given
-// up what both hold. Each keeps a layer: one that the other holds whole would
+// shiftBoundary returns the layer range that the neighbour with more cache
+// should hold so that the smaller cache of the two is largest once the other
+// has given up the layers that both hold. Each engine keeps at least one
+// layer of its own: an engine whose layers the other holds entirely would
 // count as a spare and be moved elsewhere.
-func handOver(spec citronmodel.Spec, a, b Engine) (taker string, o Order, ok bool) {
+func shiftBoundary(spec citronmodel.Spec, a, b Engine) (receiverID string, o Order, ok bool) {
 	if a.Layers.To != b.Layers.From {
 		return "", Order{}, false
 	}
-	give, take := a, b
-	if cacheOf(spec, b) < cacheOf(spec, a) {
-		give, take = b, a
+	giver, receiver := a, b
+	if cacheTokens(spec, b) < cacheTokens(spec, a) {
+		giver, receiver = b, a
 	}
-	best, most := 0, cacheOf(spec, give)*balanceGain
-	for n := 1; n < give.Layers.Len(); n++ {
-		least := min(spec.CacheTokens(give.Kind, give.Layers.Len()-n), spec.CacheTokens(take.Kind, take.Layers.Len()+n))
-		if least > most {
-			best, most = n, least
+	bestCount, bestCache := 0, cacheTokens(spec, giver)*minBalanceGain
+	for n := 1; n < giver.Layers.Len(); n++ {
+		smaller := min(spec.CacheTokens(giver.Kind, giver.Layers.Len()-n), spec.CacheTokens(receiver.Kind, receiver.Layers.Len()+n))
+		if smaller > bestCache {
+			bestCount, bestCache = n, smaller
 		}
 	}
-	s := take.Layers
-	if take.ID == b.ID {
-		s.From -= best
+	s := receiver.Layers
+	if receiver.ID == b.ID {
+		s.From -= bestCount
 	} else {
-		s.To += best
+		s.To += bestCount
 	}
-	return take.ID, Order{Span: s}, best > 0
+	return receiver.ID, Order{Span: s}, bestCount > 0
 }
 
-// shed has one of two neighbours that hold the same layers give them up: the
-// one after which the smaller cache of the two is larger.
-func shed(spec citronmodel.Spec, engines []Engine, even float64) Plan {
-	order := chain(engines, spares(spec, engines, nil))
+// dropOverlap makes one of two neighbours that hold the same layers give them
+// up. It chooses the engine whose release leaves the smaller cache of the two
+// largest.
+func dropOverlap(spec citronmodel.Spec, engines []Engine, even float64) Plan {
+	order := holdersInOrder(engines, spares(spec, engines, nil))
 	for i := 0; i+1 < len(order); i++ {
 		a, b := order[i], order[i+1]
-		both := overlap(a.Layers, b.Layers)
-		if both.Empty() || both == a.Layers || both == b.Layers || !weak(spec, a, even) && !weak(spec, b, even) {
+		shared := overlap(a.Layers, b.Layers)
+		if shared.Empty() || shared == a.Layers || shared == b.Layers || !isWeak(spec, a, even) && !isWeak(spec, b, even) {
 			continue
 		}
-		left, right := a.Layers.Len()-both.Len(), b.Layers.Len()-both.Len()
-		if min(spec.CacheTokens(a.Kind, left), cacheOf(spec, b)) >= min(cacheOf(spec, a), spec.CacheTokens(b.Kind, right)) {
-			return Plan{a.ID: {Span: citronmodel.Span{From: a.Layers.From, To: both.From}}}
+		aRest, bRest := a.Layers.Len()-shared.Len(), b.Layers.Len()-shared.Len()
+		if min(spec.CacheTokens(a.Kind, aRest), cacheTokens(spec, b)) >= min(cacheTokens(spec, a), spec.CacheTokens(b.Kind, bRest)) {
+			return Plan{a.ID: {Span: citronmodel.Span{From: a.Layers.From, To: shared.From}}}
 		}
-		return Plan{b.ID: {Span: citronmodel.Span{From: both.To, To: b.Layers.To}}}
+		return Plan{b.ID: {Span: citronmodel.Span{From: shared.To, To: b.Layers.To}}}
 	}
 	return nil
 }
