--- a/citronforward/accused.go
+++ b/citronforward/accused.go
@@ -1,39 +1,40 @@
 package citronforward
 
-// Streams through an engine that was named in a refusal.
+// Streams through an accused engine. An engine is accused if another engine named it as
+// the cause of a failed request.
 //
-// The load it answers: an engine dies at the peak and goes dark. Requests that
-// are sent through it are refused at once by the engine before it, which names
-// it; the streams that run through it only fall silent. Neither sign alone says
-// that it is dead: it may be full or give up layers, and a stream pauses now and
-// then. Both together, and no answer to a question of its own, are enough to
-// move a stream, long before its silence alone would be. Where nobody else in the
-// zone holds the layers the stream still waits.
+// When an engine dies at peak load and stops responding, the engine before it refuses
+// new requests at once and names it. Streams that already run through the dead engine
+// just stall. Neither sign alone proves that the engine is dead: it may be full or be
+// unloading layers, and a stream pauses now and then. If both hold and the engine does
+// not answer a probe, the stream is moved, long before its silence alone would cause
+// that. If no other engine in the zone holds the layers, the stream still waits.
 
 import "time"
 
-// accusedSilence is how long an engine may take to answer that was named in a
-// refusal and through which a stream is silent.
-const accusedSilence = 60 * time.Millisecond
+// accusedProbeTimeout is how long an accused engine may take to answer a probe while a
+// stream through it is stalled.
+const accusedProbeTimeout = 60 * time.Millisecond
 
-// accusation is a question to an engine that was named in a refusal.
+// accusation is a probe of an accused engine.
 type accusation struct {
-	engine string
-	asked  time.Time
-	answer chan error
-	// cleared: it answered, so it is full, or gives up layers.
+	engine  string
+	askedAt time.Time
+	answer  chan error
+	// cleared reports that the engine answered: it is full or is unloading layers, but
+	// not dead.
 	cleared bool
 }
 
-// accusedPart returns the first hop of a silent stream whose engine was named in
-// a refusal and does not answer a probe either, or -1.
+// accusedPart returns the index of the first hop of a stalled stream whose engine is
+// accused and does not answer a probe, or -1.
 func (w *watch) accusedPart(now time.Time, silence time.Duration) int {
 	if silence < quietAfter {
-		w.accused = nil // it went on; the next silence is another question
+		w.accused = nil // the stream resumed; a later stall needs a new probe
 		return -1
 	}
 	if w.accused == nil {
-		w.askAccused(now)
+		w.probeAccused(now)
 		return -1
 	}
 	if w.accused.cleared {
@@ -46,15 +47,15 @@
 			return -1
 		}
 	default:
-		if now.Sub(w.accused.asked) <= accusedSilence {
+		if now.Sub(w.accused.askedAt) <= accusedProbeTimeout {
 			return -1
 		}
 	}
-	return w.hop(w.accused.engine)
+	return w.hopIndex(w.accused.engine)
 }
 
-// hop is the part of the path that an engine has, or -1.
-func (w *watch) hop(id string) int {
+// hopIndex returns the index of the hop that the engine runs, or -1.
+func (w *watch) hopIndex(id string) int {
 	for i, h := range w.s.path {
 		if h.Engine.ID == id {
 			return i
@@ -63,13 +64,13 @@
 	return -1
 }
 
-// askAccused asks the first engine of the path that was named, if there is one.
-func (w *watch) askAccused(now time.Time) {
+// probeAccused probes the first accused engine of the path, if there is one.
+func (w *watch) probeAccused(now time.Time) {
 	for _, h := range w.s.path {
 		if h.Engine.Accused(now) {
 			answer := make(chan error, 1)
-			w.accused = &accusation{engine: h.Engine.ID, asked: now, answer: answer}
-			go func() { answer <- w.s.f.probe(w.ctx, h.Engine, accusedSilence) }()
+			w.accused = &accusation{engine: h.Engine.ID, askedAt: now, answer: answer}
+			go func() { answer <- w.s.f.probe(w.ctx, h.Engine, accusedProbeTimeout) }()
 			return
 		}
 	}
