--- a/citronforward/leaving.go
+++ b/citronforward/leaving.go
@@ -1,13 +1,14 @@
 package citronforward
 
-// Streams through an engine that is leaving.
+// Streams through a leaving engine.
 //
-// The load it answers: engines are replaced or taken away at the peak, each with some
-// hundred streams that run through it. It serves on for a time that the operator states.
-// Streams that are moved have their tokens read again, and all at once they hold up each
-// other and those that run where they go. So they stay for the time in which the
-// engine's layers are placed on another engine of the zone, and then move at moments
-// spread over the rest: many of them have ended by then.
+// Engines may be replaced or removed at peak load, each with some hundred streams
+// running through it. A leaving engine keeps serving for a period that the operator
+// configures. Moving a stream means that its tokens are read again. Moving all streams
+// at once delays them and the streams on the engines that they move to. Streams
+// therefore stay until the engine's layers can have been placed on another engine of
+// the zone, and then move at random times within the rest of the period. Many of them
+// have ended by then.
 
 import (
 	"math/rand/v2"
@@ -15,43 +16,43 @@
 )
 
 const (
-	// leaveWait is how long a stream stays for the layers to be placed on another
-	// engine: a decision and a load of a few layers.
-	leaveWait = 900 * time.Millisecond
-	// leaveMargin is left of the time that the engine serves on: the news that it
-	// leaves is late, and a move takes a moment.
-	leaveMargin = 400 * time.Millisecond
-	// leastLeaveSpread is the least time over which streams move.
-	leastLeaveSpread = 200 * time.Millisecond
-	// leaveAgain is how often a stream looks for an engine of the zone that has taken
-	// the layers over.
+	// replacementWait is how long a stream stays while the layers are placed on another
+	// engine. It covers the placement decision and the loading of a few layers.
+	replacementWait = 900 * time.Millisecond
+	// drainMargin is subtracted from the drain period, because a node learns late that
+	// an engine is leaving and a move takes some time.
+	drainMargin = 400 * time.Millisecond
+	// minMoveWindow is the minimum time over which streams move.
+	minMoveWindow = 200 * time.Millisecond
+	// leaveAgain is how often a stream checks whether another engine of the zone has
+	// loaded the layers.
 	leaveAgain = 150 * time.Millisecond
-	// usualDrain stands for settings that do not state how long a leaving engine
-	// serves on.
-	usualDrain = 2 * time.Second
+	// defaultDrain is the drain period if the settings do not state one.
+	defaultDrain = 2 * time.Second
 )
 
-// leaveSpread is the time over which streams move away from an engine that serves on
-// for so long.
-func leaveSpread(drain time.Duration) time.Duration {
-	return max(leastLeaveSpread, drain-leaveWait-leaveMargin)
+// moveWindow returns the time over which streams move away from an engine with the
+// given drain period.
+func moveWindow(drain time.Duration) time.Duration {
+	return max(minMoveWindow, drain-replacementWait-drainMargin)
 }
 
-// leaveLatest is how long a stream waits for an engine of the zone before it goes to
-// another zone.
-func leaveLatest(drain time.Duration) time.Duration {
-	return max(leaveWait, drain-leaveMargin/2)
+// maxZoneWait returns how long a stream waits for an engine in its zone before it moves
+// to another zone.
+func maxZoneWait(drain time.Duration) time.Duration {
+	return max(replacementWait, drain-drainMargin/2)
 }
 
-func (f *Forwarder) drainWithin() time.Duration {
+// drainPeriod returns how long a leaving engine keeps serving.
+func (f *Forwarder) drainPeriod() time.Duration {
 	if f.DrainWithin > 0 {
 		return f.DrainWithin
 	}
-	return usualDrain
+	return defaultDrain
 }
 
-// leavingPart returns the first hop whose engine is leaving, once this
-// stream's turn to move has come, or -1.
+// leavingPart returns the index of the first hop whose engine is leaving, once this
+// stream is due to move, or -1.
 func (w *watch) leavingPart(now time.Time) int {
 	view := w.s.f.Current().View
 	for i, h := range w.s.path {
@@ -61,7 +62,7 @@
 		}
 		if w.leaveAt.IsZero() {
 			w.leftAt = now
-			w.leaveAt = now.Add(leaveWait + rand.N(leaveSpread(w.s.f.drainWithin())))
+			w.leaveAt = now.Add(replacementWait + rand.N(moveWindow(w.s.f.drainPeriod())))
 		}
 		if now.After(w.leaveAt) {
 			return i
@@ -71,10 +72,11 @@
 	return -1
 }
 
-// mayWaitToLeave reports whether a stream whose zone has nobody for a leaving engine's
-// layers stays a little longer.
+// mayWaitToLeave reports whether a stream stays a little longer because no other engine
+// in its zone holds the leaving engine's layers. If so, it sets the time of the next
+// check.
 func (w *watch) mayWaitToLeave(now time.Time) bool {
-	if now.Sub(w.leftAt) >= leaveLatest(w.s.f.drainWithin()) {
+	if now.Sub(w.leftAt) >= maxZoneWait(w.s.f.drainPeriod()) {
 		return false
 	}
 	w.leaveAt = now.Add(leaveAgain)
--- a/citronforward/leaving_test.go
+++ b/citronforward/leaving_test.go
@@ -8,33 +8,34 @@
 	"github.com/matryer/is"
 )
 
-// movedStreams are the streams of a leaving engine that are still running when their
-// turn to move comes. They run for up to five seconds, and are anywhere in that.
-func movedStreams(spread time.Duration) int {
-	const streams, lasts = 1000, 5 * time.Second
+// movedStreams simulates 1000 streams that run for up to five seconds and have a random
+// part of that left. It returns how many of them are still running on the leaving
+// engine when they are due to move.
+func movedStreams(window time.Duration) int {
+	const streams, maxDuration = 1000, 5 * time.Second
 	drawn := rand.New(rand.NewPCG(1, 2))
 	moved := 0
 	for range streams {
-		left := time.Duration(drawn.Int64N(int64(lasts)))
-		if turn := leaveWait + time.Duration(drawn.Int64N(int64(spread))); left > turn {
+		left := time.Duration(drawn.Int64N(int64(maxDuration)))
+		if turn := replacementWait + time.Duration(drawn.Int64N(int64(window))); left > turn {
 			moved++
 		}
 	}
 	return moved
 }
 
-// Guards against streams that are moved, and read again, although they would have ended
-// while the leaving engine still served.
+// Guards against moving streams, which makes engines read their tokens again, although
+// they would have ended while the leaving engine still serves.
 func TestStreamsStayWhileALeavingEngineServes(t *testing.T) {
 	is := is.New(t)
 	for _, drain := range []time.Duration{2 * time.Second, 3 * time.Second, 6 * time.Second} {
-		last := leaveWait + leaveSpread(drain)
-		is.True(last < drain) // moved before it may exit
-		is.True(leaveLatest(drain) < drain)
+		last := replacementWait + moveWindow(drain)
+		is.True(last < drain) // moved before the engine may exit
+		is.True(maxZoneWait(drain) < drain)
 		is.True(last > drain*3/4)
 	}
-	fixed, fitted := movedStreams(leaveSpread(usualDrain)), movedStreams(leaveSpread(3*time.Second))
+	fixed, fitted := movedStreams(moveWindow(defaultDrain)), movedStreams(moveWindow(3*time.Second))
 	t.Logf("of 1000 streams %d are moved, %d if an engine serves on for 3 s", fixed, fitted)
 	is.True(fitted < fixed*9/10)
-	is.Equal(leaveSpread(time.Second), leastLeaveSpread)
+	is.Equal(moveWindow(time.Second), minMoveWindow)
 }
