--- a/citronforward/metrics.go
+++ b/citronforward/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics counts what becomes of requests.
+// Metrics holds the metrics of forwarded requests.
 type Metrics struct {
 	Requests      *prometheus.CounterVec
 	Refusals      *prometheus.CounterVec
@@ -18,11 +18,10 @@
 	Whole         prometheus.Histogram
 }
 
-// latencyBuckets spans 5 ms to 20 s, the range between a cached answer and
-// the longest deadline.
+// latencyBuckets spans 5 ms to 20 s, from a cached response to the longest deadline.
 var latencyBuckets = prometheus.ExponentialBuckets(0.005, 2, 13)
 
-// NewMetrics returns metrics registered with r.
+// NewMetrics returns metrics that are registered with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		Requests:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "citrondeck_requests_total", Help: "Requests by kind."}, []string{"kind"}),
