--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -13,13 +13,13 @@
 	"github.com/matryer/is"
 )
 
-// crashing has the engines end as soon as a request has begun to run there:
-// its answer breaks off after some text, and the address refuses connections.
+// crashing makes every engine end as soon as it begins to run a request: its response
+// breaks off after text, and its address refuses connections.
 func (r *rig) crashing(text string) {
-	ended := map[string]bool{}
+	crashed := map[string]bool{}
 	r.engines.answer = func(_ context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		r.engines.mu.Lock()
-		ended[c.Engine.Addr] = true
+		crashed[c.Engine.Addr] = true
 		r.engines.mu.Unlock()
 		rep := reply(200, "")
 		rep.Body = breaking{strings.NewReader(text), io.ErrUnexpectedEOF}
@@ -28,14 +28,15 @@
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		r.engines.mu.Lock()
 		defer r.engines.mu.Unlock()
-		if ended[addr] {
+		if crashed[addr] {
 			return citronupstream.Report{}, syscall.ECONNREFUSED
 		}
 		return citronupstream.Report{}, nil
 	}
 }
 
-// restarting has another start of each engine that crashed answer in its place.
+// restarting makes a restarted engine answer at the address of each engine that
+// crashed.
 func (r *rig) restarting() {
 	report := r.engines.report
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
@@ -51,27 +52,26 @@
 	return []citronmodel.Engine{engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "a", 0, 8), engine("m4", "a", 0, 8)}
 }
 
-// Guards against a request that crashes each engine that begins to run it, and is
-// sent on beyond its route's attempts because runs on ended engines count for
-// nothing.
-func TestRunThatItsEngineDidNotOutliveIsAnAttempt(t *testing.T) {
+// Guards against a request that crashes every engine that begins to run it and is
+// retried beyond its route's attempts, because runs on crashed engines are not counted.
+func TestRunOnCrashedEngineCountsAsAttempt(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, fourEngines()...)
 	r.crashing("")
 	got := r.ask("stream", time.Second)
 	is.Equal(len(r.engines.seen()), 2) // the route allows two attempts
-	is.Equal(got.status, 502)          // it may have run: nothing is promised
+	is.Equal(got.status, 502)          // it may have run, so no retry is invited
 }
 
-// Guards against a barred request that still reaches engines, that waits for its
-// answer, or whose caller is told to come back soon.
-func TestBarredRequestIsRefusedAtOnce(t *testing.T) {
+// Guards against a quarantined request that still reaches engines, waits for its
+// response, or whose client is told to retry soon.
+func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, fourEngines()...)
 	r.crashing("")
 	is.Equal(r.ask("stream", time.Second).status, 502)
 	is.Equal(r.ask("stream", time.Second).status, 502)
-	is.Equal(len(r.engines.seen()), 3) // the third is the last
+	is.Equal(len(r.engines.seen()), 3) // the third crash quarantines the request
 	begin := time.Now()
 	got := r.ask("stream", 5*time.Second)
 	is.True(time.Since(begin) < 100*time.Millisecond)
@@ -83,8 +83,8 @@
 	is.True(len(r.engines.seen()) > 3)
 }
 
-// Guards against a request that crashes engines without being sent on: one that is
-// not idempotent runs once for each id, and its caller comes back with others.
+// Guards against missing the crashes of a request that is not idempotent: it runs once
+// per ID, and its client sends it again under new IDs.
 func TestCrashesOfAnUnsafeRequestAreCounted(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, plain("p1", "a"), plain("p2", "a"), plain("p3", "a"), plain("p4", "a"))
@@ -96,9 +96,9 @@
 	is.Equal(len(r.engines.seen()), 3)
 }
 
-// Guards against taking an engine that breaks off its answers for one that has
-// ended: it is there, and others may be served.
-func TestBrokenAnswerOfALivingEngineIsNoCrash(t *testing.T) {
+// Guards against treating an engine that breaks off its responses as ended: it is still
+// running and may serve other requests.
+func TestBrokenAnswerOfRunningEngineIsNoCrash(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, fourEngines()...)
 	r.crashing("")
@@ -109,10 +109,10 @@
 	is.True(r.Quarantine.Empty())
 }
 
-// Guards against holding a crash against the requests that had long been running
-// on the engine: one of them that is sent on to an engine that crashes too, and to
-// a third, is served in the end. Each engine is back at once, so that it is certain that
-// the one before it has ended.
+// Guards against blaming a crash on requests that had been running on the engine for
+// long. Such a stream is retried on a second and a third engine, which crash too, and
+// must still be served in the end. Each engine restarts at once, so that it is certain
+// that the previous process has ended.
 func TestStreamThatRanWellIsNotSuspect(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, fourEngines()...)
@@ -143,8 +143,8 @@
 	is.True(r.Quarantine.Empty())
 }
 
-// Guards against a request that is moved to another engine as a part of its path,
-// after two have ended under it: the new part begins to run it too.
+// Guards against moving a hop of a suspect to a new engine after two engines have
+// crashed under it: the new engine would begin to run it too.
 func TestSuspectIsNotMovedAlongItsPath(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 4), engine("m2", "a", 4, 8), engine("m3", "a", 4, 8), engine("m4", "a", 4, 8))
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -13,14 +13,16 @@
 	"github.com/matryer/is"
 )
 
-// limit has engines name limits, and decides on permits by engine.
+// limit makes engines announce a rate limit and answers permit requests with the
+// decision given per engine. It returns the waits that each engine's permits were
+// requested with.
 func (r *rig) limit(decide map[string]citronpermit.Decision) (asked map[string][]time.Duration) {
 	asked = map[string][]time.Duration{}
 	for id := range decide {
 		r.Limits.Heard(id, r.Limits.Of(id), citronupstream.PerSecond(2))
 	}
-	r.Permit = func(_ context.Context, e *citronpool.Engine, patience time.Duration) citronpermit.Decision {
-		asked[e.ID] = append(asked[e.ID], patience)
+	r.Permit = func(_ context.Context, e *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
+		asked[e.ID] = append(asked[e.ID], maxWait)
 		return decide[e.ID]
 	}
 	return asked
@@ -35,7 +37,8 @@
 
 var deniedForLong = citronpermit.Denied{Free: 30 * time.Second, Again: 30 * time.Second}
 
-// Guards against a request that is refused although an engine without a limit has room.
+// Guards against refusing a request although an engine without a rate limit has free
+// capacity.
 func TestRequestWithoutAPermitGoesToAnotherEngine(t *testing.T) {
 	for _, route := range []string{"safe", "unsafe", "stream"} {
 		t.Run(route, func(t *testing.T) {
@@ -49,14 +52,14 @@
 			for _, c := range r.engines.seen() {
 				is.True(c.engine == "p2" || c.engine == "m2")
 			}
-			is.True(len(asked["p1"]) <= 1) // it is left alone for as long as it said
+			is.True(len(asked["p1"]) <= 1) // not asked again for as long as the denial said
 			is.True(len(asked["m1"]) <= 1)
 		})
 	}
 }
 
-// Guards against a request that is held until its deadline although no engine can take
-// it before, and against a refusal that does not tell when to come back.
+// Guards against holding a request until its deadline although no engine can accept it
+// before then, and against a refusal without a retry delay.
 func TestRequestIsRefusedAtOnceIfNoPermitComesInTime(t *testing.T) {
 	for _, route := range []string{"safe", "unsafe", "stream"} {
 		t.Run(route, func(t *testing.T) {
@@ -69,10 +72,10 @@
 			c := r.ask(route, 4*time.Second)
 			is.True(c.refused)
 			is.Equal(c.status, http.StatusServiceUnavailable)
-			is.True(c.retryAfter > busy.Free-time.Second)       // some of it has passed
-			is.True(route != "stream" || len(asked["m1"]) == 2) // the second can wait
-			for _, patience := range asked["m1"] {
-				is.True(patience <= 200*time.Millisecond) // callers leave a silent stream
+			is.True(c.retryAfter > busy.Free-time.Second)       // part of the delay has passed
+			is.True(route != "stream" || len(asked["m1"]) == 2) // the second permit request may wait
+			for _, maxWait := range asked["m1"] {
+				is.True(maxWait <= 200*time.Millisecond) // clients leave a stalled stream
 			}
 			is.True(time.Since(from) < 300*time.Millisecond)
 			is.Equal(len(r.engines.seen()), 0)
@@ -80,16 +83,15 @@
 	}
 }
 
-// Guards against a request that is refused although its turn comes long before its
-// deadline.
+// Guards against refusing a request although a permit is free long before its deadline.
 func TestRequestWaitsForAPermit(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, plain("p1", "a"))
 	r.engines.answer = answersOK
 	asked := r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{}})
-	r.Permit = func(_ context.Context, _ *citronpool.Engine, patience time.Duration) citronpermit.Decision {
-		asked["p1"] = append(asked["p1"], patience)
-		if patience == 0 {
+	r.Permit = func(_ context.Context, _ *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
+		asked["p1"] = append(asked["p1"], maxWait)
+		if maxWait == 0 {
 			return citronpermit.Denied{Free: 100 * time.Millisecond, Again: 50 * time.Millisecond}
 		}
 		return citronpermit.Granted{After: 100 * time.Millisecond}
@@ -101,8 +103,8 @@
 	is.True(asked["p1"][1] > 400*time.Millisecond && asked["p1"][1] <= 500*time.Millisecond)
 }
 
-// Guards against new work for an engine that began to leave while a request waited for
-// its permit.
+// Guards against sending a request to an engine that began to leave while the request
+// waited for its permit.
 func TestRequestThatWaitedIsNotSentToALeavingEngine(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, plain("p1", "a"))
@@ -116,8 +118,8 @@
 	is.Equal(len(r.engines.seen()), 0)
 }
 
-// Guards against a stream that is resumed, or moved while it runs, without a permit.
-func TestRepeatsAndMovesTakePermits(t *testing.T) {
+// Guards against resuming a stream, or moving a running one, without a permit.
+func TestResumesAndMovesTakePermits(t *testing.T) {
 	t.Run("resume", func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "b", 0, 8))
@@ -139,7 +141,7 @@
 		var asked []string
 		r.Permit = func(_ context.Context, e *citronpool.Engine, _ time.Duration) citronpermit.Decision {
 			if asked = append(asked, e.ID); len(asked) == 2 {
-				return deniedForLong // the first that it would be moved to
+				return deniedForLong // the first engine that the stream would be moved to
 			}
 			return citronpermit.Granted{}
 		}
@@ -167,7 +169,8 @@
 	})
 }
 
-// Guards against a limit that is ended by an answer that is not the engine's own.
+// Guards against ending a limit because of a response that the engine itself did not
+// sign, or because of an invalid limit.
 func TestOnlyTheEnginesOwnAnswerEndsALimit(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -188,7 +191,7 @@
 			is := is.New(t)
 			r := newRig(t, plain("p1", "a"))
 			r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{}})
-			time.Sleep(1100 * time.Millisecond) // a limit stands for a second at least
+			time.Sleep(1100 * time.Millisecond) // a limit lasts for at least one second
 			r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
 				rep := c.reply()
 				if rep.RateLimit == nil {
--- a/citronforward/list_test.go
+++ b/citronforward/list_test.go
@@ -18,11 +18,11 @@
 	"github.com/matryer/is"
 )
 
-// A request fails at its first engine, and while it ran there the list changed:
-// of the two engines left, the one that the request would go to next is leaving.
-// The caller is served by the other, and the log tells from which list each
-// engine was chosen.
-func TestRepeatIsSentByTheListInForce(t *testing.T) {
+// Guards against a retry that uses an outdated engine list. The list changes while a
+// request fails at its first engine: of the two engines left, the preferred one begins
+// to leave. The other must serve the client, and the log must name the list that each
+// engine was selected from.
+func TestRetryUsesTheActiveList(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, plain("e1", "a"), plain("e2", "a"), plain("e3", "b"))
 	var log bytes.Buffer
@@ -34,12 +34,12 @@
 	after := before
 	after.ListRevision = citronkv.RevisionOf(0, 42)
 	after.View = citronpool.Build([]citronmodel.Engine{plain("e1", "a"), leaving, plain("e3", "b")}, before.View)
-	var inForce atomic.Pointer[citronforward.State]
-	inForce.Store(&before)
-	r.Current = inForce.Load
+	var active atomic.Pointer[citronforward.State]
+	active.Store(&before)
+	r.Current = active.Load
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		if n == 0 {
-			inForce.Store(&after)
+			active.Store(&after)
 			return reply(500, "broken"), nil
 		}
 		return reply(200, "done"), nil
@@ -48,7 +48,7 @@
 	calls := r.engines.seen()
 	is.Equal(len(calls), 2)
 	is.Equal(calls[0].engine, "e1")
-	is.Equal(calls[1].engine, "e3") // e2 is as near as e1 was
+	is.Equal(calls[1].engine, "e3") // e2 is in the same zone as e1, but is leaving
 	lines := strings.Split(log.String(), "\n")
 	is.True(strings.Contains(lines[0], "msg=attempt.failed") && strings.Contains(lines[0], "list=41"))
 	is.True(strings.Contains(lines[1], "msg=answer.sampled") && strings.Contains(lines[1], "list=42"))
--- a/citronforward/refused_test.go
+++ b/citronforward/refused_test.go
@@ -16,9 +16,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a third engine that runs a request beside two that are well: a leaving
-// engine refuses connections while the streams that it has go on.
-func TestRefusedConnectionIsNoEndWhileStreamsGoOn(t *testing.T) {
+// Guards against starting a run on a third engine beside two that are healthy. A
+// leaving engine refuses new connections while its streams continue.
+func TestRefusedConnectionDoesNotEndRunningStreams(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "b", 0, 8))
 	state := r.Current()
@@ -48,7 +48,7 @@
 			time.Sleep(50 * time.Millisecond)
 			citronprobe.Dead(c.Engine, syscall.ECONNREFUSED, time.Now())
 			_, _ = io.WriteString(w, events(3, 3))
-			time.Sleep(2200 * time.Millisecond) // past the time to move
+			time.Sleep(2200 * time.Millisecond) // beyond the time at which the stream is due to move
 			_, _ = io.WriteString(w, events(4, 4))
 			_ = w.Close()
 		}()
@@ -61,8 +61,9 @@
 	is.Equal(len(r.engines.seen()), 2)
 }
 
-// Guards against a third engine that runs a request after two that were cut off: they
-// reset what they have and refuse connections as if they had ended, and live on.
+// Guards against starting a run on a third engine after two that were cut off from the
+// network: they reset their streams and refuse connections as if they had ended, but
+// are still running.
 func TestRunOnAnEngineThatRefusesConnectionsCounts(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "b", 0, 8))
@@ -70,7 +71,7 @@
 		body, w := io.Pipe()
 		go func() {
 			_, _ = io.WriteString(w, events(2*n+1, 2*n+1))
-			time.Sleep(600 * time.Millisecond) // so that it is not held for what ends engines
+			time.Sleep(600 * time.Millisecond) // long enough that the request does not become a suspect
 			_, _ = io.WriteString(w, events(2*n+2, 2*n+2))
 			_ = w.CloseWithError(errReset)
 		}()
--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -23,7 +23,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// sent is one call that the fake engines saw.
+// sent is one call that the fake engines received.
 type sent struct {
 	engine string
 	after  string
@@ -31,7 +31,7 @@
 	once   bool
 }
 
-// fakeEngines answers calls as the test says, by engine.
+// fakeEngines answers calls with the functions that the test sets.
 type fakeEngines struct {
 	mu      sync.Mutex
 	calls   []sent
@@ -72,7 +72,7 @@
 	return append([]sent(nil), f.calls...)
 }
 
-// caller records the answer that the caller gets.
+// caller records the response that the client gets.
 type caller struct {
 	status     int
 	retryAfter time.Duration
@@ -105,7 +105,7 @@
 	return citronmodel.Engine{ID: id, Service: "app", Addr: id + ":1", Zone: zone}
 }
 
-// rig is a forwarder in zone "a" before fake engines.
+// rig is a forwarder in zone "a" that sends to fake engines.
 type rig struct {
 	*citronforward.Forwarder
 	engines *fakeEngines
@@ -141,7 +141,7 @@
 	return r
 }
 
-// ask sends a request of a route and returns what the caller got.
+// ask sends a request to a route and returns what the client got.
 func (r *rig) ask(route string, wait time.Duration, change ...func(*citronupstream.Request)) *caller {
 	req := &citronupstream.Request{
 		ID: "r1", Method: "POST", Host: "h", Path: "/" + route + "/x", Target: "/" + route + "/x", Header: http.Header{},
--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -14,10 +14,9 @@
 
 var errReset = errors.New("connection reset")
 
-// The caller of a cut release sees an engine take its request and never
-// answer. At the deadline the engine may have run it, so the answer must
-// not be one that promises that it did not: the caller would send it again
-// and the same plate would be cut twice.
+// Guards against a promise that a request did not run when it may have run. An engine
+// accepts a request and never answers. If the response at the deadline said that the
+// request had not run, the client would send it again and it would be executed twice.
 func TestAnswerLostUntilDeadlineIsNeverNotRun(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, plain("e1", "a"), plain("e2", "b"))
@@ -27,12 +26,12 @@
 	}
 	got := r.ask("unsafe", 150*time.Millisecond)
 	is.Equal(got.status, http.StatusGatewayTimeout)
-	is.True(got.retryAfter < 0) // nothing invites the caller back
+	is.True(got.retryAfter < 0) // the client is not invited to retry
 	is.Equal(len(r.engines.seen()), 1)
 }
 
-// A stream whose engines took it and stayed silent to the deadline may have
-// run as well.
+// Guards against the same promise for a stream whose engines accepted it and sent
+// nothing until the deadline.
 func TestSilentStreamAtDeadlineIsNeverNotRun(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8))
@@ -43,10 +42,10 @@
 	is.Equal(r.ask("stream", 150*time.Millisecond).status, http.StatusGatewayTimeout)
 }
 
-// What may be sent again, by kind of request and by what became of the
-// first call. Each row: the first engine's answer, how many engines see the
-// request, and the status that the caller gets.
-func TestWhatIsSentAgain(t *testing.T) {
+// TestRetriesByKindAndOutcome covers what is retried for each kind of request and each
+// outcome of the first call. A row gives the first engine's response, the number of
+// engines that see the request, and the status that the client gets.
+func TestRetriesByKindAndOutcome(t *testing.T) {
 	lost := func() (*citronupstream.Reply, error) { return nil, errReset }
 	notSent := func() (*citronupstream.Reply, error) { return nil, errors.Mark(errReset, citronupstream.ErrNotSent) }
 	foreign := func() (*citronupstream.Reply, error) { return nil, errors.Mark(errReset, citronupstream.ErrForeign) }
@@ -91,8 +90,8 @@
 	}
 }
 
-// A safe request that fails at every engine gets the engine's own answer,
-// not one of this node's.
+// Guards against replacing an engine's error response by one of this node's own: an
+// idempotent request that fails at every engine gets the last engine's response.
 func TestLastFailureIsPassedOn(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, plain("e1", "a"), plain("e2", "a"))
@@ -105,8 +104,8 @@
 	is.Equal(len(r.engines.seen()), 2) // the route's limit
 }
 
-// No engine at all: the request did not run, and the caller is told at once
-// when to come back, not at its deadline.
+// Guards against holding a request until its deadline if there is no engine: it did not
+// run, so the client is told at once when to retry.
 func TestNoEngineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
@@ -117,9 +116,9 @@
 	is.True(time.Since(begin) < 5*time.Second)
 }
 
-// Only a safe request leaves an engine that hangs; its answer then comes
-// from another.
-func TestSafeRequestLeavesHangingEngine(t *testing.T) {
+// Guards against waiting for an engine that hangs: an idempotent request is retried on
+// another engine.
+func TestSafeRequestIsRetriedIfEngineHangs(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, plain("e1", "a"), plain("e2", "a"))
 	r.engines.answer = func(ctx context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
@@ -132,7 +131,7 @@
 	is.Equal(r.ask("safe", 10*time.Second).status, 200)
 }
 
-// Refusals that concern the caller, each from the configuration in force.
+// TestRefusalsByConfiguration covers the refusals that the active configuration causes.
 func TestRefusalsByConfiguration(t *testing.T) {
 	for _, c := range []struct {
 		name, route string
@@ -157,8 +156,8 @@
 	}
 }
 
-// A node that knows no configuration must not say that a route or a key
-// does not exist: callers would give up for good.
+// Guards against a node without a configuration that reports a route or key as unknown:
+// clients would give up permanently.
 func TestNoConfigurationIsNeverNotFound(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
