--- a/citronnode/config_test.go
+++ b/citronnode/config_test.go
@@ -12,13 +12,12 @@
 	"github.com/matryer/is"
 )
 
-// A storm of versions: each comes from the store and from several nodes at
-// once, large enough to take a while to decode. Callers must see the newest
-// soon, so none is decoded twice, and whoever reads the inbox late finds the
-// newest, not a queue of old ones.
-func TestStormOfVersionsIsDecodedOnce(t *testing.T) {
+// Each version arrives from several senders at once and takes a while to decode. Callers
+// must see the newest version soon, so no version is decoded twice, and a late reader of
+// the inbox finds the newest version instead of a queue of old ones.
+func TestConcurrentVersionsAreDecodedOnce(t *testing.T) {
 	is := is.New(t)
-	const versions, bringers = 30, 8
+	const versions, senders = 30, 8
 	var decoded atomic.Int64
 	b := newConfigInbox(func(text []byte) (*citrontable.Table, error) {
 		decoded.Add(1)
@@ -27,7 +26,7 @@
 		return citrontable.New(v, nil, nil, nil, citrontable.Limits{}), err
 	})
 	var all sync.WaitGroup
-	for range bringers {
+	for range senders {
 		all.Go(func() {
 			for v := int64(1); v <= versions; v++ {
 				if err := b.offer(v, []byte(strconv.FormatInt(v, 10)), sourceNode); err != nil {
@@ -42,13 +41,13 @@
 	<-b.ready
 	select {
 	case <-b.ready:
-		t.Fatal("a second wake-up for what has been taken")
+		t.Fatal("unexpected second wake-up: the newest version was already announced")
 	default:
 	}
 }
 
-// A version that cannot be read is told; it does not hold up the next.
-func TestUnreadableVersionIsNotOffered(t *testing.T) {
+// A version that cannot be decoded is reported and does not delay the next one.
+func TestInvalidVersionDoesNotBlockTheNext(t *testing.T) {
 	is := is.New(t)
 	b := newConfigInbox(func(text []byte) (*citrontable.Table, error) {
 		if len(text) == 0 {
--- a/citronnode/directory_test.go
+++ b/citronnode/directory_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against callers of another zone being sent to a node that was not heard of
-// for as long as it may be dead.
-func TestDirectoryListsNoStaleNode(t *testing.T) {
+// Guards against callers of another zone being sent to a node that may be dead because
+// it has not been heard of lately.
+func TestDirectoryOmitsStaleNodes(t *testing.T) {
 	is := is.New(t)
 	var n Node
 	node := func(name, zone string) citronpeer.Member {
--- a/citronnode/node_test.go
+++ b/citronnode/node_test.go
@@ -12,21 +12,22 @@
 	"github.com/matryer/is"
 )
 
-// The store turns one node away and serves the others. The operator changes
-// the configuration: callers of that node must not be served by the old one
-// for as long as the store likes, so it learns the new one from the others.
-func TestConfigReachesNodeThatTheStoreTurnsAway(t *testing.T) {
+// The store rejects one node and serves the others while the operator changes the
+// configuration. The rejected node must learn the new configuration from the others, or
+// it would serve callers by the old one for as long as the store rejects it.
+func TestConfigReachesNodeRejectedByStore(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
 	a, b := f.add("a", "z1"), f.add("b", "z1")
 	eventually(t, "both nodes have version 1", func() bool { return a.version() == 1 && b.version() == 1 })
 	b.gate.closed.Store(true)
 	f.config("2")
-	eventually(t, "version 2 at the node turned away", func() bool { return b.version() == 2 })
+	eventually(t, "version 2 at the rejected node", func() bool { return b.version() == 2 })
 }
 
-// The same at its start: it has never seen the store, and still gets all.
-func TestNodeStartsWithoutTheStore(t *testing.T) {
+// The store rejects a node from its start. The node gets the configuration and the
+// engines from the others.
+func TestNodeStartsWithoutStore(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
 	f.engine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
@@ -39,11 +40,11 @@
 	})
 }
 
-// A fleet of nine nodes: each watch is answered at every change and priced,
-// so only a few nodes watch. All get a new configuration; and when the store
-// turns all of those away that watch, others step in, or the fleet would keep
-// the old one for as long as the store likes.
-func TestFewNodesWatchForAll(t *testing.T) {
+// Each watch is priced and answered at every change, so only a few of nine nodes watch,
+// and all nodes get a new configuration. When the store rejects all watching nodes,
+// others must take over, or the fleet would keep the old configuration for as long as
+// the store rejects them.
+func TestFewNodesWatchForTheFleet(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
 	for i := range 9 {
@@ -65,24 +66,24 @@
 		m.gate.closed.Store(true)
 	}
 	f.config("3")
-	eventually(t, "version 3 everywhere, from those that did not watch", all(3))
+	eventually(t, "version 3 everywhere, from nodes that did not watch before", all(3))
 }
 
-// Watches hear nothing while the configuration changes, as when the store
-// drops its history. A node whose own watch is silent learns from one whose
-// watch is not; callers never see the old version for a watch's whole time.
-func TestSilentWatchKeepsNoOldVersion(t *testing.T) {
+// Watches report nothing while the configuration changes, as when the store drops its
+// history. A node whose own watch is stalled learns the change from a node whose watch
+// is not; it must not serve the old version until its watch ends.
+func TestStalledWatchDoesNotKeepOldConfig(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
 	a, b := f.add("a", "z1"), f.add("b", "z2")
 	eventually(t, "both nodes have version 1", func() bool { return a.version() == 1 && b.version() == 1 })
 	b.gate.silent.Store(true)
 	f.config("2")
-	eventually(t, "version 2 behind the silent watch", func() bool { return b.version() == 2 })
+	eventually(t, "version 2 behind the stalled watch", func() bool { return b.version() == 2 })
 }
 
-// A configuration that cannot be read, or an older one, changes nothing.
-func TestBadOrOldConfigIsNotTaken(t *testing.T) {
+// A configuration that cannot be decoded, or an older one, changes nothing.
+func TestInvalidOrOlderConfigIsIgnored(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
 	f.config("5")
@@ -97,15 +98,15 @@
 	is.Equal(a.version(), int64(6))
 }
 
-// An entry of the list that cannot be read is left out, the others serve.
-func TestBadEngineEntryIsLeftOut(t *testing.T) {
+// An engine entry that cannot be decoded is skipped; the other engines serve.
+func TestInvalidEngineEntryIsSkipped(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
 	_, err := f.store.Put(context.Background(), "engines/bad", []byte("{"), citronkv.Absent, 0)
 	is.New(t).NoErr(err)
 	f.engine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
 	a := f.add("a", "z1")
-	eventually(t, "the good engine is listed", func() bool {
+	eventually(t, "the valid engine is listed", func() bool {
 		return a.Traffic() != nil && len(a.Traffic().View.ByService["app"]) == 1
 	})
 }
@@ -130,14 +131,14 @@
 	return n
 }
 
-// The entries of all engines go at once and are back within two seconds. Nothing
-// proves an outage, but callers must be served by the engines, which are well,
-// not refused because the list is empty, for as long as may be: five seconds
-// here until an engine that leaves must get no new work.
-func TestEntriesThatLapseTogetherStayInUse(t *testing.T) {
+// The entries of all engines disappear at once, and most are back within two seconds.
+// Nothing proves a store outage, but the engines are healthy: callers must not be
+// rejected because the list is empty. The entries are retained for as long as possible:
+// here five seconds, until an engine that leaves must get no new work.
+func TestEnginesStayInUseWhenEntriesExpireTogether(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
-	f.drain = 5 * time.Second
+	f.drainWithin = 5 * time.Second
 	f.config("1")
 	for _, e := range engines(12) {
 		f.engine(e)
@@ -152,14 +153,14 @@
 	for _, e := range engines(10) {
 		f.engine(e)
 	}
-	eventually(t, "the two that are not back are gone", func() bool {
+	eventually(t, "the two engines that are not back are removed", func() bool {
 		return a.usable() == 10 && len(a.Traffic().View.ByService["app"]) == 10
 	})
 }
 
-// One engine's entry goes while the store is well: the engine leaves without
-// having said so. It must get no new work, at once.
-func TestEntryThatGoesAloneMeansLeaving(t *testing.T) {
+// The entry of one engine disappears while the store is healthy: the engine leaves
+// without announcing it. It must stop getting new work immediately.
+func TestSingleMissingEntryMeansEngineLeaves(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
 	for _, e := range engines(12) {
@@ -169,27 +170,27 @@
 	eventually(t, "twelve engines", func() bool { return a.usable() == 12 })
 	is.New(t).NoErr(f.store.Delete(context.Background(), "engines/e3", citronkv.AnyRevision))
 	eventually(t, "eleven in use", func() bool { return a.usable() == 11 })
-	eventually(t, "and then off the list", func() bool { return len(a.Traffic().View.ByService["app"]) == 11 })
+	eventually(t, "and the engine is removed from the list", func() bool { return len(a.Traffic().View.ByService["app"]) == 11 })
 }
 
-// Callers are sent to their own zone, never to a node that is stopping.
-func TestDirectory(t *testing.T) {
+// Callers are sent to their own zone, and never to a node that is stopping.
+func TestDirectoryPrefersOwnZone(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
 	a, b, c := f.add("a", "z1"), f.add("b", "z1"), f.add("c", "z2")
-	names := func(m *member, zone string) string { return fmt.Sprint(len(m.Addresses(zone))) }
-	eventually(t, "own zone where it has two nodes, all where it has one", func() bool {
-		return names(a, "z1") == "2" && names(c, "z1") == "2" && names(c, "z2") == "3"
+	count := func(m *member, zone string) string { return fmt.Sprint(len(m.Addresses(zone))) }
+	eventually(t, "own zone if it has two nodes, all zones if it has one", func() bool {
+		return count(a, "z1") == "2" && count(c, "z1") == "2" && count(c, "z2") == "3"
 	})
 	go b.Drain(context.Background())
-	eventually(t, "the stopping node is not named", func() bool {
-		return names(a, "z2") == "2" && names(c, "z2") == "2" && names(b, "z2") == "2"
+	eventually(t, "the stopping node is not returned", func() bool {
+		return count(a, "z2") == "2" && count(c, "z2") == "2" && count(b, "z2") == "2"
 	})
 }
 
-// The node that places layers dies. Another takes over, finds the engines as
-// they are, and orders only what is missing: what works is not moved.
-func TestNewLeaderOrdersOnlyWhatIsMissing(t *testing.T) {
+// The node that places layers dies. Another node takes over, finds the engines as they
+// are, and places only the missing layers; engines that work are not moved.
+func TestNewLeaderPlacesOnlyMissingLayers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
 	f.config("1")
@@ -214,23 +215,23 @@
 		return true
 	}
 	eventually(t, "all layers are held", func() bool { return covered(a) })
-	time.Sleep(500 * time.Millisecond) // spares are placed
+	time.Sleep(500 * time.Millisecond) // spare layer ranges are placed
 	b := f.add("b", "z1")
 	eventually(t, "second node knows all layers", func() bool { return covered(b) })
 	before := f.orders.count()
 	a.stop()
-	// An engine goes; only a leader has its layers placed elsewhere.
+	// An engine leaves; only a leader has its layers placed elsewhere.
 	is.NoErr(f.store.Delete(context.Background(), "engines/"+b.Traffic().View.ByService["model"][0].ID, citronkv.AnyRevision))
-	eventually(t, "the new leader fills the hole", func() bool {
+	eventually(t, "the new leader fills the gap", func() bool {
 		return len(b.Traffic().View.ByService["model"]) == 2 && covered(b)
 	})
 	is.True(f.orders.count()-before <= 2)
 }
 
-// The store is away for everybody, and an engine dies. Nobody can be elected
-// now; the leader that was has to fill the hole, or callers of the zone wait
-// for the store to come back.
-func TestLeaderGoesOnWhileTheStoreIsAway(t *testing.T) {
+// The store is unavailable to all nodes, and an engine dies. No leader can be elected,
+// so the current leader must fill the gap, or callers of the zone would wait until the
+// store is back.
+func TestLeaderContinuesDuringStoreOutage(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
 	for i := range 3 {
@@ -238,7 +239,7 @@
 	}
 	b := f.add("b", "z1")
 	eventually(t, "the first node leads", func() bool { return f.orders.count() > 0 })
-	a := f.add("a", "z1") // would stand in for a leader that resigned
+	a := f.add("a", "z1") // would become acting leader if the leader resigned
 	held := func() (n int) {
 		if s := a.Traffic(); s != nil {
 			for _, e := range s.View.ByService["model"] {
@@ -251,22 +252,22 @@
 	before := f.orders.count()
 	a.gate.closed.Store(true)
 	b.gate.closed.Store(true)
-	time.Sleep(1500 * time.Millisecond) // two lives of the lease
+	time.Sleep(1500 * time.Millisecond) // two lifetimes of the lease
 	for _, e := range a.Traffic().View.ByService["model"] {
 		if e.Layers.To == spec.Layers {
-			f.orders.kill(e.Addr)
+			f.orders.markDead(e.Addr)
 			for _, m := range []*member{a, b} {
 				own, _ := m.Traffic().View.ByID(e.ID)
 				own.Dead(time.Now())
 			}
 		}
 	}
-	eventually(t, "an order fills the hole", func() bool { return f.orders.count() > before })
-	is.New(t).Equal(f.orders.givers(before)[0], "b")
+	eventually(t, "an order fills the gap", func() bool { return f.orders.count() > before })
+	is.New(t).Equal(f.orders.issuersAfter(before)[0], "b")
 }
 
-// The same, and the leader dies as well before it could act.
-func TestHoleIsFilledWithoutLeaderAndStore(t *testing.T) {
+// As above, but the leader dies as well before it could act.
+func TestActingLeaderFillsGapDuringStoreOutage(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
 	for i := range 3 {
@@ -276,14 +277,14 @@
 	eventually(t, "the first node leads", func() bool { return f.orders.count() >= 2 })
 	b, c := f.add("b", "z1"), f.add("c", "z1")
 	eventually(t, "all are ready", func() bool { return b.Ready() && c.Ready() })
-	time.Sleep(2500 * time.Millisecond) // their lists count as whole
+	time.Sleep(2500 * time.Millisecond) // their lists count as complete
 	b.gate.closed.Store(true)
 	c.gate.closed.Store(true)
 	a.stop()
 	before := f.orders.count()
 	for _, e := range b.Traffic().View.ByService["model"] {
 		if e.Layers.To == spec.Layers {
-			f.orders.kill(e.Addr)
+			f.orders.markDead(e.Addr)
 			stop := make(chan struct{})
 			defer close(stop)
 			go func() { // requests keep finding it dead
@@ -298,12 +299,12 @@
 			}()
 		}
 	}
-	eventually(t, "an order fills the hole", func() bool { return f.orders.count() > before })
+	eventually(t, "an order fills the gap", func() bool { return f.orders.count() > before })
 }
 
-// One node is refused because of an engine. The others of its zone hear of it
-// in one message and leave the engine alone for a moment, instead of each
-// having a request of its own refused.
+// A request of one node is rejected because of an engine. The other nodes of its zone
+// hear of it in one message and avoid the engine for a moment, instead of each having a
+// request rejected.
 func TestAccusationReachesTheZone(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -26,53 +26,54 @@
 	"github.com/cockroachdb/errors"
 )
 
-// gatedStore is the store as one node reaches it.
+// gatedStore is the store as seen by one node. It can reject the calls of that node or
+// of all nodes, and stall watches.
 type gatedStore struct {
 	*citronkv.Server
-	// closed: the store turns this node away.
+	// closed makes the store reject this node.
 	closed atomic.Bool
-	// away: it turns all nodes away.
+	// away makes the store reject all nodes.
 	away *atomic.Bool
-	// silent: watches hear nothing until they end.
+	// silent makes watches report nothing until they end.
 	silent atomic.Bool
-	// watches counts the watches that wait.
+	// watches counts the pending watches.
 	watches atomic.Int64
-	// calls counts the reads, writes and watches that were begun.
+	// calls counts the reads, writes and watches that were started.
 	calls atomic.Int64
 }
 
-func (d *gatedStore) turnsAway() bool {
+func (d *gatedStore) rejects() bool {
 	return d.closed.Load() || d.away != nil && d.away.Load()
 }
 
-var errTurnedAway = errors.Mark(errors.New("turned away"), citronkv.ErrUnavailable)
+var errRejected = errors.Mark(errors.New("the fake store rejects this node"), citronkv.ErrUnavailable)
 
 func (d *gatedStore) Get(ctx context.Context, key string) (citronkv.Item, error) {
-	if d.turnsAway() {
-		return citronkv.Item{}, errTurnedAway
+	if d.rejects() {
+		return citronkv.Item{}, errRejected
 	}
 	return d.Server.Get(ctx, key)
 }
 
 func (d *gatedStore) Range(ctx context.Context, prefix string) ([]citronkv.Item, citronkv.Revision, error) {
 	d.calls.Add(1)
-	if d.turnsAway() {
-		return nil, citronkv.Revision{}, errTurnedAway
+	if d.rejects() {
+		return nil, citronkv.Revision{}, errRejected
 	}
 	return d.Server.Range(ctx, prefix)
 }
 
 func (d *gatedStore) Put(ctx context.Context, key string, value []byte, expect citronkv.Revision, lease citronkv.LeaseID) (citronkv.Revision, error) {
 	d.calls.Add(1)
-	if d.turnsAway() {
-		return citronkv.Revision{}, errTurnedAway
+	if d.rejects() {
+		return citronkv.Revision{}, errRejected
 	}
 	return d.Server.Put(ctx, key, value, expect, lease)
 }
 
 func (d *gatedStore) Watch(ctx context.Context, prefix string, after citronkv.Revision) ([]citronkv.Item, citronkv.Revision, error) {
-	if d.turnsAway() {
-		return nil, citronkv.Revision{}, errTurnedAway
+	if d.rejects() {
+		return nil, citronkv.Revision{}, errRejected
 	}
 	d.calls.Add(1)
 	d.watches.Add(1)
@@ -87,31 +88,31 @@
 	if err != nil && limit.Err() != nil && ctx.Err() == nil {
 		return nil, after, nil // the wait ended without events
 	}
-	if d.turnsAway() {
-		return nil, citronkv.Revision{}, errTurnedAway
+	if d.rejects() {
+		return nil, citronkv.Revision{}, errRejected
 	}
 	return items, rev, err
 }
 
 func (d *gatedStore) KeepAlive(ctx context.Context, id citronkv.LeaseID) error {
-	if d.turnsAway() {
-		return errTurnedAway
+	if d.rejects() {
+		return errRejected
 	}
 	return d.Server.KeepAlive(ctx, id)
 }
 
-// orders are engines that carry out each order at once.
+// orders is a fake for the engines that carries out each order at once.
 type orders struct {
-	store *citronkv.Server
-	mu    sync.Mutex
-	given []string
-	// by are the nodes that gave them.
-	by []string
+	store   *citronkv.Server
+	mu      sync.Mutex
+	ordered []string
+	// orderedBy holds the names of the nodes that gave the orders.
+	orderedBy []string
 	// dead is the address of an engine that does not answer.
 	dead string
 }
 
-// nodeOrders are the engines as one node reaches them.
+// nodeOrders is the fake for the engines as used by one node.
 type nodeOrders struct {
 	*orders
 	node string
@@ -119,7 +120,7 @@
 
 func (o nodeOrders) Place(ctx context.Context, e citronmodel.Engine, order citronplace.Order, accepted int64) error {
 	o.mu.Lock()
-	o.by = append(o.by, o.node)
+	o.orderedBy = append(o.orderedBy, o.node)
 	o.mu.Unlock()
 	return o.orders.Place(ctx, e, order, accepted)
 }
@@ -128,12 +129,12 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if addr == o.dead {
-		return citronplace.EngineState{}, errors.New("no answer")
+		return citronplace.EngineState{}, errors.New("the fake engine does not answer")
 	}
-	return citronplace.EngineState{Accepted: 1}, nil // it holds what it was ordered to
+	return citronplace.EngineState{Accepted: 1}, nil // it holds the layers that it was ordered to hold
 }
 
-func (o *orders) kill(addr string) {
+func (o *orders) markDead(addr string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.dead = addr
@@ -141,23 +142,23 @@
 
 func (o *orders) Place(ctx context.Context, e citronmodel.Engine, order citronplace.Order, _ int64) error {
 	o.mu.Lock()
-	o.given = append(o.given, e.ID)
+	o.ordered = append(o.ordered, e.ID)
 	o.mu.Unlock()
 	e.Layers = order.Span
 	return putEngine(ctx, o.store, e)
 }
 
-// givers are the nodes that gave orders after the first n.
-func (o *orders) givers(n int) []string {
+// issuersAfter returns the names of the nodes that gave orders after the first n.
+func (o *orders) issuersAfter(n int) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]string(nil), o.by[n:]...)
+	return append([]string(nil), o.orderedBy[n:]...)
 }
 
 func (o *orders) count() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.given)
+	return len(o.ordered)
 }
 
 func putEngine(ctx context.Context, s citronkv.Store, e citronmodel.Engine) error {
@@ -191,24 +192,24 @@
 // network connects nodes.
 type network interface {
 	// listen serves a node at a new address; hc reaches the other nodes.
-	listen(h http.Handler) (addr string, hc *http.Client, unplug func())
+	listen(h http.Handler) (addr string, hc *http.Client, disconnect func())
 }
 
-// sockets is the loopback interface.
-type sockets struct{}
+// loopback connects nodes over the loopback interface.
+type loopback struct{}
 
-func (sockets) listen(h http.Handler) (string, *http.Client, func()) {
+func (loopback) listen(h http.Handler) (string, *http.Client, func()) {
 	hs := httptest.NewServer(h)
 	return strings.TrimPrefix(hs.URL, "http://"), hs.Client(), hs.Close
 }
 
-// mesh connects nodes by calls: three hundred nodes need more connections than
-// a process may open. It counts the bytes of all bodies.
+// mesh connects nodes by function calls, because three hundred nodes need more
+// connections than a process may open. It counts the bytes of all bodies.
 type mesh struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
 	bytes    atomic.Int64
-	// deaf: nobody hears what nodes tell of others.
+	// deaf makes all exchanges between nodes fail.
 	deaf atomic.Bool
 }
 
@@ -219,12 +220,12 @@
 	defer m.mu.Unlock()
 	addr := fmt.Sprintf("node-%d:1", len(m.handlers))
 	m.handlers[addr] = h
-	unplug := func() {
+	disconnect := func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.handlers[addr] = nil
 	}
-	return addr, &http.Client{Transport: m}, unplug
+	return addr, &http.Client{Transport: m}, disconnect
 }
 
 // RoundTrip implements http.RoundTripper.
@@ -241,22 +242,22 @@
 	return w.Result(), nil
 }
 
-// fleet is some nodes before one store.
+// fleet is a set of nodes that share one store.
 type fleet struct {
 	t      testing.TB
 	store  *citronkv.Server
 	orders *orders
-	// net is what the nodes speak to each other over.
+	// net is the network that connects the nodes.
 	net network
-	// strangers: nodes know none of another zone when they start.
+	// strangers gives nodes only seeds of their own zone.
 	strangers bool
-	// log takes what all nodes log.
+	// log handles the log records of all nodes.
 	log   slog.Handler
 	nodes []*member
-	// away: the store turns all nodes away.
+	// away makes the store reject all nodes.
 	away atomic.Bool
-	// drain is the nodes' DrainWithin.
-	drain time.Duration
+	// drainWithin is the DrainWithin setting of the nodes.
+	drainWithin time.Duration
 }
 
 type member struct {
@@ -267,7 +268,7 @@
 	zone   string
 	budget *citronbudget.Budget
 	stop   context.CancelFunc
-	// stopped: its process has ended.
+	// stopped reports that the node's process has ended.
 	stopped atomic.Bool
 }
 
@@ -277,26 +278,26 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go store.Run(ctx)
-	return &fleet{t: t, store: store, orders: &orders{store: store}, net: sockets{}, log: slog.NewTextHandler(io.Discard, nil)}
+	return &fleet{t: t, store: store, orders: &orders{store: store}, net: loopback{}, log: slog.NewTextHandler(io.Discard, nil)}
 }
 
-// mostSeeds is how many addresses a node is given.
-const mostSeeds = 8
+// maxSeeds is the number of seed addresses that a node is given.
+const maxSeeds = 8
 
-// add starts a node; it knows the addresses of the last before it.
+// add starts a node that knows the addresses of the last nodes before it.
 func (f *fleet) add(name, zone string) *member {
 	f.t.Helper()
 	mux := http.NewServeMux()
-	addr, hc, unplug := f.net.listen(mux)
+	addr, hc, disconnect := f.net.listen(mux)
 	var seeds []string
-	for _, m := range f.nodes[max(0, len(f.nodes)-mostSeeds):] {
+	for _, m := range f.nodes[max(0, len(f.nodes)-maxSeeds):] {
 		if !f.strangers || m.zone == zone {
 			seeds = append(seeds, m.addr)
 		}
 	}
 	m := &member{name: name, gate: &gatedStore{Server: f.store, away: &f.away}, addr: addr, zone: zone, budget: citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second})}
 	m.Node = citronnode.New(citronnode.Settings{
-		Name: name, Zone: zone, Front: "front-" + name, Peer: addr, Seeds: seeds, LeaseTTL: 600 * time.Millisecond, Grace: time.Second, DrainWithin: f.drain,
+		Name: name, Zone: zone, Front: "front-" + name, Peer: addr, Seeds: seeds, LeaseTTL: 600 * time.Millisecond, Grace: time.Second, DrainWithin: f.drainWithin,
 	}, citronnode.Sources{
 		Store: m.gate, ConfigKey: "config", EnginePrefix: "engines/",
 		DecodeConfig: decodeConfig, DecodeEngine: decodeEngine, Orders: nodeOrders{f.orders, name},
@@ -311,7 +312,7 @@
 			m.stopped.Store(true)
 			cancel()
 			<-done
-			unplug()
+			disconnect()
 		})
 	}
 	f.t.Cleanup(m.stop)
@@ -340,16 +341,16 @@
 	return 0
 }
 
-// patience is how long a test waits for what takes a second at most; a
-// slow machine must not fail it.
-const patience = 30 * time.Second
+// eventuallyTimeout is how long a test waits for a condition that takes a second at
+// most, so that slow machines do not fail it.
+const eventuallyTimeout = 30 * time.Second
 
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(eventuallyTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", patience, what)
+	t.Fatalf("condition not met within %v: %s", eventuallyTimeout, what)
 }
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -13,10 +13,10 @@
 	"citrondeck.dev/citrondeck/citronupstream"
 )
 
-// spreadSizes are the fleets for which the spreading of news is measured.
+// spreadSizes are the fleet sizes for which the spreading of updates is measured.
 var spreadSizes = []int{30, 300}
 
-// fleetOf starts a fleet of five zones, and waits until all nodes know all.
+// fleetOf starts a fleet of five zones and waits until all nodes know each other.
 func fleetOf(b *testing.B, size int) (*fleet, *mesh) {
 	b.Helper()
 	f := newFleet(b)
@@ -34,8 +34,8 @@
 	return f, m
 }
 
-// BenchmarkBarredRequestSpreads gives the time until all nodes bar a request that
-// three of them saw crash an engine each, and what is sent meanwhile.
+// BenchmarkBarredRequestSpreads measures the time until all nodes quarantine a request
+// that three of them saw crash one engine each, and the bytes sent meanwhile.
 func BenchmarkBarredRequestSpreads(b *testing.B) {
 	for _, size := range spreadSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -47,16 +47,16 @@
 				for k := range 3 {
 					f.nodes[k*size/3].Quarantine().Crashed(p, fmt.Sprintf("i-%d", k), time.Time{})
 				}
-				eventually(b, "all nodes bar the request", func() bool { return f.barredAt(p) == size })
+				eventually(b, "all nodes quarantine the request", func() bool { return f.barredAt(p) == size })
 			}
 			b.ReportMetric(float64(m.bytes.Load())/1024/float64(size)/float64(b.N), "KB/node")
 		})
 	}
 }
 
-// BenchmarkReturnOfTheStore gives the time from the return of the store from an
-// older copy until all nodes use the list of the new era, and the calls to the store.
-func BenchmarkReturnOfTheStore(b *testing.B) {
+// BenchmarkStoreRestore measures the time from the restore of the store from an older
+// copy until all nodes use the list of the new era, and the calls to the store.
+func BenchmarkStoreRestore(b *testing.B) {
 	for _, size := range spreadSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f, _ := fleetOf(b, size)
@@ -69,11 +69,11 @@
 			before := calls()
 			b.ResetTimer()
 			for i := range b.N {
-				made := f.store.Copy()
+				backup := f.store.Copy()
 				for k := range 20 {
 					f.engine(appEngine(fmt.Sprintf("gap%d", k)))
 				}
-				f.store.Return(made)
+				f.store.Return(backup)
 				f.engine(appEngine(fmt.Sprintf("new%d", i)))
 				eventually(b, "all use the new era", func() bool { return f.usableAt(fmt.Sprintf("new%d", i)) == size })
 			}
@@ -82,8 +82,8 @@
 	}
 }
 
-// BenchmarkLimitSpreads gives the time until all nodes know a rate limit that one of
-// them was told, and what is sent meanwhile.
+// BenchmarkLimitSpreads measures the time until all nodes know a rate limit that one of
+// them learned, and the bytes sent meanwhile.
 func BenchmarkLimitSpreads(b *testing.B) {
 	for _, size := range spreadSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -110,8 +110,8 @@
 	}
 }
 
-// BenchmarkPermit gives the time in which a node gets a permit from another, over a
-// connection of the loopback interface, and the processor time of both.
+// BenchmarkPermit measures the time in which a node gets a permit from another node over
+// a loopback connection, and the processor time of both.
 func BenchmarkPermit(b *testing.B) {
 	f := newFleet(b)
 	f.config("1")
@@ -123,17 +123,17 @@
 	f.nodes[0].Limits().Heard("limited", citronlimit.Record{}, citronupstream.PerSecond(1e9))
 	eventually(b, "both know the limit", func() bool { return f.limitedAt("limited") == 2 })
 	e, _ := f.nodes[0].Traffic().View.ByID("limited")
-	asker := f.nodes[0]
+	requester := f.nodes[0]
 	for _, m := range f.nodes {
-		if dealer, _ := citronpermit.DealerFor("limited", e.Zone, []citronpeer.Member{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z1"}}); m.name != dealer.Name {
-			asker = m
+		if issuer, _ := citronpermit.DealerFor("limited", e.Zone, []citronpeer.Member{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z1"}}); m.name != issuer.Name {
+			requester = m
 		}
 	}
 	cpu := processorTime()
 	b.ResetTimer()
 	for range b.N {
-		if _, granted := asker.Permit(context.Background(), e, time.Second).(citronpermit.Granted); !granted {
-			b.Fatal("no permit")
+		if _, granted := requester.Permit(context.Background(), e, time.Second).(citronpermit.Granted); !granted {
+			b.Fatal("permit was denied")
 		}
 	}
 	b.ReportMetric(float64((processorTime()-cpu).Microseconds())/float64(b.N), "cpu-us/op")
