--- a/citronnode/config.go
+++ b/citronnode/config.go
@@ -1,14 +1,13 @@
 package citronnode
 
-// The way of a configuration to the control loop.
+// How a configuration reaches the control loop.
 //
-// The load it answers: a storm of versions, each with hundreds of routes,
-// comes from the store and from several nodes at once, while engines die. The
-// loop once decoded every copy of every version between its other news, and
-// put a version in force more than three seconds after its acknowledgement.
-// So a version is decoded once, outside the loop, one at a time; versions that
-// a newer one has overtaken are not decoded; and the loop takes the newest
-// before anything else.
+// Under load, many versions, each with hundreds of routes, arrive from the store and
+// from several nodes at once while engines die. The loop used to decode every copy of
+// every version between its other inputs, and a version took effect more than three
+// seconds after its acknowledgement. Therefore a version is decoded only once, outside
+// the loop, one at a time. Versions that have been superseded are not decoded, and the
+// loop takes the newest version before any other input.
 
 import (
 	"context"
@@ -19,18 +18,18 @@
 	"citrondeck.dev/citrondeck/citrontable"
 )
 
-// decodedConfig is a configuration with the text that it was decoded from.
+// decodedConfig is a configuration and the text that it was decoded from.
 type decodedConfig struct {
 	table  *citrontable.Table
 	body   []byte
 	source string
 }
 
-// configInbox holds the newest configuration that has not been taken.
+// configInbox holds the newest configuration until the control loop takes it.
 type configInbox struct {
 	decode func([]byte) (*citrontable.Table, error)
-	// decoding lets one goroutine decode at a time, so that the others find
-	// what it decoded.
+	// decoding lets only one goroutine decode at a time, so that the others can skip a
+	// version that it has decoded.
 	decoding *sync.Mutex
 	// offered is the highest version that was decoded.
 	offered *atomic.Int64
@@ -42,9 +41,9 @@
 	return configInbox{decode: decode, decoding: &sync.Mutex{}, offered: &atomic.Int64{}, newest: &atomic.Pointer[decodedConfig]{}, ready: make(chan struct{}, 1)}
 }
 
-// offer decodes a configuration, unless it is known to be no newer than the
-// newest; version is zero if it is not known. Offers come from the goroutines
-// that read the store and from exchanges.
+// offer decodes a configuration unless it is known to be no newer than the newest one.
+// The version is zero if it is not known before decoding. offer is called by the
+// goroutines that read the store and by exchanges.
 func (b *configInbox) offer(version int64, body []byte, source string) error {
 	b.decoding.Lock()
 	defer b.decoding.Unlock()
@@ -61,16 +60,17 @@
 	return nil
 }
 
-// offerConfig brings a configuration to the control loop.
+// offerConfig passes a configuration to the control loop and logs one that cannot be
+// decoded.
 func (n *Node) offerConfig(ctx context.Context, version int64, body []byte, source string) {
 	if err := n.configs.offer(version, body, source); err != nil {
 		citronevent.Log(ctx, n.log, citronevent.TableRejected, "source", source, "err", err)
 	}
 }
 
-// takeNewest puts the newest configuration in force.
-func (c *control) takeNewest(ctx context.Context) {
+// applyNewestConfig puts the newest configuration into effect.
+func (c *control) applyNewestConfig(ctx context.Context) {
 	if d := c.n.configs.newest.Load(); d != nil {
-		c.takeConfig(ctx, *d)
+		c.applyConfig(ctx, *d)
 	}
 }
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -1,8 +1,8 @@
 package citronnode
 
-// The control loop: the one goroutine that owns what this node believes.
-// Documents come from the store and from other nodes alike; the higher
-// revision wins, whoever brings it, so a node never goes back.
+// The control loop is the only goroutine that modifies the node's state. Documents
+// arrive from the store and from other nodes. The higher revision wins regardless of its
+// source, so a node never goes back to an older document.
 
 import (
 	"context"
@@ -22,17 +22,17 @@
 )
 
 const (
-	// inboxSize lets sources go on while the loop builds a table.
+	// inboxSize lets sources continue to send while the loop builds a table.
 	inboxSize = 256
-	// tickEvery is how often the loop looks at what time changes; each tick is a
-	// beat of this node.
-	tickEvery = citronpeer.BeatEvery
-	// deadNews is how long a node tells others of an engine that it found
-	// dead; they check for themselves.
+	// tickInterval is how often the loop checks time-dependent state. Each tick
+	// increments the heartbeat counter of this node.
+	tickInterval = citronpeer.BeatEvery
+	// deadNews is how long a node keeps reporting an engine that it found dead. Other
+	// nodes verify the report themselves.
 	deadNews = 1500 * time.Millisecond
 )
 
-// Where a document came from, for the log.
+// Origins of a document, as logged.
 const (
 	sourceStore = "store"
 	sourceNode  = "node"
@@ -41,24 +41,24 @@
 // message is an input of the control loop.
 type message interface{ isMessage() }
 
-// listSeen brings the whole list of engines as of a revision.
+// listSeen is the whole list of engines as of a revision.
 type listSeen struct {
 	items    []citronkv.Item
 	revision citronkv.Revision
 	source   string
 }
 
-// listChanged brings the changes of the list after base up to a revision.
+// listChanged is the set of changes to the list of engines after base, up to revision.
 type listChanged struct {
 	items          []citronkv.Item
 	base, revision citronkv.Revision
 	source         string
 }
 
-// membersSeen brings news of other nodes: some whole, of others the gauges or
-// just that they live; and what zones do together.
+// membersSeen is an update about other nodes: complete entries, gauges, or only a sign
+// that a node is alive, together with the zone totals.
 type membersSeen struct {
-	// from is the node that tells it, told what it has heard of others.
+	// from is the node that sent the update. told is what it knows about others.
 	from   citronpeer.Member
 	told   citronpeer.Diff
 	digest citronpeer.Digest
@@ -69,32 +69,35 @@
 func (listChanged) isMessage() {}
 func (membersSeen) isMessage() {}
 
-// control is the state of the loop.
+// control is the state of the control loop.
 type control struct {
 	n      *Node
 	config citronpeer.ConfigDocument
 	table  *citrontable.Table
-	// list is what is believed of the engines; listVersion is that of the
-	// view.
+	// list is the current list of engines. listVersion is the version of the list that
+	// view was built from.
 	list        *citronlist.List
 	listVersion int
-	// era is that of the list, and eraAt when it began if this node saw that.
+	// era is the store era of the list: the number of times the store has been restored
+	// from an older copy, which is the high part of a revision. eraAt is when the era
+	// began, or zero if this node did not observe its start.
 	era     int64
 	eraAt   time.Time
 	members *citronroster.Table
 	sums    *citronroster.Sums
 	self    citronpeer.Member
 	view    *citronpool.View
-	// listSince is when the first list came, listAt when it last changed,
-	// configAt when the configuration did.
+	// listSince is when the first list arrived. listAt and configAt are when the list
+	// and the configuration last changed.
 	listSince, listAt, configAt time.Time
-	// storeAway: the store was away for all nodes within the last seconds.
+	// storeAway reports that the store was unavailable to all nodes during the last
+	// seconds.
 	storeAway bool
-	// changed: the configuration did, and the view is to be built anew.
-	// membersDue: what is known of the nodes is to be gathered.
-	changed, membersDue bool
-	// joined are the nodes heard of, or heard differently of, since the last
-	// tick.
+	// configChanged means that the view must be rebuilt for a new configuration.
+	// collectDue means that the state of the other nodes must be collected for the next
+	// snapshot.
+	configChanged, collectDue bool
+	// joined holds the names of nodes that appeared or changed since the last tick.
 	joined []string
 }
 
@@ -108,21 +111,21 @@
 
 func (n *Node) loop(ctx context.Context) {
 	c := newControl(n)
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
-		// A new configuration goes before all other news: callers are served
-		// by the old one until it is in force.
+		// A new configuration takes precedence over all other input: requests are served
+		// with the old one until the new one is in effect.
 		select {
 		case <-n.configs.ready:
-			c.takeNewest(ctx)
+			c.applyNewestConfig(ctx)
 		default:
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-n.configs.ready:
-			c.takeNewest(ctx)
+			c.applyNewestConfig(ctx)
 		case m := <-n.control:
 			c.take(ctx, m)
 		case <-tick.C:
@@ -136,23 +139,23 @@
 	switch m := m.(type) {
 	case listSeen:
 		if c.list.TakeWhole(ctx, m.items, m.revision, m.source == sourceStore) {
-			c.listTaken(ctx, m.source)
+			c.onListChanged(ctx, m.source)
 		}
 	case listChanged:
 		if c.list.TakeChanges(ctx, m.items, m.base, m.revision, m.source == sourceStore) {
-			c.listTaken(ctx, m.source)
+			c.onListChanged(ctx, m.source)
 		}
 	case membersSeen:
 		c.mergeMembers(citronpeer.Diff{Members: []citronpeer.Member{m.from}})
 		c.mergeMembers(m.told)
-		c.takeGauges(m.told.Gauges)
-		c.takeDigest(m.digest)
-		c.takeSums(m.sums)
+		c.mergeGauges(m.told.Gauges)
+		c.mergeDigest(m.digest)
+		c.mergeZoneTotals(m.sums)
 	}
 }
 
-// listTaken is called when news of the list was taken.
-func (c *control) listTaken(ctx context.Context, source string) {
+// onListChanged records that the list accepted an update and informs other nodes.
+func (c *control) onListChanged(ctx context.Context, source string) {
 	c.listAt = c.n.clock.Now()
 	if era := c.list.Revision().Era(); era != c.era {
 		c.era = era
@@ -168,12 +171,12 @@
 	c.n.tell()
 	e := citronevent.EnginesChanged
 	if source != sourceStore {
-		e = citronevent.EnginesHeard // a line of each node for each change would hide all else
+		e = citronevent.EnginesHeard // one line of each node for each change would hide everything else
 	}
 	citronevent.Log(ctx, c.n.log, e, "revision", c.list.Revision().String(), "engines", c.list.Len(), "source", source)
 }
 
-// ended has the requests moved that run on an engine that has ended.
+// ended moves the requests that run on an engine that has ended.
 func (c *control) ended(e citronmodel.Engine) {
 	if c.view == nil {
 		return
@@ -183,9 +186,9 @@
 	}
 }
 
-// noteStarts takes from traffic which engines told that they had started anew,
-// and has the other nodes hear of it.
-func (c *control) noteStarts(ctx context.Context) {
+// recordRestarts records the engine restarts that were observed in traffic and shares
+// them with other nodes.
+func (c *control) recordRestarts(ctx context.Context) {
 	if c.view != nil {
 		for _, e := range c.view.StartedAnew() {
 			c.list.StartedAnew(ctx, e.Instance, e.LaterStart())
@@ -193,25 +196,26 @@
 	}
 	starts := c.list.Starts()
 	if len(starts) > len(c.self.Starts) {
-		c.n.alarm()
+		c.n.notifyLeader()
 	}
 	c.self.Starts = starts
 }
 
-// takeConfig puts a decoded configuration in force.
-func (c *control) takeConfig(ctx context.Context, d decodedConfig) {
+// applyConfig puts a decoded configuration into effect unless it is not newer than the
+// active one.
+func (c *control) applyConfig(ctx context.Context, d decodedConfig) {
 	if c.table != nil && d.table.Version <= c.table.Version {
 		return
 	}
 	c.table, c.configAt = d.table, c.n.clock.Now()
 	c.config = citronpeer.ConfigDocument{Version: d.table.Version, Body: d.body}
-	c.changed = true
+	c.configChanged = true
 	c.n.tell()
 	citronevent.Log(ctx, c.n.log, citronevent.TableApplied, "version", d.table.Version, "source", d.source)
 }
 
-// suspect leaves engines alone that another node found dead.
-func (c *control) suspect(ids []string) {
+// avoidDead temporarily stops using the engines that another node found dead.
+func (c *control) avoidDead(ids []string) {
 	if c.view == nil {
 		return
 	}
@@ -225,16 +229,16 @@
 func (c *control) tick(ctx context.Context) {
 	now := c.n.clock.Now()
 	c.ageMembers(ctx, now)
-	c.watchStore(ctx, now) // after those who are lost are known
+	c.updateStoreStatus(ctx, now) // after ageMembers, which determines the lost nodes
 	c.logJoined(ctx)
 	c.self.Beat++
 	c.self.Leaving = c.n.leaving.Load()
 	c.self.Ready = c.n.Ready()
 	c.self.Leads = c.n.leads.Load()
-	c.self.Watching = c.n.answered.Load() == followed
-	c.noteStarts(ctx)
+	c.self.Watching = c.n.readablePrefixes.Load() == followedPrefixes
+	c.recordRestarts(ctx)
 	c.n.limits.Tick()
-	c.tellGoals()
+	c.publishTargets()
 	c.self.Load = c.n.loads.Sums()
 	c.self.Sent = map[string]citronpeer.Sent{}
 	for service, u := range c.n.budget.Used(now) {
@@ -243,16 +247,16 @@
 	if c.view != nil {
 		dead := c.view.Dead(now.Add(-deadNews))
 		if len(dead) > len(c.self.Dead) {
-			c.n.alarm()
+			c.n.notifyLeader()
 		}
 		c.self.Dead = dead
 	}
-	c.membersDue = true
+	c.collectDue = true
 }
 
-// watchStore tells others how the store serves this node, and the list whether
-// it was away for all.
-func (c *control) watchStore(ctx context.Context, now time.Time) {
+// updateStoreStatus publishes how the store serves this node, and tells the list of
+// engines whether the store was unavailable to all nodes.
+func (c *control) updateStoreStatus(ctx context.Context, now time.Time) {
 	c.self.Store = c.n.health.Status(now)
 	statuses := []citronhealth.Status{c.self.Store}
 	for k := range c.members.All() {
@@ -262,19 +266,19 @@
 	}
 	if away := citronhealth.Away(statuses...); away != c.storeAway {
 		c.storeAway = away
-		c.logStore(ctx, now, statuses)
+		c.logStoreStatus(ctx, now, statuses)
 	}
 	c.list.Tick(ctx, c.storeAway)
 }
 
-// logStore logs what is believed of the store and on what that rests.
-func (c *control) logStore(ctx context.Context, now time.Time, statuses []citronhealth.Status) {
+// logStoreStatus logs whether the store is considered unavailable, with the evidence.
+func (c *control) logStoreStatus(ctx context.Context, now time.Time, statuses []citronhealth.Status) {
 	unanswered, back, answered, served := 0, 0, 0, 0
 	for _, s := range statuses {
-		unanswered += one(s.Away)
-		back += one(s.Back)
-		answered += one(s.Answered)
-		served += one(s.Served)
+		unanswered += boolToInt(s.Away)
+		back += boolToInt(s.Back)
+		answered += boolToInt(s.Answered)
+		served += boolToInt(s.Served)
 	}
 	args := []any{"away", c.storeAway, "nodes", len(statuses), "unanswered", unanswered, "back", back, "answered", answered, "served", served}
 	if f := c.n.health.Failed(); f != nil {
@@ -283,16 +287,16 @@
 	citronevent.Log(ctx, c.n.log, citronevent.StoreAway, args...)
 }
 
-func one(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// tellGoals has the others know what this node as the leader wants engines
-// to hold: if it dies, the next leader goes on with that.
-func (c *control) tellGoals() {
+// publishTargets publishes the target layer ranges that this node has chosen as the
+// leader. If it dies, the next leader continues with them.
+func (c *control) publishTargets() {
 	goals := map[string][2]int{}
 	if f := c.n.goals.Load(); f != nil {
 		for id, s := range (*f)() {
@@ -305,13 +309,13 @@
 	}
 }
 
-// settle is how long after the first list a node waits before it says that
-// it is ready: on a cold start engines are still registering.
-const settle = 300 * time.Millisecond
+// listStableDelay is how long a node waits after its first list before it reports that
+// it is ready. On a cold start, engines are still registering.
+const listStableDelay = 300 * time.Millisecond
 
-// listWhole is how long after its first list a node may take it for whole:
-// entries that lapsed before that are back by then. Entries that lapse later
-// stay in its list meanwhile.
+// listWhole is the time that must pass after the first list before a node considers the
+// list complete. Entries that expired before the first list are back by then. Entries
+// that expire later are retained in the list meanwhile.
 const listWhole = 2200 * time.Millisecond
 
 // publish makes the newest state visible to traffic, gossip and placement.
@@ -319,17 +323,17 @@
 	old := c.n.snap.Load()
 	s := &snapshot{eraAt: c.eraAt, config: c.config, configAt: c.configAt, listAt: c.listAt, self: c.self, traffic: old.traffic, engines: old.engines}
 	s.listWhole = !c.listSince.IsZero() && c.n.clock.Now().Sub(c.listSince) > listWhole
-	s.listSettled = !c.listSince.IsZero() && c.n.clock.Now().Sub(c.listSince) > settle
+	s.listStable = !c.listSince.IsZero() && c.n.clock.Now().Sub(c.listSince) > listStableDelay
 	s.unreadable = c.list.Unreadable()
-	s.kept = c.list.Kept()
-	if c.membersDue {
-		c.membersDue = false
-		c.gather(s)
+	s.retained = c.list.Kept()
+	if c.collectDue {
+		c.collectDue = false
+		c.collectMembers(s)
 	} else {
 		s.members, s.stale, s.roster, s.sums, s.others, s.goals = old.members, old.stale, old.roster, old.sums, old.others, old.goals
 	}
-	if c.changed || c.listVersion != c.list.Version() {
-		c.changed, c.listVersion = false, c.list.Version()
+	if c.configChanged || c.listVersion != c.list.Version() {
+		c.configChanged, c.listVersion = false, c.list.Version()
 		s.engines = c.list.Engines(c.services())
 		if c.view == nil || !sameEngines(s.engines, old.engines) {
 			c.view = citronpool.Build(s.engines, c.view)
@@ -343,13 +347,13 @@
 	c.n.snap.Store(s)
 }
 
-// sameEngines reports whether a and b are one slice: the list returns the same while
-// nothing has changed.
+// sameEngines reports whether a and b are the same slice. The list returns the same
+// slice as long as nothing has changed.
 func sameEngines(a, b []citronmodel.Engine) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// services are those of the configuration, nil without one.
+// services returns the services of the active configuration, or nil without one.
 func (c *control) services() map[string]citrontable.Service {
 	if c.table == nil {
 		return nil
--- a/citronnode/directory.go
+++ b/citronnode/directory.go
@@ -5,23 +5,24 @@
 )
 
 const (
-	// enough nodes of a caller's own zone: with fewer, the loss of one
-	// leaves its callers nowhere to go, so other zones are named too.
-	enoughInZone = 2
-	// mostAddresses is what callers take of one answer.
-	mostAddresses = 64
+	// minInZone is the number of nodes in the caller's own zone below which nodes of
+	// other zones are returned too: the loss of a single node would leave the callers
+	// without an address.
+	minInZone = 2
+	// maxAddresses is the number of addresses that callers accept in one answer.
+	maxAddresses = 64
 )
 
-// Addresses returns where callers of a zone should connect: nodes of their
-// own zone, and others only where those are too few. Nodes that are stopping
-// are never named, also when all are: callers keep what they have until a
-// node is back, and spread better over that than over the few that stopped
-// last.
+// Addresses returns the addresses where callers of a zone should connect: nodes of their
+// own zone, and nodes of other zones only if there are too few. Nodes that are stopping
+// are never returned, even if all nodes are stopping: callers then keep their addresses
+// until a node is back, and are better spread over those than over the few nodes that
+// stopped last.
 func (n *Node) Addresses(zone string) []string {
 	s := n.snap.Load()
 	var near, far []string
 	for _, m := range append([]citronpeer.Member{s.self}, s.members...) {
-		if !takesCallers(m) || s.stale[m.Name] {
+		if !acceptsCallers(m) || s.stale[m.Name] {
 			continue
 		}
 		if m.Zone == zone {
@@ -30,8 +31,8 @@
 			far = append(far, m.Front)
 		}
 	}
-	if len(near) < enoughInZone {
+	if len(near) < minInZone {
 		near = append(near, far...)
 	}
-	return near[:min(len(near), mostAddresses)]
+	return near[:min(len(near), maxAddresses)]
 }
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -1,6 +1,6 @@
 package citronnode
 
-// The other nodes, as the control loop knows them.
+// The control loop's view of the other nodes.
 
 import (
 	"context"
@@ -13,22 +13,22 @@
 	"citrondeck.dev/citrondeck/citronroster"
 )
 
-// mergeMembers merges what another node knows of whole members.
+// mergeMembers merges complete entries that another node sent.
 func (c *control) mergeMembers(told citronpeer.Diff) {
 	now := c.n.clock.Now()
 	for i, m := range told.Members {
-		news, changed := c.members.Take(m, now.Add(-told.Age(i)), now)
-		if !news {
+		updated, changed := c.members.Take(m, now.Add(-told.Age(i)), now)
+		if !updated {
 			continue
 		}
-		c.suspect(m.Dead)
-		for instance, born := range m.Starts {
-			c.list.StartedAnew(context.Background(), instance, born)
+		c.avoidDead(m.Dead)
+		for instance, startedAt := range m.Starts {
+			c.list.StartedAnew(context.Background(), instance, startedAt)
 		}
 		if !changed {
 			continue
 		}
-		c.membersDue = true
+		c.collectDue = true
 		c.joined = append(c.joined, m.Name)
 		if m.Leaving {
 			c.n.tell()
@@ -36,42 +36,42 @@
 	}
 }
 
-// takeGauges takes news of nodes that are known whole.
-func (c *control) takeGauges(gauges []citronpeer.Gauge) {
+// mergeGauges merges gauges of nodes whose complete entries are known.
+func (c *control) mergeGauges(gauges []citronpeer.Gauge) {
 	now := c.n.clock.Now()
 	for _, g := range gauges {
 		if k, back := c.members.TakeGauge(g, now); back {
-			c.back(k)
+			c.memberReturned(k)
 		}
 	}
 }
 
-// takeDigest takes from another node's digest that nodes live.
-func (c *control) takeDigest(d citronpeer.Digest) {
+// mergeDigest learns from another node's digest which nodes are alive.
+func (c *control) mergeDigest(d citronpeer.Digest) {
 	for _, k := range c.members.TakeDigest(d, c.n.clock.Now()) {
-		c.back(k)
+		c.memberReturned(k)
 	}
 }
 
-// back notes that a node that was lost is not.
-func (c *control) back(k *citronroster.Known) {
-	c.membersDue = true
+// memberReturned records that a lost node is back.
+func (c *control) memberReturned(k *citronroster.Known) {
+	c.collectDue = true
 	c.joined = append(c.joined, k.Name)
 }
 
-// takeSums takes what other zones do.
-func (c *control) takeSums(sums []citronpeer.Sum) {
+// mergeZoneTotals merges the totals of other zones.
+func (c *control) mergeZoneTotals(sums []citronpeer.Sum) {
 	now := c.n.clock.Now()
 	for _, s := range sums {
 		c.sums.Take(s, now)
 	}
 }
 
-// ageMembers asks nodes that were not heard of for some time, and takes those
-// that do not answer for lost.
+// ageMembers queries the nodes that have not been heard of for some time, and considers
+// nodes lost that do not answer.
 func (c *control) ageMembers(ctx context.Context, now time.Time) {
-	ask, lost := c.members.Age(now)
-	for _, k := range ask {
+	overdue, lost := c.members.Age(now)
+	for _, k := range overdue {
 		go c.n.fetch(ctx, k.Peer)
 	}
 	if len(lost) == 0 {
@@ -81,40 +81,40 @@
 	for i, k := range lost {
 		names[i] = k.Name
 	}
-	citronevent.Log(ctx, c.n.log, citronevent.MemberLost, "lost", len(lost), "members", names[:min(mostNames, len(names))], "peer", lost[0].Peer, "age", now.Sub(lost[0].Heard))
+	citronevent.Log(ctx, c.n.log, citronevent.MemberLost, "lost", len(lost), "members", names[:min(maxLoggedNames, len(names))], "peer", lost[0].Peer, "age", now.Sub(lost[0].Heard))
 }
 
-// mostNames bounds the names in a log line.
-const mostNames = 5
+// maxLoggedNames limits the node names in a log line.
+const maxLoggedNames = 5
 
-// logJoined logs in one line which nodes were heard of: a line for each would
-// grow with the square of the nodes when they restart in turn.
+// logJoined logs in one line which nodes appeared or changed. One line for each node
+// would grow with the square of the number of nodes when they restart in turn.
 func (c *control) logJoined(ctx context.Context) {
 	if len(c.joined) == 0 {
 		return
 	}
 	ready, leaving := 0, 0
 	for k := range c.members.All() {
-		if takesCallers(k.Member) {
+		if acceptsCallers(k.Member) {
 			ready++
 		}
 		if k.Leaving {
 			leaving++
 		}
 	}
-	citronevent.Log(ctx, c.n.log, citronevent.MemberJoined, "changed", len(c.joined), "members", c.joined[:min(mostNames, len(c.joined))], "ready", ready, "leaving", leaving)
+	citronevent.Log(ctx, c.n.log, citronevent.MemberJoined, "changed", len(c.joined), "members", c.joined[:min(maxLoggedNames, len(c.joined))], "ready", ready, "leaving", leaving)
 	c.joined = nil
 }
 
-// goalsMemory is how long the goals of a leader that is not heard of any
-// more are believed: a lease runs out and most loads end within it.
-const goalsMemory = 6 * time.Second
+// targetRetention is how long the target layer ranges of a leader that is no longer
+// heard of remain valid. Within this time its lease expires and most loads finish.
+const targetRetention = 6 * time.Second
 
-// lateGoals are the goals that a leader told of last.
-func (c *control) lateGoals(now time.Time) map[string]citronmodel.Span {
+// lastKnownTargets returns the target layer ranges that a leader announced last.
+func (c *control) lastKnownTargets(now time.Time) map[string]citronmodel.Span {
 	var last *citronroster.Known
 	for k := range c.members.All() {
-		if len(k.Goals) > 0 && now.Sub(k.Heard) < goalsMemory && (last == nil || k.Heard.After(last.Heard)) {
+		if len(k.Goals) > 0 && now.Sub(k.Heard) < targetRetention && (last == nil || k.Heard.After(last.Heard)) {
 			last = k
 		}
 	}
@@ -128,10 +128,10 @@
 	return out
 }
 
-// gather puts what is known of the nodes into a snapshot, and has the budget
-// learn what they have used. It looks at every node, so it is done once a tick
-// and not with every message.
-func (c *control) gather(s *snapshot) {
+// collectMembers writes the state of the other nodes into a snapshot and reports their
+// usage to the retry budget. It visits every node, so it runs once per tick and not for
+// every message.
+func (c *control) collectMembers(s *snapshot) {
 	now := c.n.clock.Now()
 	alive := c.members.Alive(now)
 	s.members = make([]citronpeer.Member, len(alive))
@@ -156,15 +156,15 @@
 		}
 	}
 	s.others = others.Load
-	newsAge := 2 * c.members.NearGap()
+	updateAge := 2 * c.members.NearGap()
 	for _, sum := range s.sums {
-		newsAge = max(newsAge, 2*c.members.NearGap()+time.Duration(sum.AgeMS)*time.Millisecond)
+		updateAge = max(updateAge, 2*c.members.NearGap()+time.Duration(sum.AgeMS)*time.Millisecond)
 	}
 	s.roster = citronroster.New(c.self.Zone, append(alive, citronroster.Entry{Member: c.self, Print: citronroster.Of(c.self)}))
-	s.goals = c.lateGoals(now)
+	s.goals = c.lastKnownTargets(now)
 	used := map[string]citronbudget.Usage{}
 	for service, u := range others.Sent {
 		used[service] = citronbudget.Usage(u)
 	}
-	c.n.budget.Learn(used, newsAge, len(alive)+1, now)
+	c.n.budget.Learn(used, updateAge, len(alive)+1, now)
 }
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -1,15 +1,15 @@
-// Package citronnode is a node that serves callers in front of engines: it
-// keeps the configuration, the list of engines and the other nodes up to
-// date, forwards requests by them, tells callers where to connect, and,
-// when it holds the leader's lease, places layers on engines.
+// Package citronnode implements a node that serves callers in front of engines. The node
+// keeps the configuration, the list of engines and the other nodes up to date, forwards
+// requests accordingly, and tells callers where to connect. While it holds the leader's
+// lease, it also places layers on engines.
 //
 //	store --watch--> sources --+                 +--> traffic (citronforward)
 //	nodes --gossip-> exchange -+--> control loop +--> directory
 //	                           (one goroutine)   +--> placement (leader only)
 //
-// All nodes are alike, keep nothing on disk, and learn what must last from
-// the store. The control loop owns all state and publishes it as immutable
-// snapshots; traffic and directory only read those.
+// All nodes are equal. They keep nothing on disk and read durable state from the store.
+// The control loop owns all state and publishes it as immutable snapshots; traffic and
+// directory only read the snapshots.
 package citronnode
 
 import (
@@ -40,29 +40,28 @@
 	"citrondeck.dev/citrondeck/citrontable"
 )
 
-// Settings of a node.
+// Settings are the settings of a node.
 type Settings struct {
 	Name, Zone string
-	// Front and Peer are this node's addresses for callers and nodes.
+	// Front is the address for callers, Peer the address for other nodes.
 	Front, Peer string
 	// Seeds are peer addresses of nodes that may be running.
 	Seeds []string
-	// Cores is the processor time that the node has, in cores; zero if it
-	// is not known.
+	// Cores is the processor time available to the node, in cores, or zero if it is
+	// unknown.
 	Cores float64
-	// LeaseTTL is the life of the leader's lease without renewal.
+	// LeaseTTL is the lifetime of the leader's lease without renewal.
 	LeaseTTL time.Duration
-	// Grace is the time between the signal to stop and the kill.
+	// Grace is the time between the stop signal and the kill.
 	Grace time.Duration
-	// Heartbeat is how often engines renew their entries; zero: it is not
-	// known.
+	// Heartbeat is how often engines renew their entries, or zero if it is unknown.
 	Heartbeat time.Duration
-	// DrainWithin is the time after which an engine that leaves gets no new
-	// work from any node; zero: it is not known.
+	// DrainWithin is the time after which an engine that is leaving must not get new
+	// work from any node, or zero if it is unknown.
 	DrainWithin time.Duration
 }
 
-// Sources is where a node's documents come from and how to read them.
+// Sources tells where a node finds its documents and how to decode them.
 type Sources struct {
 	Store        citronkv.Store
 	ConfigKey    string
@@ -72,7 +71,7 @@
 	Orders       citronplace.Orders
 }
 
-// Node is one node.
+// Node is one node of the fleet. New creates it, and Run keeps it up to date.
 type Node struct {
 	set    Settings
 	src    Sources
@@ -82,94 +81,98 @@
 	loads  *citronpool.Loads
 	peers  *citronpeer.Client
 
-	// control is the control loop's inbox; see control.go.
+	// control is the inbox of the control loop (control.go).
 	control chan message
 	snap    atomic.Pointer[snapshot]
 	leaving atomic.Bool
-	// startedAt is when it began to run.
+	// startedAt is when Run was called.
 	startedAt time.Time
 	// leftAt is when the node began to stop.
 	leftAt atomic.Pointer[time.Time]
-	// news wakes the gossip loop when a document changed here, alarms when
-	// the leader has to hear of it too.
+	// news wakes the gossip loop after a document has changed on this node. alarms does
+	// the same if the leader must be informed too.
 	news, alarms chan struct{}
-	// accused is when this node last told others of an accused engine.
+	// accused is when this node last reported an accused engine: an engine that another
+	// engine named as the cause of a failed request.
 	accused atomic.Pointer[time.Time]
-	// configs is where decoded configurations wait for the control loop.
+	// configs holds the newest decoded configuration for the control loop.
 	configs configInbox
-	// pull fetches documents that other nodes told of.
+	// pull fetches documents that other nodes have announced.
 	pull puller
-	// settling finds out when a node that started knows the others; hasSettled
-	// is set once it does.
-	settling   settling
-	hasSettled atomic.Bool
-	// loans asks other nodes for repeats.
+	// settling determines when a started node knows the other nodes. hasStabilized is
+	// set once it does.
+	settling      settling
+	hasStabilized atomic.Bool
+	// loans borrows retry budget from other nodes.
 	loans *citronloan.Borrower
-	// quarantine is what is known of requests that crash engines.
+	// quarantine holds what is known about requests that crash engines.
 	quarantine *citronquarantine.Ledger
-	// limits are the rate limits that engines name. permits deals out permits for the
-	// engines for which this node is the dealer.
+	// limits are the rate limits that engines have announced. permits issues permits for
+	// the engines for which this node is the permit issuer.
 	limits  *citronlimit.Book
 	permits *citronpermit.Dealer
-	// limitsRejected counts what other nodes told of limits and was invalid, and
-	// limitsRejectedFrom holds the names of those nodes.
+	// limitsRejected counts the invalid messages of other nodes about limits.
+	// limitsRejectedFrom holds the names of the nodes that sent them.
 	limitsRejected     atomic.Int64
 	limitsRejectedFrom sync.Map
-	// barredNews wakes the goroutine that keeps its records in the store.
+	// barredNews wakes the goroutine that saves quarantine records to the store.
 	barredNews chan struct{}
-	// suspectsRejected counts what other nodes told of such requests and could
-	// not be true, and rejectedFrom holds the names of those nodes.
+	// suspectsRejected counts the invalid messages of other nodes about suspects:
+	// requests under which engines have crashed. rejectedFrom holds the names of the
+	// nodes that sent them.
 	suspectsRejected atomic.Int64
 	rejectedFrom     sync.Map
-	// answered is how many of the followed prefixes the store answers.
-	answered atomic.Int64
-	// health is what this node's calls tell of the store.
+	// readablePrefixes is the number of followed prefixes for which the store answers.
+	readablePrefixes atomic.Int64
+	// health records the results of this node's calls to the store.
 	health *citronhealth.Record
-	// leads is set while this node holds the lease, places while it gives orders.
+	// leads is set while this node holds the lease. places is set while it places
+	// layers.
 	leads, places atomic.Bool
-	// goals are what this node as the leader wants engines to hold.
+	// goals returns the target layer ranges that this node has chosen as the leader.
 	goals atomic.Pointer[func() map[string]citronmodel.Span]
-	// leaderless is since when no leader has been heard of.
+	// leaderless is the time since which no leader has been heard of.
 	leaderless atomic.Pointer[time.Time]
-	// registered are peer addresses found in the store.
+	// registered holds the peer addresses found in the store.
 	registered atomic.Pointer[[]string]
 	inflight   sync.WaitGroup
 	running    atomic.Int64
 }
 
-// snapshot is what the control loop publishes.
+// snapshot is the immutable state that the control loop publishes.
 type snapshot struct {
 	traffic *citronforward.State
 	engines []citronmodel.Engine
 	members []citronpeer.Member
-	// stale are the names of members that were not heard of lately.
+	// stale holds the names of members that have not been heard of lately.
 	stale map[string]bool
 	// config and list are passed on to other nodes.
 	config citronpeer.ConfigDocument
 	list   citronlist.Passed
 	self   citronpeer.Member
-	// roster is this node and the members, as others are told of them.
+	// roster describes this node and the members, as sent to other nodes.
 	roster citronroster.Roster
-	// sums is what the zones do, with this one's.
+	// sums holds the zone totals, including those of this node's zone.
 	sums []citronpeer.Sum
-	// others is the cache that the other nodes' requests take by zone.
+	// others is the cache used by the requests of other nodes, by zone.
 	others map[string]int64
-	// eraAt is when this node saw the store return from an older copy.
+	// eraAt is when this node observed that the store was restored from an older copy.
 	eraAt time.Time
-	// configAt and listAt are when they last changed here.
+	// configAt and listAt are when the configuration and the list last changed here.
 	configAt, listAt time.Time
-	// goals are what a leader lately wanted engines to hold.
-	goals       map[string]citronmodel.Span
-	listSettled bool
-	// unreadable is how many entries of the list name no engine.
+	// goals holds the target layer ranges that a leader announced recently.
+	goals      map[string]citronmodel.Span
+	listStable bool
+	// unreadable is the number of entries in the list that do not describe an engine.
 	unreadable int
-	// kept is how many engines are in use although their entries went.
-	kept int
-	// listWhole: no entries are missing that may come back.
+	// retained is the number of engines in use whose entries are missing.
+	retained int
+	// listWhole reports that the list is complete: no missing entries are expected to
+	// come back.
 	listWhole bool
 }
 
-// New returns a node. hc is used to speak to other nodes.
+// New returns a node. hc is used to talk to other nodes.
 func New(set Settings, src Sources, clock citronclock.Clock, log *slog.Logger, budget *citronbudget.Budget, loads *citronpool.Loads, hc *http.Client) *Node {
 	health := citronhealth.NewRecord(set.Heartbeat)
 	src.Store = citronhealth.Observe(src.Store, clock, health.Note)
@@ -195,7 +198,8 @@
 	return n
 }
 
-// Traffic returns what requests are forwarded by, nil before there is any.
+// Traffic returns the state by which requests are forwarded, or nil if there is none
+// yet.
 func (n *Node) Traffic() *citronforward.State { return n.snap.Load().traffic }
 
 // Ready reports whether callers may connect.
@@ -204,9 +208,9 @@
 // Leaving reports whether this node is about to stop.
 func (n *Node) Leaving() bool { return n.leaving.Load() }
 
-func (s *snapshot) ready() bool { return s.traffic != nil && s.listSettled }
+func (s *snapshot) ready() bool { return s.traffic != nil && s.listStable }
 
-// Track counts a request in flight.
+// Track counts a request in flight. The returned function ends the request.
 func (n *Node) Track() func() {
 	n.inflight.Add(1)
 	n.running.Add(1)
@@ -216,8 +220,8 @@
 	}
 }
 
-// Borrow has other nodes lend this one repeats for a service, and reports
-// whether any did.
+// Borrow borrows retry budget for a service from other nodes and reports whether any of
+// them lent some.
 func (n *Node) Borrow(service string) bool { return n.loans.Borrow(service) }
 
 // Lend implements citronpeer.Lender.
@@ -225,7 +229,7 @@
 	return citronloan.Lend(a.n.budget, service, want, a.n.clock.Now())
 }
 
-// Handle mounts what other nodes call.
+// Handle mounts the handlers that other nodes call.
 func (n *Node) Handle(mux *http.ServeMux) {
 	citronpeer.Handle(mux, answerer{n})
 	citronpeer.HandleLend(mux, answerer{n})
@@ -247,28 +251,28 @@
 }
 
 const (
-	// leaveSettle is the part of the grace in which callers may still come:
-	// their answers from the directory are up to two seconds old.
-	leaveSettle = 0.3
-	// leaveMargin is kept before the kill.
-	leaveMargin = 400 * time.Millisecond
+	// drainServeShare is the share of the grace period in which callers may still
+	// connect: the addresses that they got from the directory are up to two seconds old.
+	drainServeShare = 0.3
+	// killMargin is the part of the grace period that is left unused before the kill.
+	killMargin = 400 * time.Millisecond
 )
 
-// Stopping tells whether and how far the node is stopping.
+// Stopping returns whether the node is stopping and how much time is left.
 func (n *Node) Stopping() citronforward.Stopping {
 	at := n.leftAt.Load()
 	if at == nil {
 		return citronforward.Stopping{}
 	}
 	since := n.clock.Now().Sub(*at)
-	others := slices.ContainsFunc(n.snap.Load().members, takesCallers)
-	return citronforward.Stopping{Active: true, Since: since, Left: n.set.Grace - leaveMargin - since, Others: others}
+	others := slices.ContainsFunc(n.snap.Load().members, acceptsCallers)
+	return citronforward.Stopping{Active: true, Since: since, Left: n.set.Grace - killMargin - since, Others: others}
 }
 
-func takesCallers(m citronpeer.Member) bool { return m.Ready && !m.Leaving }
+func acceptsCallers(m citronpeer.Member) bool { return m.Ready && !m.Leaving }
 
-// Drain takes the node out of the directory, serves on while callers still
-// know its address, and returns when nothing is in flight or the grace is
+// Drain removes the node from the directory and continues to serve while callers still
+// know its address. It returns when no request is in flight or the grace period is
 // nearly over.
 func (n *Node) Drain(ctx context.Context) {
 	begin := n.clock.Now()
@@ -276,39 +280,39 @@
 	n.leaving.Store(true)
 	n.announce(ctx)
 	citronevent.Log(ctx, n.log, citronevent.DrainStarted, "inflight", n.running.Load())
-	end := n.clock.Now().Add(n.set.Grace - leaveMargin)
-	_ = n.clock.Sleep(ctx, time.Duration(float64(n.set.Grace)*leaveSettle))
+	end := n.clock.Now().Add(n.set.Grace - killMargin)
+	_ = n.clock.Sleep(ctx, time.Duration(float64(n.set.Grace)*drainServeShare))
 	for n.running.Load() > 0 && n.clock.Now().Before(end) && ctx.Err() == nil {
-		_ = n.clock.Sleep(ctx, drainPoll)
+		_ = n.clock.Sleep(ctx, drainPollInterval)
 	}
 	citronevent.Log(ctx, n.log, citronevent.DrainDone, "inflight", n.running.Load())
 }
 
-// announceTo is how many nodes hear at once that this one is stopping; they
-// pass it on. Callers that are sent here after that are refused later.
-const announceTo = 16
+// announceFanout is the number of nodes that are told at once that this node is stopping.
+// They pass it on. Callers that still connect to this node afterwards are rejected later.
+const announceFanout = 16
 
-// announce tells other nodes that this one is stopping, without waiting for
-// the next round of gossip.
+// announce tells other nodes that this node is stopping, without waiting for the next
+// gossip round.
 func (n *Node) announce(ctx context.Context) {
-	_ = n.clock.Sleep(ctx, tickEvery+tickEvery/2) // the next tick publishes it
+	_ = n.clock.Sleep(ctx, tickInterval+tickInterval/2) // the next tick publishes the leaving state
 	members := n.snap.Load().members
-	for _, m := range members[:min(len(members), announceTo)] {
+	for _, m := range members[:min(len(members), announceFanout)] {
 		go n.exchange(ctx, m.Peer)
 	}
 }
 
-const drainPoll = 50 * time.Millisecond
+const drainPollInterval = 50 * time.Millisecond
 
-// tell has other nodes hear soon that a document changed here.
+// tell wakes the gossip loop to inform other nodes of a changed document.
 func (n *Node) tell() { wake(n.news) }
 
-// alarm has the leader hear of it too.
-func (n *Node) alarm() { wake(n.alarms) }
+// notifyLeader wakes the gossip loop to inform the leader too.
+func (n *Node) notifyLeader() { wake(n.alarms) }
 
 func wake(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
-	default: // a wake-up is pending already
+	default: // a wake-up is already pending
 	}
 }
--- a/citronnode/outage_test.go
+++ b/citronnode/outage_test.go
@@ -11,10 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// This node's calls to the store fail. Another node says that it is served: the
-// store is well. Once the other has not been heard of for two seconds its status is
-// old, and the store counts as away.
-func TestLostNodeIsNoProofAgainstAnOutage(t *testing.T) {
+// This node's calls to the store fail while another node reports that it is served, so
+// the store is healthy. Once the other node has not been heard of for two seconds, its
+// report is outdated and the store counts as unavailable.
+func TestLostNodeDoesNotHideStoreOutage(t *testing.T) {
 	is := is.New(t)
 	r := newLoop(t)
 	now := time.Now()
@@ -23,7 +23,7 @@
 	r.tick(context.Background())
 	is.True(r.self.Store.Away)
 	is.True(!r.storeAway)
-	for age := time.Duration(0); age <= 2*time.Second+tickEvery; age += tickEvery {
+	for age := time.Duration(0); age <= 2*time.Second+tickInterval; age += tickInterval {
 		r.members.Age(now.Add(age))
 	}
 	r.tick(context.Background())
--- a/citronnode/settle.go
+++ b/citronnode/settle.go
@@ -1,11 +1,13 @@
 package citronnode
 
-// A node that starts knows nobody, and would take itself for the first: it would
-// watch the store and leave its address there, and so would all that start with
-// it. How long it takes to hear of the others depends on how busy they are, so a
-// node goes by its exchanges and not by the clock: it knows the fleet once it
-// hears of no more nodes and a few others in a row know no more than it does, and is
-// alone once nobody answers.
+// Stabilization after startup.
+//
+// A node that starts knows no other nodes and would consider itself the first: it would
+// watch the store and register its address there, and so would every other node that
+// starts at the same time. How long it takes to hear of the others depends on how busy
+// they are, so a node counts exchanges instead of time. It knows the fleet once it hears
+// of no more nodes and a few other nodes in a row know no more than it does. It is alone
+// once no node answers.
 
 import (
 	"sync"
@@ -17,39 +19,42 @@
 )
 
 const (
-	// settledAfter is how many nodes in a row know no more than this one.
-	settledAfter = 3
-	// mostAnswered is how many exchanges are enough where nodes come all the time.
-	// It is well beyond the seeds and partners of the first rounds, who know as little
-	// as this node when all start together.
-	mostAnswered = 60
-	// aloneAfter is how many exchanges in a row fail where nobody is, and
-	// aloneInSilence the same if they time out or are turned away: whoever is there
-	// may be as busy with starting as this node.
-	aloneAfter     = 4
-	aloneInSilence = 16
-	// settlePoll is how often a node that starts looks whether it has settled.
-	settlePoll = 100 * time.Millisecond
-	// startWait is the least time that a node asks other nodes before it watches
-	// the store: a round or two of gossip. One without seeds waits no longer.
-	startWait = 500 * time.Millisecond
+	// stableAfter is the number of consecutive nodes that know no more than this one.
+	stableAfter = 3
+	// maxAnswered is the number of exchanges that suffice even if new nodes keep
+	// appearing. It is well above the number of seeds and partners in the first rounds,
+	// which know as little as this node when all nodes start together.
+	maxAnswered = 60
+	// aloneAfter is the number of consecutive failed exchanges after which a node
+	// considers itself alone. aloneAfterTimeouts is the same for exchanges that time out
+	// or are rejected: the other node may be just as busy starting as this one.
+	aloneAfter         = 4
+	aloneAfterTimeouts = 16
+	// stabilizePoll is how often a starting node checks whether it has stabilized.
+	stabilizePoll = 100 * time.Millisecond
+	// minStartWait is the minimum time for which a node asks other nodes before it
+	// watches the store: a gossip round or two. A node without seeds waits no longer
+	// than that.
+	minStartWait = 500 * time.Millisecond
 )
 
-// settling tells when a node that started knows the others. Its zero value is
-// ready.
+// settling determines when a started node knows the other nodes. Its zero value is ready
+// to use.
 type settling struct {
 	mu sync.Mutex
-	// quiet is how many of the last exchanges in a row were with a node that knew no
-	// more others, while this one heard of no more.
-	quiet int
-	// known is how many members this node knew before the last exchange.
+	// unchanged is the number of consecutive exchanges with nodes that knew no more
+	// members than this one, while this one learned of no new members either.
+	unchanged int
+	// known is the number of members that this node knew before the last exchange.
 	known int
-	// answered counts exchanges; refused and failed those that failed since,
-	// because nobody listened or for any reason.
+	// answered counts successful exchanges. failed counts the exchanges that have failed
+	// since the last successful one, and refused counts those of them where nothing
+	// listened at the address.
 	answered, refused, failed int
 }
 
-// exchanged notes an exchange, and how many members each side knew before it.
+// exchanged records the result of an exchange and how many members each side knew before
+// it.
 func (s *settling) exchanged(ours, theirs citronpeer.Digest, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,33 +69,33 @@
 	s.refused, s.failed = 0, 0
 	grown := len(ours.Prints) != s.known
 	s.known = len(ours.Prints)
-	// Who knows nobody but itself does not know the one yet that answered.
+	// A node that knows only itself does not know the answering node yet.
 	if grown || len(ours.Prints) <= 1 || len(theirs.Prints) > len(ours.Prints) {
-		s.quiet = 0
+		s.unchanged = 0
 		return
 	}
-	s.quiet++
+	s.unchanged++
 }
 
-// done reports whether the node knows the others, or that there are none.
+// done reports whether the node knows the other nodes, or that there are none.
 func (s *settling) done() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.quiet >= settledAfter || s.answered >= mostAnswered || s.refused >= aloneAfter || s.failed >= aloneInSilence
+	return s.unchanged >= stableAfter || s.answered >= maxAnswered || s.refused >= aloneAfter || s.failed >= aloneAfterTimeouts
 }
 
-// settled reports whether this node knows the others, or that there are none. It
-// stays true.
-func (n *Node) settled() bool {
-	if n.hasSettled.Load() {
+// stabilized reports whether this node knows the other nodes, or that there are none.
+// Once true, it stays true.
+func (n *Node) stabilized() bool {
+	if n.hasStabilized.Load() {
 		return true
 	}
-	if n.clock.Now().Sub(n.startedAt) < startWait {
+	if n.clock.Now().Sub(n.startedAt) < minStartWait {
 		return false
 	}
 	if len(n.seeds()) > 0 && !n.settling.done() {
 		return false
 	}
-	n.hasSettled.Store(true)
+	n.hasStabilized.Store(true)
 	return true
 }
--- a/citronnode/settle_test.go
+++ b/citronnode/settle_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a node that starts and never watches the store: the others have
-// just died, know something else each time, or were never there.
-func TestNodeThatStartsSettles(t *testing.T) {
+// Guards against a node that starts and never watches the store because the other nodes
+// have just died, keep knowing different members, or never existed.
+func TestNodeStabilizesAfterStartup(t *testing.T) {
 	knows := func(n int) citronpeer.Digest { return citronpeer.Digest{Prints: make([]citronpeer.Print, n)} }
 	down, silent := errors.Wrap(syscall.ECONNREFUSED, "dial"), errors.New("timeout")
 	cases := []struct {
@@ -19,12 +19,12 @@
 		step  func(s *settling, i int)
 		steps int
 	}{
-		{"others know as many", func(s *settling, _ int) { s.exchanged(knows(3), knows(3), nil) }, 1 + settledAfter},
-		{"others always know more", func(s *settling, i int) { s.exchanged(knows(i), knows(i+1), nil) }, mostAnswered},
-		{"nobody is there", func(s *settling, _ int) { s.exchanged(knows(1), knows(0), down) }, aloneAfter},
-		{"all that start know as few", func(s *settling, i int) { s.exchanged(knows(i+1), knows(i+1), nil) }, mostAnswered},
-		{"nobody answers", func(s *settling, _ int) { s.exchanged(knows(1), knows(0), silent) }, aloneInSilence},
-		{"the only other dies", func(s *settling, i int) {
+		{"others know the same number", func(s *settling, _ int) { s.exchanged(knows(3), knows(3), nil) }, 1 + stableAfter},
+		{"others always know more", func(s *settling, i int) { s.exchanged(knows(i), knows(i+1), nil) }, maxAnswered},
+		{"no other node exists", func(s *settling, _ int) { s.exchanged(knows(1), knows(0), down) }, aloneAfter},
+		{"all starting nodes know the same number", func(s *settling, i int) { s.exchanged(knows(i+1), knows(i+1), nil) }, maxAnswered},
+		{"no node answers", func(s *settling, _ int) { s.exchanged(knows(1), knows(0), silent) }, aloneAfterTimeouts},
+		{"the only other node dies", func(s *settling, i int) {
 			var err error
 			if i > 0 {
 				err = down
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -1,6 +1,6 @@
 package citronnode
 
-// Watches on the store, and this node's own entry there.
+// Reads from and watches on the store, and this node's own entry in it.
 
 import (
 	"context"
@@ -14,41 +14,41 @@
 )
 
 const (
-	// retryFirst and retryMost bound the wait after a failed call to the
-	// store. All nodes meet an outage together, so the wait is drawn at
-	// random and grows: they must not return as one.
-	retryFirst = 150 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
-	// gather is how long changes of the list of engines are collected
-	// before the next watch: each watch is a priced call.
-	gather = 150 * time.Millisecond
+	// minRetryWait and retryMost limit the wait after a failed call to the store. All
+	// nodes see an outage at the same time, so the wait is random and grows: the nodes
+	// must not all return at once.
+	minRetryWait = 150 * time.Millisecond
+	retryMost    = 800 * time.Millisecond
+	// watchBatchDelay is how long changes to the list of engines are collected before
+	// the next watch, because each watch is a priced call.
+	watchBatchDelay = 150 * time.Millisecond
 )
 
-// follow keeps a prefix of the store up to date: it reads all of it and, if
-// this node is to watch, watches from that revision on. When the store has
-// dropped the history since, it reads all again.
+// follow keeps a prefix of the store up to date. It reads the whole prefix and, if this
+// node is to watch, watches it from that revision on. If the store has dropped the
+// history since then, follow reads the whole prefix again.
 func (n *Node) follow(ctx context.Context, prefix string, config bool) {
-	wait := retryFirst
-	down, well := false, false
+	wait := minRetryWait
+	down, healthy := false, false
 	answered := func(ok bool) {
-		if ok && !well {
-			n.answered.Add(1)
+		if ok && !healthy {
+			n.readablePrefixes.Add(1)
 		}
-		if !ok && well {
-			n.answered.Add(-1)
+		if !ok && healthy {
+			n.readablePrefixes.Add(-1)
 		}
-		well = ok
+		healthy = ok
 	}
-	n.readFirst(ctx, prefix, config)
-	readBarred := config // those who follow the list read it
+	n.initialRead(ctx, prefix, config)
+	readBarred := config // read by the goroutine that follows the list
 	for ctx.Err() == nil {
 		if !n.mayWatch(ctx) {
 			continue
 		}
-		readBarred = readBarred || n.readBarred(ctx) == nil // the store may be away
+		readBarred = readBarred || n.readBarred(ctx) == nil // the store may be unavailable
 		err := n.followOnce(ctx, prefix, config, func() {
 			answered(true)
-			wait = retryFirst
+			wait = minRetryWait
 			if down {
 				down = false
 				citronevent.Log(ctx, n.log, citronevent.StoreBack, "step", prefix)
@@ -61,7 +61,7 @@
 			continue
 		}
 		answered(false)
-		if errors.Is(err, errStandBy) {
+		if errors.Is(err, errStandby) {
 			continue
 		}
 		if !down {
@@ -74,56 +74,59 @@
 }
 
 const (
-	// firstReaders is how many nodes that lack a document ask a store that did not
-	// answer for it; the others hear of it from them.
-	firstReaders = 8
-	// firstAgain is how often, at most: callers wait for it.
-	firstAgain = 200 * time.Millisecond
+	// initialReaders is the number of nodes that keep reading a missing document from a
+	// store that did not answer. The other nodes get it from them.
+	initialReaders = 8
+	// initialReadInterval is the maximum wait between two such reads. Callers wait for
+	// the document.
+	initialReadInterval = 200 * time.Millisecond
 )
 
-// readFirst takes all of a prefix when the node starts, from the store or from other
-// nodes. When all nodes start while the store is away, none of them has it: each would
-// first find out which of them are to watch, and callers be refused meanwhile although
-// the store is back.
-func (n *Node) readFirst(ctx context.Context, prefix string, config bool) {
+// initialRead loads a whole prefix when the node starts, from the store or from other
+// nodes. If all nodes start while the store is unavailable, none of them has the
+// document. Without this read, each of them would first determine which nodes are to
+// watch, and callers would be rejected meanwhile although the store is back.
+func (n *Node) initialRead(ctx context.Context, prefix string, config bool) {
 	failed := false
 	for ctx.Err() == nil && !n.has(config) {
-		if n.rank() < firstReaders {
+		if n.rank() < initialReaders {
 			if _, err := n.read(ctx, prefix, config); err == nil {
 				if failed {
-					n.tellAwaited(ctx, config)
+					n.pushInitialDocument(ctx, config)
 				}
 				return
 			}
 			failed = true
 		}
-		_ = n.clock.Sleep(ctx, firstAgain/2+rand.N(firstAgain/2))
+		_ = n.clock.Sleep(ctx, initialReadInterval/2+rand.N(initialReadInterval/2))
 	}
 }
 
-// awaitedPoll is how often, and awaitedPolls how many times, a node looks whether what it
-// read is in force. The store may hold nothing, or what cannot be read.
+// applyPollInterval is how often, and maxApplyPolls how many times, a node checks
+// whether the document that it read is in effect. The store may hold no document or an
+// invalid one.
 const (
-	awaitedPoll  = 2 * time.Millisecond
-	awaitedPolls = 50
+	applyPollInterval = 2 * time.Millisecond
+	maxApplyPolls     = 50
 )
 
-// tellAwaited tells other nodes at once of a document that they wait for, too. By the
-// rounds of gossip it would reach them one after the other while callers are refused.
-func (n *Node) tellAwaited(ctx context.Context, config bool) {
-	for i := 0; i < awaitedPolls && !n.has(config); i++ {
-		_ = n.clock.Sleep(ctx, awaitedPoll)
+// pushInitialDocument immediately announces a document that other nodes wait for, too.
+// Through gossip rounds it would reach them one after the other while callers are
+// rejected.
+func (n *Node) pushInitialDocument(ctx context.Context, config bool) {
+	for i := 0; i < maxApplyPolls && !n.has(config); i++ {
+		_ = n.clock.Sleep(ctx, applyPollInterval)
 	}
 	if !n.has(config) {
 		return
 	}
 	members := n.snap.Load().members
-	for _, m := range members[:min(len(members), announceTo)] {
+	for _, m := range members[:min(len(members), announceFanout)] {
 		go n.fetch(ctx, m.Peer)
 	}
 }
 
-// has reports whether the node has a configuration, or a list.
+// has reports whether the node has a configuration, or a list if config is false.
 func (n *Node) has(config bool) bool {
 	s := n.snap.Load()
 	if config {
@@ -132,8 +135,8 @@
 	return !s.list.Revision.IsZero()
 }
 
-// read takes all of a prefix from the store. A node that starts does so at once,
-// whoever watches: callers wait for it.
+// read loads a whole prefix from the store. A node that starts does so at once,
+// regardless of which nodes watch, because callers wait for it.
 func (n *Node) read(ctx context.Context, prefix string, config bool) (citronkv.Revision, error) {
 	items, rev, err := n.src.Store.Range(ctx, prefix)
 	if err != nil {
@@ -147,21 +150,21 @@
 	return rev, nil
 }
 
-func (n *Node) followOnce(ctx context.Context, prefix string, config bool, well func()) error {
+func (n *Node) followOnce(ctx context.Context, prefix string, config bool, onSuccess func()) error {
 	rev, err := n.read(ctx, prefix, config)
 	if err != nil {
 		return err
 	}
-	well()
+	onSuccess()
 	for ctx.Err() == nil {
-		if n.watchersBefore() >= mostWatchers {
-			return errStandBy
+		if n.watchersBefore() >= maxWatchers {
+			return errStandby
 		}
 		events, next, err := n.watch(ctx, prefix, rev)
 		if err != nil {
 			return err
 		}
-		well()
+		onSuccess()
 		if next.After(rev) {
 			rev = next
 		}
@@ -171,32 +174,32 @@
 		}
 		n.send(ctx, listChanged{items: events, revision: rev, source: sourceStore})
 		if len(events) > 0 {
-			_ = n.clock.Sleep(ctx, gather)
+			_ = n.clock.Sleep(ctx, watchBatchDelay)
 		}
 	}
 	return ctx.Err()
 }
 
 const (
-	// followed is how many prefixes a node follows: the configuration and
-	// the list of engines.
-	followed = 2
-	// mostWatchers is how many nodes watch the store; the others hear of
-	// changes from them within about 0.3 s. Each watch is a priced call and
-	// is answered at every change, so that the calls of a fleet would grow
-	// with its nodes times its changes. Four outlast the loss of any three
-	// of them, and of the store for those.
-	mostWatchers = 4
-	// standBy is how often a node that does not watch looks whether it has
-	// to: a node that the store turns away says so within a second.
-	standBy = 300 * time.Millisecond
+	// followedPrefixes is the number of prefixes that a node follows: the configuration
+	// and the list of engines.
+	followedPrefixes = 2
+	// maxWatchers is the number of nodes that watch the store. The other nodes hear of
+	// changes from them within about 0.3 s. Each watch is a priced call and is answered
+	// at every change, so the calls of the fleet would grow with the number of nodes
+	// times the number of changes. Four watchers tolerate the loss of any three of them,
+	// or of their connection to the store.
+	maxWatchers = 4
+	// standbyInterval is how often a node that does not watch checks whether it has to.
+	// A node that the store rejects reports that within a second.
+	standbyInterval = 300 * time.Millisecond
 )
 
-// errStandBy ends a watch that enough others hold.
-var errStandBy = errors.New("other nodes watch")
+// errStandby ends a watch when enough other nodes watch.
+var errStandby = errors.New("enough other nodes watch the store")
 
-// watchersBefore counts the nodes that watch the store, of those before this
-// one.
+// watchersBefore counts the nodes that watch the store and come before this one in the
+// order of nodes.
 func (n *Node) watchersBefore() int {
 	count := 0
 	s := n.snap.Load()
@@ -208,26 +211,27 @@
 	return count
 }
 
-// mayWatch reports whether this node is to watch the store, or waits and
-// reports false. When the store is away for all, the nodes that come last wait
-// longest before they try too: their calls would help nobody.
+// mayWatch reports whether this node is to watch the store. If not, it waits before it
+// returns. While the store is unavailable to all nodes, the nodes that come last wait
+// longest before they try too, because their calls would not help.
 //
-// In its first moments a node knows nobody and would take itself for the first:
-// all nodes that start at once would watch, although a few of them serve all.
+// Shortly after startup a node knows no other nodes and would consider itself the first:
+// all nodes that start at once would watch, although a few of them are enough for all.
 func (n *Node) mayWatch(ctx context.Context) bool {
-	if !n.settled() {
-		_ = n.clock.Sleep(ctx, settlePoll)
+	if !n.stabilized() {
+		_ = n.clock.Sleep(ctx, stabilizePoll)
 		return false
 	}
 	before, rank := n.watchersBefore(), n.rank()
-	if before < mostWatchers && rank < mostWatchers {
+	if before < maxWatchers && rank < maxWatchers {
 		return true
 	}
-	_ = n.clock.Sleep(ctx, standBy+rand.N(standBy*time.Duration(1+rank/mostWatchers)))
-	return n.watchersBefore() < mostWatchers
+	_ = n.clock.Sleep(ctx, standbyInterval+rand.N(standbyInterval*time.Duration(1+rank/maxWatchers)))
+	return n.watchersBefore() < maxWatchers
 }
 
-// rank is this node's place among those that it hears (citronpeer.Member.Before).
+// rank is the position of this node among the nodes that it hears of, in the order of
+// citronpeer.Member.Before.
 func (n *Node) rank() int {
 	rank := 0
 	s := n.snap.Load()
@@ -240,30 +244,30 @@
 }
 
 const (
-	// lookEvery is how often some node of the fleet reads the store anew.
-	lookEvery = 650 * time.Millisecond
-	// longestWatch bounds a watch however many nodes there are.
-	longestWatch = 20 * time.Second
-	// watchAnswer is the time allowed for the answer to a watch that ends
-	// without events.
-	watchAnswer = time.Second
+	// rereadInterval is how often some node of the fleet reads the store again.
+	rereadInterval = 650 * time.Millisecond
+	// maxWatch limits the duration of a watch regardless of the number of nodes.
+	maxWatch = 20 * time.Second
+	// watchReplyTimeout is the time allowed for the reply to a watch that ends without
+	// events.
+	watchReplyTimeout = time.Second
 )
 
-// watch waits for changes, at most until it is this node's turn to look.
+// watch waits for changes, at most until it is this node's turn to read the store again.
 //
-// A watch can miss changes without an error: the store may hold it while it
-// drops its history, and a connection may go silent for good. The node then
-// believes an old state until the watch ends. The nodes' watches therefore
-// end in turn, one every lookEvery, and gossip takes what the one node
-// finds to the others; each node's own watches can be long, and few.
+// A watch can miss changes without an error: the store may delay it while it drops its
+// history, and a connection may stall for good. The node then has outdated state until
+// the watch ends. The watches of the nodes therefore end in turn, one every
+// rereadInterval, and gossip takes what that node finds to the others. This way the
+// watches of each node can be long and few.
 func (n *Node) watch(ctx context.Context, prefix string, after citronkv.Revision) ([]citronkv.Item, citronkv.Revision, error) {
-	ctx, cancel := context.WithTimeout(ctx, n.untilTurn()+watchAnswer)
+	ctx, cancel := context.WithTimeout(ctx, n.untilTurn()+watchReplyTimeout)
 	defer cancel()
 	return n.src.Store.Watch(ctx, prefix, after)
 }
 
-// untilTurn is the time until this node's next turn, by its place among the
-// nodes that watch.
+// untilTurn is the time until this node's next turn, by its position among the nodes
+// that watch.
 func (n *Node) untilTurn() time.Duration {
 	watchers := 1
 	for _, m := range n.snap.Load().members {
@@ -272,17 +276,17 @@
 		}
 	}
 	rank := n.watchersBefore()
-	period := min(lookEvery*time.Duration(watchers), longestWatch)
+	period := min(rereadInterval*time.Duration(watchers), maxWatch)
 	now := time.Duration(n.clock.Now().UnixNano())
-	wait := (time.Duration(rank)*lookEvery - now%period + period) % period
-	if wait < lookEvery/2 {
+	wait := (time.Duration(rank)*rereadInterval - now%period + period) % period
+	if wait < rereadInterval/2 {
 		wait += period
 	}
 	return wait
 }
 
-// sendConfig takes the last of the configurations that a read brought; those
-// before it are overtaken.
+// sendConfig passes on the last of the configurations that a read returned. The earlier
+// ones are superseded.
 func (n *Node) sendConfig(ctx context.Context, items []citronkv.Item) {
 	for _, it := range slices.Backward(items) {
 		if it.Key == n.src.ConfigKey && !it.Deleted {
@@ -299,42 +303,45 @@
 	}
 }
 
-// nodePrefix is where nodes leave their peer addresses.
+// nodePrefix is the prefix under which nodes register their peer addresses.
 const nodePrefix = "deck/nodes/"
 
 const (
-	// mostRegistered is how many nodes leave their addresses in the store, the
-	// first in their order: with those that are there, any node finds the fleet.
-	mostRegistered = 16
-	// registerEvery is how often a node looks whether it is one of them.
-	registerEvery = 2 * time.Second
+	// maxRegistered is the number of nodes that register their addresses in the store,
+	// the first in their order. Any node finds the fleet through the registered nodes
+	// that are running.
+	maxRegistered = 16
+	// registerInterval is how often a node checks whether it is one of them.
+	registerInterval = 2 * time.Second
 )
 
-// notRegistered is the era of a node whose address is not in the store.
+// notRegistered is the registration era of a node whose address is not in the store.
 const notRegistered = -1
 
-// storeEra is that of the newest list; what this node wrote in an earlier one may
-// be gone.
+// storeEra is the era of the newest list. What this node wrote in an earlier era may be
+// lost.
 func (n *Node) storeEra() int64 { return n.snap.Load().list.Revision.Era() }
 
-// register leaves this node's peer address in the store and reads those of the
-// others, once it is one of the first of the nodes that it hears; one that hears
-// of none reads them too. The seeds of the settings may all be gone when a
-// machine is replaced: a node without peers would serve callers that nobody sends
-// to it, and two halves of a fleet that lost each other would never meet again.
-// In each half some nodes come first, and those know the addresses of both. The
-// entries need no lease: an address where nobody answers costs a connection now
-// and then, and the machine's name is used again. A store that came back from an
-// older copy may have lost them, and gets them again.
+// register writes this node's peer address to the store and reads those of the others
+// once the node is one of the first that it hears of. A node that hears of no others
+// reads the addresses too.
+//
+// The configured seeds may all be gone when a machine is replaced. A node without peers
+// would serve callers that no directory sends to it, and two halves of a fleet that lost
+// each other would never meet again. In each half some nodes come first, and those know
+// the addresses of both halves. The entries need no lease: an address where nothing
+// answers costs a connection now and then, and the name of the machine is used again. A
+// store that was restored from an older copy may have lost the entries, so they are
+// written again.
 func (n *Node) register(ctx context.Context) {
-	for !n.settled() && ctx.Err() == nil {
-		_ = n.clock.Sleep(ctx, settlePoll)
+	for !n.stabilized() && ctx.Err() == nil {
+		_ = n.clock.Sleep(ctx, stabilizePoll)
 	}
 	registered := int64(notRegistered)
 	for ctx.Err() == nil {
 		var err error
 		era := n.storeEra()
-		if registered != era && n.rank() < mostRegistered {
+		if registered != era && n.rank() < maxRegistered {
 			_, err = n.src.Store.Put(ctx, nodePrefix+n.set.Name, []byte(n.set.Peer), citronkv.AnyRevision, 0)
 			if err == nil {
 				err = n.readRegistered(ctx)
@@ -346,7 +353,7 @@
 			err = n.readRegistered(ctx)
 		}
 		if err == nil {
-			_ = n.clock.Sleep(ctx, registerEvery)
+			_ = n.clock.Sleep(ctx, registerInterval)
 			continue
 		}
 		citronevent.Log(ctx, n.log, citronevent.GossipFailed, "peer", nodePrefix, "err", err)
@@ -354,7 +361,7 @@
 	}
 }
 
-// readRegistered reads the addresses that nodes have left in the store.
+// readRegistered reads the addresses that nodes have registered in the store.
 func (n *Node) readRegistered(ctx context.Context) error {
 	items, _, err := n.src.Store.Range(ctx, nodePrefix)
 	if err != nil {
--- a/citronnode/status.go
+++ b/citronnode/status.go
@@ -4,43 +4,44 @@
 	"time"
 )
 
-// Status is what a node knows at one moment, for its metrics.
+// Status is a node's view of the fleet at one moment, for its metrics.
 type Status struct {
-	// ConfigVersion is that in force, 0 without one; ConfigAge the time
-	// since it was put in force here.
+	// ConfigVersion is the active configuration version, or 0 without one. ConfigAge is
+	// the time since it took effect on this node.
 	ConfigVersion int64
 	ConfigAge     time.Duration
-	// ListRevision is that of the list of engines, ListAge the time since
-	// the list last changed.
+	// ListRevision is the revision of the list of engines. ListAge is the time since the
+	// list last changed.
 	ListRevision int64
 	ListAge      time.Duration
-	// StoreEra is how often the store has come back from an older copy.
+	// StoreEra is the number of times the store has been restored from an older copy.
 	StoreEra int64
-	// Ready and Leaving count engines, Nodes the other nodes heard.
+	// Ready and Leaving count engines. Nodes counts the other nodes heard of.
 	Ready, Leaving, Nodes int
-	// Unreadable are entries of the list that name no engine, of another writer.
+	// Unreadable counts the entries in the list that do not describe an engine, written
+	// by some other program.
 	Unreadable int
-	// Kept are engines in use whose entries are missing (outage.go).
+	// Kept counts the retained engines: engines in use whose entries are missing.
 	Kept int
-	// Suspects are requests under which engines have ended, Barred those of them
-	// that are not sent to engines. SuspectsRejected are messages of other nodes
-	// about such requests of which nothing was taken.
+	// Suspects counts the requests under which engines have ended. Barred counts those
+	// of them that are quarantined and not sent to engines. SuspectsRejected counts the
+	// rejected messages of other nodes about such requests.
 	Suspects, Barred int
 	SuspectsRejected int64
-	// Limited are engines that name a rate limit; LimitsRejected are messages of
-	// other nodes about limits of which nothing was taken.
+	// Limited counts the engines that have announced a rate limit. LimitsRejected counts
+	// the rejected messages of other nodes about limits.
 	Limited        int
 	LimitsRejected int64
-	// Watching: the node watches the store, and the store answers.
-	// Leads: it holds the lease under which layers are placed. Places: it places
-	// them.
+	// Watching reports that the node watches the store and the store answers. Leads
+	// reports that the node holds the lease under which layers are placed. Places
+	// reports that the node places layers.
 	Watching, Leads, Places bool
 }
 
-// Status returns what the node knows now.
+// Status returns the current status of the node.
 func (n *Node) Status() Status {
 	s := n.snap.Load()
-	out := Status{ConfigVersion: s.config.Version, ListRevision: s.list.Revision.Number(), StoreEra: s.list.Revision.Era(), Nodes: len(s.members), Unreadable: s.unreadable, Kept: s.kept, Watching: s.self.Watching, Leads: s.self.Leads, Places: n.places.Load()}
+	out := Status{ConfigVersion: s.config.Version, ListRevision: s.list.Revision.Number(), StoreEra: s.list.Revision.Era(), Nodes: len(s.members), Unreadable: s.unreadable, Kept: s.retained, Watching: s.self.Watching, Leads: s.self.Leads, Places: n.places.Load()}
 	out.Suspects, out.Barred = n.quarantine.Count()
 	out.Limited, out.LimitsRejected = n.limits.Limited(), n.limitsRejected.Load()
 	out.SuspectsRejected = n.suspectsRejected.Load()
