--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -1,7 +1,7 @@
-// Package citronpool keeps what a node sees of each engine while it sends
-// requests there: how many it has in flight, and whether the engine has just
-// failed. The list of engines is read by traffic as an immutable View; the
-// counters beside it are atomic and outlive a change of the list.
+// Package citronpool tracks what this node observes about each engine while it
+// sends requests to it: the requests in flight and whether the engine has
+// failed recently. Request handling reads the list of engines as an immutable
+// View. The counters are atomic and survive a change of the list.
 package citronpool
 
 import (
@@ -12,62 +12,68 @@
 	"citrondeck.dev/citrondeck/citronmodel"
 )
 
-// Engine is an engine of the list with this node's own counters.
+// Engine is an engine from the list together with this node's own counters.
 type Engine struct {
 	citronmodel.Engine
 	*State
-	// Copies is how many engines of its zone hold its layers, itself
-	// included, on average.
+	// Copies is the average number of engines in the zone, this one included,
+	// that hold each of the engine's layers.
 	Copies float64
 }
 
-// epoch is what moments are counted from. The difference to it is taken on
-// the steady clock, so a jump of the time of day neither frees an engine
-// that failed nor keeps one locked out.
+// epoch is the reference for all stored timestamps. Differences to it use the
+// monotonic clock, so a jump of the wall clock neither releases a failed engine
+// early nor locks it out.
 var epoch = time.Now()
 
-func since(now time.Time) int64 { return int64(now.Sub(epoch)) }
+// sinceEpoch converts a time to nanoseconds since epoch.
+func sinceEpoch(now time.Time) int64 { return int64(now.Sub(epoch)) }
 
-// State is what this node saw of one incarnation of an engine.
+// State is what this node observes about one incarnation of an engine. All
+// timestamps are in nanoseconds since epoch unless stated otherwise.
 type State struct {
 	id string
-	// troubles is where it is noted that the engine was found dead or started anew.
-	troubles *troubles
-	inflight atomic.Int64
-	tokens   atomic.Int64
-	// avoidUntil is when the engine may get new work again, deadSince when
-	// it was last found dead (0: not), in nanoseconds since epoch.
+	// failedStates is the registry to which the state is added when the
+	// engine is found dead or restarted.
+	failedStates *failedStates
+	inflight     atomic.Int64
+	tokens       atomic.Int64
+	// avoidUntil is when the engine may receive new work again. deadSince is
+	// when it was last found dead, zero if it is not dead.
 	avoidUntil atomic.Int64
 	failures   atomic.Int64
 	deadSince  atomic.Int64
-	// latency is a running mean of answer times in microseconds.
+	// latency is a moving average of response times in microseconds.
 	latency atomic.Int64
-	// slowdown is how many hundredths of its declared times the engine
-	// takes, by its own report at slowAt.
+	// slowdown is the ratio of the engine's actual to its declared times in
+	// hundredths, as the engine reported it at slowAt.
 	slowdown, slowAt atomic.Int64
-	// ended: its address refuses connections, or is another's by now.
+	// ended is set while the engine's address refuses connections or belongs
+	// to another engine.
 	ended atomic.Bool
-	// accusedAt is when an engine that was to hand a request on to it last
-	// refused the request and named it, in nanoseconds since epoch.
+	// accusedAt is when a request was last refused because another engine
+	// named this one as the cause.
 	accusedAt atomic.Int64
-	// refusals counts the pauses in a row after refusals because of it.
-	refusals atomic.Int64
-	// laterStart is when the engine started anew, by its own report.
-	laterStart atomic.Int64
-	// replaced: another start of the engine, or another engine, is at its
-	// address.
+	// refusalPauses counts the consecutive pauses after such refusals.
+	refusalPauses atomic.Int64
+	// restartedAt is when the engine restarted, in milliseconds since 1970 by
+	// its own report.
+	restartedAt atomic.Int64
+	// replaced is set when a later incarnation of the engine, or another
+	// engine, is at its address.
 	replaced atomic.Bool
-	// throttledUntil is how long it is left alone because others have used up what it
-	// takes, in nanoseconds since epoch.
+	// throttledUntil is when the engine may be used again after other nodes
+	// have used up its rate limit.
 	throttledUntil atomic.Int64
-	// misplacedUntil is how long it is left alone because it said that it
-	// does not hold what the list says, in nanoseconds since epoch.
+	// misplacedUntil is when the engine may be used again after it reported
+	// that it doesn't hold the layers in the list.
 	misplacedUntil atomic.Int64
 }
 
-func newState(id string, t *troubles) *State { return &State{id: id, troubles: t} }
+func newState(id string, failed *failedStates) *State { return &State{id: id, failedStates: failed} }
 
-// Begin counts a request of so many tokens; the result ends it.
+// Begin counts a request with the given number of tokens as in flight. The
+// returned function ends it and may be called more than once.
 func (s *State) Begin(tokens int) func() {
 	s.inflight.Add(1)
 	s.tokens.Add(int64(tokens))
@@ -80,66 +86,68 @@
 	}
 }
 
-// Inflight is the number of this node's requests at the engine.
+// Inflight returns the number of this node's requests at the engine.
 func (s *State) Inflight() int64 { return s.inflight.Load() }
 
-// Tokens is the cache that this node's requests at the engine may need.
+// Tokens returns the cache, in tokens, that this node's requests at the engine
+// may need.
 func (s *State) Tokens() int64 { return s.tokens.Load() }
 
 const (
-	// firstAvoid is how long an engine is left alone after one failure.
-	// The wait doubles at each further failure without a success between:
-	// a crashed engine is back after seconds, a full one after a few
-	// hundred milliseconds.
-	firstAvoid = 300 * time.Millisecond
-	maxAvoid   = 4 * time.Second
+	// initialAvoid is how long an engine is avoided after one failure. The
+	// wait doubles with each further failure until a request succeeds: a
+	// crashed engine is back after seconds, a full one after a few hundred
+	// milliseconds.
+	initialAvoid = 300 * time.Millisecond
+	maxAvoid     = 4 * time.Second
 )
 
-// Failed leaves the engine alone for a while.
+// Failed records a failure and avoids the engine. The time doubles with each
+// consecutive failure up to maxAvoid.
 func (s *State) Failed(now time.Time) {
 	n := s.failures.Add(1)
 	wait := maxAvoid
 	if n < 5 {
-		wait = min(maxAvoid, firstAvoid<<(n-1))
+		wait = min(maxAvoid, initialAvoid<<(n-1))
 	}
-	s.avoidUntil.Store(since(now.Add(wait)))
+	s.avoidUntil.Store(sinceEpoch(now.Add(wait)))
 }
 
-// Busy leaves the engine alone for the given time without holding the
-// failure against it.
+// Busy avoids the engine for the given time without counting a failure.
 func (s *State) Busy(now time.Time, wait time.Duration) {
-	s.avoidUntil.Store(since(now.Add(wait)))
+	s.avoidUntil.Store(sinceEpoch(now.Add(wait)))
 }
 
-// Dead marks an engine that no longer answers. Requests that run through
-// it are moved away.
+// Dead marks an engine that no longer responds. Requests that run through it
+// are moved to other engines.
 func (s *State) Dead(now time.Time) {
 	s.Failed(now)
-	s.deadSince.Store(since(now))
-	s.troubles.note(s)
+	s.deadSince.Store(sinceEpoch(now))
+	s.failedStates.add(s)
 }
 
-// Suspect leaves alone for a moment an engine that another node has found
+// Suspect avoids the engine for initialAvoid because another node found it
 // dead.
 func (s *State) Suspect(now time.Time) {
-	if until := since(now.Add(firstAvoid)); s.avoidUntil.Load() < until {
+	if until := sinceEpoch(now.Add(initialAvoid)); s.avoidUntil.Load() < until {
 		s.avoidUntil.Store(until)
 	}
 }
 
-// slowMemory is how long a report of slowness counts. Engines are asked only
-// while a path through them is silent.
-const slowMemory = 3 * time.Second
+// slowReportTTL is how long a report of slowness is used. Engines are asked
+// only while a path through them is stalled.
+const slowReportTTL = 3 * time.Second
 
-// Slow notes how much slower than declared the engine is.
+// Slow records how many times slower than declared the engine is.
 func (s *State) Slow(factor float64, now time.Time) {
 	s.slowdown.Store(int64(factor * 100))
-	s.slowAt.Store(since(now))
+	s.slowAt.Store(sinceEpoch(now))
 }
 
-// Slowdown is the newest report of slowness, 1 if there is none.
+// Slowdown returns the last reported slowness factor, or 1 if there is no
+// recent report.
 func (s *State) Slowdown(now time.Time) float64 {
-	if f := s.slowdown.Load(); f > 100 && since(now)-s.slowAt.Load() < int64(slowMemory) {
+	if f := s.slowdown.Load(); f > 100 && sinceEpoch(now)-s.slowAt.Load() < int64(slowReportTTL) {
 		return float64(f) / 100
 	}
 	return 1
@@ -148,50 +156,54 @@
 // End marks an engine whose process is known to have ended.
 func (s *State) End() { s.ended.Store(true) }
 
-// StartedAnew marks an engine that has ended and started again: what it ran
-// and held is gone.
+// StartedAnew marks an engine that has restarted: the requests it ran and the
+// layers it held are lost. The parameter born is the time of the restart in
+// milliseconds since 1970.
 func (s *State) StartedAnew(born int64, now time.Time) {
-	s.laterStart.Store(born)
-	s.Replace(now) // notes it
+	s.restartedAt.Store(born)
+	s.Replace(now) // also adds s to the failed states
 }
 
-// Replace marks an engine in whose place something else is. Unlike one that
-// does not answer it never gets work again; its next start has a State of its
-// own.
+// Replace marks an engine whose address belongs to a later incarnation or to
+// another engine. Unlike an engine that doesn't respond, it never receives work
+// again. Its next incarnation has a State of its own.
 func (s *State) Replace(now time.Time) {
 	s.replaced.Store(true)
 	s.Dead(now)
 	s.End()
 }
 
-// Replaced reports whether something else is in the engine's place.
+// Replaced reports whether the engine's address belongs to a later incarnation
+// or to another engine.
 func (s *State) Replaced() bool { return s.replaced.Load() }
 
-// LaterStart is when the engine started anew, zero if it did not.
-func (s *State) LaterStart() int64 { return s.laterStart.Load() }
+// LaterStart returns when the engine restarted, in milliseconds since 1970, or
+// zero if it didn't.
+func (s *State) LaterStart() int64 { return s.restartedAt.Load() }
 
-// misplacedFor is how long an engine is left alone that does not hold what
-// the list says. Its entry is written at once when its layers change, and
-// reaches all nodes within half a second; its report is a fifth of a second
-// old, so that the list may be right.
-const misplacedFor = time.Second
+// misplacedPause is how long an engine is avoided that doesn't hold the layers
+// in the list. An engine writes its entry as soon as its layers change, and the
+// entry reaches all nodes within 500 ms. The engine's report is up to 200 ms
+// old, so the list may be the newer of the two.
+const misplacedPause = time.Second
 
-// Misplaced leaves alone an engine that does not hold what the list says.
-// Each request that runs through it would be refused, by all nodes, until the
-// list is right.
+// Misplaced avoids an engine that doesn't hold the layers in the list. It would
+// refuse every request that runs through it, from all nodes, until the list is
+// correct.
 func (s *State) Misplaced(now time.Time) {
-	s.misplacedUntil.Store(since(now.Add(misplacedFor)))
+	s.misplacedUntil.Store(sinceEpoch(now.Add(misplacedPause)))
 }
 
-// Placed takes Misplaced back.
+// Placed clears the effect of Misplaced.
 func (s *State) Placed() { s.misplacedUntil.Store(0) }
 
-// Ended reports whether the engine's process is known to have ended. An
-// engine that only does not answer may still run what it was sent.
+// Ended reports whether the engine's process is known to have ended. An engine
+// that merely doesn't respond may still run the requests sent to it.
 func (s *State) Ended() bool { return s.ended.Load() || s.Replaced() }
 
-// Lives notes that the engine sends something. One that refuses connections has not
-// ended for that: it may be leaving, and end what it runs.
+// Lives records that the engine has sent data and clears its ended and dead
+// marks. An engine that refuses connections hasn't necessarily ended: it may be
+// leaving and finishing its running requests. A replaced engine stays replaced.
 func (s *State) Lives() {
 	if s.ended.Load() && !s.Replaced() {
 		s.ended.Store(false)
@@ -199,8 +211,8 @@
 	}
 }
 
-// DeadSince is when the engine was last found dead; zero if it answered
-// since.
+// DeadSince returns when the engine was last found dead, or the zero time if it
+// has responded since.
 func (s *State) DeadSince() time.Time {
 	n := s.deadSince.Load()
 	if n == 0 {
@@ -209,9 +221,10 @@
 	return epoch.Add(time.Duration(n))
 }
 
+// latencyWeight is the inverse weight of a new sample in the moving average.
 const latencyWeight = 8
 
-// Answered records a sound answer to a request that was sent at a moment.
+// Answered records a successful response to a request sent at the given time.
 func (s *State) Answered(sent, now time.Time) {
 	s.failures.Store(0)
 	s.deadSince.Store(0)
@@ -227,35 +240,38 @@
 	s.latency.Store(old + (took.Microseconds()-old)/latencyWeight)
 }
 
-// Latency is the running mean of the engine's answer times.
+// Latency returns the moving average of the engine's response times.
 func (s *State) Latency() time.Duration {
 	return time.Duration(s.latency.Load()) * time.Microsecond
 }
 
-// Throttle leaves alone for a while an engine whose rate limit is used up.
+// Throttle avoids the engine for the given time because its rate limit is used
+// up.
 func (s *State) Throttle(now time.Time, wait time.Duration) {
-	s.throttledUntil.Store(since(now.Add(wait)))
+	s.throttledUntil.Store(sinceEpoch(now.Add(wait)))
 }
 
-// ThrottledFor is how long the engine is still left alone for its rate limit.
+// ThrottledFor returns how much longer the engine is avoided because of its
+// rate limit.
 func (s *State) ThrottledFor(now time.Time) time.Duration {
-	return max(0, time.Duration(s.throttledUntil.Load()-since(now)))
+	return max(0, time.Duration(s.throttledUntil.Load()-sinceEpoch(now)))
 }
 
-// Usable reports whether the engine may get new work.
+// Usable reports whether the engine may receive new work now.
 func (e *Engine) Usable(now time.Time) bool {
 	return e.ThrottledFor(now) == 0 && e.Sound(now)
 }
 
-// Sound reports whether the engine may get new work once its rate limit allows it.
+// Sound reports whether the engine is healthy: it may receive new work as soon
+// as its rate limit allows it.
 func (e *Engine) Sound(now time.Time) bool {
-	at := since(now)
+	at := sinceEpoch(now)
 	return !e.Leaving && !e.Replaced() && e.avoidUntil.Load() <= at && e.misplacedUntil.Load() <= at
 }
 
-// Loads counts the tokens of this node's requests by the zone whose engines
-// run them. Nodes tell each other these sums: a node that knew only its own
-// requests would send more to a zone that the others have filled.
+// Loads counts the tokens of this node's requests per zone whose engines run
+// them. Nodes exchange these zone totals: a node that knew only its own
+// requests would send more to a zone that other nodes have filled.
 type Loads struct{ zones sync.Map }
 
 func (l *Loads) zone(name string) *atomic.Int64 {
@@ -266,10 +282,10 @@
 	return v.(*atomic.Int64)
 }
 
-// Add counts so many tokens more in a zone.
+// Add adds tokens to the total of a zone. A negative number subtracts.
 func (l *Loads) Add(zone string, tokens int) { l.zone(zone).Add(int64(tokens)) }
 
-// Sums returns the tokens of all zones.
+// Sums returns the zone totals in tokens.
 func (l *Loads) Sums() map[string]int64 {
 	out := map[string]int64{}
 	l.zones.Range(func(k, v any) bool {
--- a/citronpool/refusal.go
+++ b/citronpool/refusal.go
@@ -1,72 +1,78 @@
 package citronpool
 
-// Engines because of which requests are refused.
+// This file handles engines that other engines name as the cause of a refused
+// request.
 //
-// The load it answers: engines leave at the peak while the store is away, so that no
-// node can read that they do. Each of them refuses what is new and answers questions as
-// if it were well. Tried again after a fixed pause, by all nodes, each request meets one
-// of them, and the refusals use up the repeats that all nodes share: the requests that
-// follow are refused although other engines have room. So the pause doubles with each
-// refusal until a request is let in. An engine that was only full is let in again after
-// the first.
+// At peak load, engines may leave while the store is unavailable, so that no
+// node can read that they are leaving. Such an engine refuses new requests but
+// answers health questions as usual. If all nodes tried it again after a fixed
+// pause, requests would keep meeting it and the refusals would use up the retry
+// budget that all nodes share. Later requests would then be refused although
+// other engines have free capacity. Therefore the pause doubles with each
+// refusal until the engine admits a request. An engine that was only full
+// admits requests again after the first pause.
 
 import "time"
 
 const (
-	// firstRefusal is the pause after one refusal: some requests of a full engine end
-	// in it.
-	firstRefusal = 150 * time.Millisecond
-	// maxRefusal bounds the pause, as an engine may have room again.
-	maxRefusal = 1200 * time.Millisecond
-	// accusedFor is how long a refusal counts against an engine through which a stream
-	// is silent: until its death is certain, or news of what it holds has come.
-	accusedFor = 500 * time.Millisecond
+	// initialRefusalPause is the pause after one refusal. Some requests of a
+	// full engine finish within it.
+	initialRefusalPause = 150 * time.Millisecond
+	// maxRefusalPause limits the pause, as the engine may have free capacity
+	// again.
+	maxRefusalPause = 1200 * time.Millisecond
+	// accusationTTL is how long a refusal counts against an engine through
+	// which a stream is stalled: until its death is certain or an update on
+	// its layers has arrived.
+	accusationTTL = 500 * time.Millisecond
 )
 
-// refusalPause is how long an engine is left alone after so many refusals before.
+// refusalPause returns how long an engine is avoided after the given number of
+// earlier refusals.
 func refusalPause(before int64) time.Duration {
-	pause := firstRefusal
+	pause := initialRefusalPause
 	for range before {
-		if pause >= maxRefusal {
-			return maxRefusal
+		if pause >= maxRefusalPause {
+			return maxRefusalPause
 		}
 		pause *= 2
 	}
-	return min(pause, maxRefusal)
+	return min(pause, maxRefusalPause)
 }
 
-// Accuse notes that an engine refused a request and named this one, which is dead,
-// leaving, giving up layers or short of memory, and leaves it alone for a while. It
-// reports whether that is news: requests that were on their way together are refused
-// together.
+// Accuse records that this engine is accused: another engine named it as the
+// cause of a refused request because it is dead, leaving, giving up layers or
+// short of memory. Accuse avoids the engine for a pause and reports whether the
+// pause is new. It isn't if the engine is avoided already: requests that were in
+// flight together are refused together and count once.
 func (s *State) Accuse(now time.Time) bool {
-	at := since(now)
+	at := sinceEpoch(now)
 	s.accusedAt.Store(at)
 	until := s.avoidUntil.Load()
 	if until > at {
 		return false
 	}
-	before := s.refusals.Load()
+	before := s.refusalPauses.Load()
 	if !s.avoidUntil.CompareAndSwap(until, at+int64(refusalPause(before))) {
 		return false
 	}
-	s.refusals.Store(before + 1)
+	s.refusalPauses.Store(before + 1)
 	return true
 }
 
-// Accused reports whether the engine was named in a refusal just now.
+// Accused reports whether the engine was accused within the last accusationTTL.
 func (s *State) Accused(now time.Time) bool {
 	at := s.accusedAt.Load()
-	return at != 0 && since(now)-at < int64(accusedFor)
+	return at != 0 && sinceEpoch(now)-at < int64(accusationTTL)
 }
 
-// Admitted notes that the engine runs a request that was sent to it at a moment, and
-// reports whether that was after the last refusal. One that leaves ends what it ran
-// before, and refuses what is new all the same.
+// Admitted records that the engine runs a request sent at the given time. It
+// reports whether the request was sent after the last refusal. Older requests
+// prove nothing: a leaving engine finishes them and still refuses new ones.
 func (s *State) Admitted(sent time.Time) bool {
-	if since(sent) <= s.accusedAt.Load() {
+	if sinceEpoch(sent) <= s.accusedAt.Load() {
 		return false
 	}
-	s.refusals.Store(0)
+	s.refusalPauses.Store(0)
 	return true
 }
--- a/citronpool/refusal_test.go
+++ b/citronpool/refusal_test.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	outage  = 8 * time.Second
-	between = 5 * time.Millisecond
+	outage          = 8 * time.Second
+	requestInterval = 5 * time.Millisecond
 )
 
-// refusedDuring is how many requests meet an engine that refuses all of them while the
-// store is away, if there is one every few milliseconds and the engine is used whenever
-// it may be.
-func refusedDuring(e *citronpool.Engine, from time.Time) int {
+// countRefusals returns how many requests an engine refuses during an outage of the store
+// if a request arrives every requestInterval, is sent to the engine whenever it is usable,
+// and the engine refuses all of them.
+func countRefusals(e *citronpool.Engine, from time.Time) int {
 	n := 0
-	for now := from; now.Before(from.Add(outage)); now = now.Add(between) {
+	for now := from; now.Before(from.Add(outage)); now = now.Add(requestInterval) {
 		if e.Usable(now) {
 			e.Accuse(now)
 			n++
@@ -28,28 +28,30 @@
 	return n
 }
 
-func oneEngine() *citronpool.Engine {
+func newEngine() *citronpool.Engine {
 	v := citronpool.Build([]citronmodel.Engine{{ID: "e", Service: "model", Layers: citronmodel.Span{To: 8}}}, nil)
 	return v.ByService["model"][0]
 }
 
-// Guards against repeats used up by an engine that leaves while the store is away: for
-// eight seconds it refuses what is new, and nobody can read why.
-func TestRefusingEngineIsTriedSeldom(t *testing.T) {
+// TestRefusingEngineIsTriedRarely guards against a retry budget used up by an engine that
+// leaves while the store is unavailable. For eight seconds the engine refuses new
+// requests, and no node can read that it is leaving.
+func TestRefusingEngineIsTriedRarely(t *testing.T) {
 	is := is.New(t)
-	tried := refusedDuring(oneEngine(), time.Now())
+	tried := countRefusals(newEngine(), time.Now())
 	t.Logf("tried %d times in %v", tried, outage)
 	is.True(tried <= 10)
 }
 
-// Guards against an engine that was full for a moment and is left alone for long.
-func TestAdmittedEngineIsUsedAgain(t *testing.T) {
+// TestAdmittedRequestResetsRefusalPause guards against an engine that was full only
+// briefly but is avoided for a long time.
+func TestAdmittedRequestResetsRefusalPause(t *testing.T) {
 	is := is.New(t)
-	e, now := oneEngine(), time.Now()
-	refusedDuring(e, now)
+	e, now := newEngine(), time.Now()
+	countRefusals(e, now)
 	now = now.Add(outage + 2*time.Second)
 	is.True(e.Usable(now))
-	e.Admitted(now.Add(-time.Minute)) // sent before it was refused
+	e.Admitted(now.Add(-time.Minute)) // sent before the last refusal
 	is.True(e.Accuse(now))
 	is.True(!e.Usable(now.Add(time.Second)))
 	now = now.Add(2 * time.Second)
@@ -58,10 +60,11 @@
 	is.True(e.Usable(now.Add(200 * time.Millisecond)))
 }
 
-// Requests that were on their way together are refused together, and count once.
-func TestRefusalsOfOneMomentCountOnce(t *testing.T) {
+// TestConcurrentRefusalsCountOnce checks that requests in flight together, which are
+// refused together, count as one refusal. Otherwise the pause would grow too long.
+func TestConcurrentRefusalsCountOnce(t *testing.T) {
 	is := is.New(t)
-	e, now := oneEngine(), time.Now()
+	e, now := newEngine(), time.Now()
 	is.True(e.Accuse(now))
 	for range 50 {
 		is.True(!e.Accuse(now.Add(time.Millisecond)))
--- a/citronpool/seed_test.go
+++ b/citronpool/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// CI gives the same verdict every time, so rapid's seed is fixed; try
-// others with -rapid.seed=N.
+// The seed of rapid is fixed so that CI runs are reproducible. Use
+// -rapid.seed=N to try another one.
 func init() { _ = flag.Set("rapid.seed", "20261203") }
--- a/citronpool/view.go
+++ b/citronpool/view.go
@@ -8,42 +8,43 @@
 	"citrondeck.dev/citrondeck/citronmodel"
 )
 
-// View is the list of engines at one moment. It shares with the one before it what has
-// not changed: engines of a large fleet come and go all the time.
+// View is an immutable snapshot of the list of engines. It shares unchanged parts
+// with the previous view because engines of a large fleet come and go all the time.
 type View struct {
-	// ByService holds the engines of each service.
-	ByService map[string][]*Engine
-	byAddr    map[string]*Engine
-	byID      map[string]*Engine
-	troubles  *troubles
+	// ByService holds the engines of each service, ordered by ID.
+	ByService    map[string][]*Engine
+	byAddr       map[string]*Engine
+	byID         map[string]*Engine
+	failedStates *failedStates
 }
 
-// Build makes a view of engines in the order of their ids; an engine that prev knows
-// keeps its State.
+// Build returns a view of the given engines, which are sorted by ID. An engine that is
+// in prev keeps its State. The previous view prev may be nil.
 func Build(engines []citronmodel.Engine, prev *View) *View {
 	if prev == nil {
-		prev = &View{troubles: &troubles{}}
+		prev = &View{failedStates: &failedStates{}}
 	}
-	v := &View{ByService: map[string][]*Engine{}, troubles: prev.troubles}
+	v := &View{ByService: map[string][]*Engine{}, failedStates: prev.failedStates}
 	for _, e := range engines {
-		v.ByService[e.Service] = append(v.ByService[e.Service], prev.successor(e))
+		v.ByService[e.Service] = append(v.ByService[e.Service], prev.nextEngine(e))
 	}
 	for name, service := range v.ByService {
-		if same(service, prev.ByService[name]) {
+		if sameEngines(service, prev.ByService[name]) {
 			v.ByService[name] = prev.ByService[name]
 			continue
 		}
-		countCopies(service)
+		countReplicas(service)
 	}
 	v.index(engines, prev)
 	return v
 }
 
-// successor is the engine of the next view.
-func (v *View) successor(e citronmodel.Engine) *Engine {
+// nextEngine returns the engine for the next view. It reuses the Engine if its entry is
+// unchanged, otherwise its State. A replaced engine whose layers change gets a new State.
+func (v *View) nextEngine(e citronmodel.Engine) *Engine {
 	old := v.byID[e.ID]
 	if old == nil {
-		return &Engine{Engine: e, State: newState(e.ID, v.troubles)}
+		return &Engine{Engine: e, State: newState(e.ID, v.failedStates)}
 	}
 	if old.Engine == e {
 		return old
@@ -53,14 +54,15 @@
 	case old.Layers == e.Layers:
 	case !old.Replaced():
 		p.Placed()
-		p.refusals.Store(0)
-	default: // its entry is of its next start, which does not tell when it was
-		p.State = newState(e.ID, v.troubles)
+		p.refusalPauses.Store(0)
+	default: // the entry belongs to the next incarnation, which doesn't report its start time
+		p.State = newState(e.ID, v.failedStates)
 	}
 	return p
 }
 
-func same(a, b []*Engine) bool {
+// sameEngines reports whether both slices hold the same pointers in the same order.
+func sameEngines(a, b []*Engine) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -72,24 +74,24 @@
 	return true
 }
 
-// index finds engines by id and address. Of two at one address the last counts, as in the
-// list.
+// index builds the lookup by ID and by address. If two engines have the same address,
+// the last one wins, as in the list.
 func (v *View) index(engines []citronmodel.Engine, prev *View) {
 	if v.patchIndex(engines, prev) {
 		return
 	}
 	v.byID = make(map[string]*Engine, len(engines))
 	v.byAddr = make(map[string]*Engine, len(engines))
-	at := map[string]int{}
+	next := map[string]int{}
 	for _, e := range engines {
-		p := v.ByService[e.Service][at[e.Service]]
-		at[e.Service]++
+		p := v.ByService[e.Service][next[e.Service]]
+		next[e.Service]++
 		v.byID[e.ID], v.byAddr[e.Addr] = p, p
 	}
 }
 
-// patchIndex takes over the index of a view that has the same engines at the same
-// addresses, and reports whether it does.
+// patchIndex reuses the index of prev if both views have the same engines at the same
+// addresses. It reports whether it could.
 func (v *View) patchIndex(engines []citronmodel.Engine, prev *View) bool {
 	if len(engines) != len(prev.byID) {
 		return false
@@ -123,9 +125,9 @@
 	return true
 }
 
-// countCopies sets how often the layers of each engine are held in its zone. An engine of
-// an earlier view is not changed but replaced.
-func countCopies(engines []*Engine) {
+// countReplicas sets Copies of each engine. It copies an Engine before it changes it,
+// as earlier views may share it.
+func countReplicas(engines []*Engine) {
 	held := map[string][]int{}
 	for _, e := range engines {
 		if e.Leaving || e.Layers.Empty() || e.Layers.From < 0 {
@@ -141,16 +143,17 @@
 		held[e.Zone] = layers
 	}
 	for i, e := range engines {
-		if copies := copiesOf(e, held[e.Zone]); copies != e.Copies {
+		if replicas := averageReplicas(e, held[e.Zone]); replicas != e.Copies {
 			next := *e
-			next.Copies = copies
+			next.Copies = replicas
 			engines[i] = &next
 		}
 	}
 }
 
-// copiesOf is how many engines hold an engine's layers, on average.
-func copiesOf(e *Engine, held []int) float64 {
+// averageReplicas returns the average number of engines that hold each of the engine's
+// layers, at least 1. The slice held is indexed by layer.
+func averageReplicas(e *Engine, held []int) float64 {
 	sum, n := 0, e.Layers.Len()
 	for l := max(0, e.Layers.From); l < min(e.Layers.To, len(held)); l++ {
 		sum += held[l]
@@ -161,40 +164,40 @@
 	return max(1, float64(sum)/float64(n))
 }
 
-// troubles holds the states of engines that were found dead or have started anew, by id.
-// It outlives the views.
-type troubles struct{ states sync.Map }
+// failedStates holds the states of engines that were found dead or have restarted, by
+// ID. All views share one instance.
+type failedStates struct{ states sync.Map }
 
-func (t *troubles) note(s *State) {
-	if t != nil {
-		t.states.Store(s.id, s)
+func (f *failedStates) add(s *State) {
+	if f != nil {
+		f.states.Store(s.id, s)
 	}
 }
 
-// all calls f for the engines of a view that are in trouble, and forgets those that are
-// not, or have gone.
-func (t *troubles) all(v *View, f func(*Engine)) {
-	t.states.Range(func(key, value any) bool {
+// forEach calls visit for each engine of the view that is dead or restarted. It removes
+// the states of engines that have recovered or are no longer in the view.
+func (f *failedStates) forEach(v *View, visit func(*Engine)) {
+	f.states.Range(func(key, value any) bool {
 		s := value.(*State)
 		e := v.byID[key.(string)]
-		if e != nil && e.State == s && s.inTrouble() {
-			f(e)
+		if e != nil && e.State == s && s.deadOrRestarted() {
+			visit(e)
 			return true
 		}
-		t.states.CompareAndDelete(key, value)
-		if s.inTrouble() && e != nil && e.State == s {
-			t.note(s) // it was found dead in between
+		f.states.CompareAndDelete(key, value)
+		if s.deadOrRestarted() && e != nil && e.State == s {
+			f.add(s) // it was found dead between the check and the removal
 		}
 		return true
 	})
 }
 
-func (s *State) inTrouble() bool { return s.deadSince.Load() != 0 || s.laterStart.Load() != 0 }
+func (s *State) deadOrRestarted() bool { return s.deadSince.Load() != 0 || s.restartedAt.Load() != 0 }
 
-// Dead returns the ids of engines that were found dead after a moment.
+// Dead returns the IDs of engines that were found dead after the given time.
 func (v *View) Dead(after time.Time) []string {
 	var out []string
-	v.troubles.all(v, func(e *Engine) {
+	v.failedStates.forEach(v, func(e *Engine) {
 		if e.DeadSince().After(after) {
 			out = append(out, e.ID)
 		}
@@ -202,10 +205,10 @@
 	return out
 }
 
-// StartedAnew returns the engines that are known to have started anew.
+// StartedAnew returns the engines of the view that are known to have restarted.
 func (v *View) StartedAnew() []*Engine {
 	var out []*Engine
-	v.troubles.all(v, func(e *Engine) {
+	v.failedStates.forEach(v, func(e *Engine) {
 		if e.LaterStart() > 0 {
 			out = append(out, e)
 		}
@@ -213,16 +216,16 @@
 	return out
 }
 
-// Has reports whether an engine with an id is in the view.
+// Has reports whether the view contains an engine with the given ID.
 func (v *View) Has(id string) bool { return v.byID[id] != nil }
 
-// ByAddr returns the engine at an address.
+// ByAddr returns the engine at the given address.
 func (v *View) ByAddr(addr string) (*Engine, bool) {
 	e, ok := v.byAddr[addr]
 	return e, ok
 }
 
-// ByID returns the engine with an id.
+// ByID returns the engine with the given ID.
 func (v *View) ByID(id string) (*Engine, bool) {
 	e, ok := v.byID[id]
 	return e, ok
--- a/citronpool/view_test.go
+++ b/citronpool/view_test.go
@@ -12,14 +12,14 @@
 	"pgregory.net/rapid"
 )
 
-// content is what a view says of its engines.
-func content(v *citronpool.View, addrs, ids []string) string {
+// dump returns everything a view exposes about its engines as text.
+func dump(v *citronpool.View, addrs, ids []string) string {
 	out := ""
 	for _, name := range []string{"a", "b"} {
 		for _, e := range v.ByService[name] {
-			out += fmt.Sprintf("%+v copies %.2f\n", e.Engine, e.Copies)
+			out += fmt.Sprintf("%+v replicas %.2f\n", e.Engine, e.Copies)
 			if found, ok := v.ByID(e.ID); !ok || found != e {
-				out += "not found by its id\n"
+				out += "not found by its ID\n"
 			}
 		}
 	}
@@ -35,9 +35,10 @@
 	return out
 }
 
-// Guards against requests that are sent by what the list said before a change, and
-// against engines whose counts are lost by one.
-func TestSharedViewEqualsOneBuiltAnew(t *testing.T) {
+// TestSharedViewEqualsRebuiltView checks that a view that shares parts with the previous
+// one equals a view built from scratch. Otherwise requests are routed by outdated entries,
+// or an engine loses its counters when the list changes.
+func TestSharedViewEqualsRebuiltView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		addrs := []string{"x:1", "x:2", "x:3", "x:4"}
 		var ids []string
@@ -67,19 +68,19 @@
 			slices.SortFunc(engines, func(a, b citronmodel.Engine) int { return int(a.ID[1]) - int(b.ID[1]) })
 			before := ""
 			if v != nil {
-				before = content(v, addrs, ids)
+				before = dump(v, addrs, ids)
 			}
 			next := citronpool.Build(engines, v)
-			if v != nil && content(v, addrs, ids) != before {
-				t.Fatal("the view that readers have has changed")
+			if v != nil && dump(v, addrs, ids) != before {
+				t.Fatal("Build changed the previous view, which readers may still use")
 			}
-			if got, want := content(next, addrs, ids), content(citronpool.Build(engines, nil), addrs, ids); got != want {
-				t.Fatalf("shared\n%s\nbuilt anew\n%s", got, want)
+			if got, want := dump(next, addrs, ids), dump(citronpool.Build(engines, nil), addrs, ids); got != want {
+				t.Fatalf("shared view\n%s\nrebuilt view\n%s", got, want)
 			}
 			v = next
 			for id, n := range inflight {
 				if e, ok := v.ByID(id); ok && e.Inflight() != n {
-					t.Fatalf("%s has %d requests, counted %d", id, n, e.Inflight())
+					t.Fatalf("engine %s: want %d requests in flight, got %d", id, n, e.Inflight())
 				}
 			}
 			if e, ok := v.ByID(id); ok {
@@ -90,8 +91,9 @@
 	})
 }
 
-// Guards against engines in trouble that nobody is told of, or for ever.
-func TestEnginesInTroubleAreFound(t *testing.T) {
+// TestViewReportsDeadAndRestartedEngines guards against dead or restarted engines that the
+// view doesn't report, or still reports after they have recovered or left the list.
+func TestViewReportsDeadAndRestartedEngines(t *testing.T) {
 	is := is.New(t)
 	engines := []citronmodel.Engine{{ID: "i1", Addr: "x:1"}, {ID: "i2", Addr: "x:2"}, {ID: "i3", Addr: "x:3"}}
 	v := citronpool.Build(engines, nil)
@@ -107,7 +109,7 @@
 	is.Equal(len(v.Dead(now.Add(time.Second))), 0)
 	one.Answered(now, now.Add(time.Millisecond))
 	is.Equal(v.Dead(now.Add(-time.Second)), []string{"i2"})
-	one.Dead(now) // once more, after it was forgotten
+	one.Dead(now) // again, after it was removed from the failed states
 	is.Equal(len(v.Dead(now.Add(-time.Second))), 2)
 	v = citronpool.Build(engines[:1], v)
 	is.Equal(v.Dead(now.Add(-time.Second)), []string{"i1"})
