--- a/citronplacer/board.go
+++ b/citronplacer/board.go
@@ -8,128 +8,127 @@
 	"github.com/cockroachdb/errors"
 )
 
-// board is what each engine is wanted to hold until it holds it.
+// targetSet holds the target layer range of each engine that doesn't hold it yet,
+// by engine ID.
 //
-// The load it answers: several engines of a zone die or leave within
-// seconds at the peak, and while their layers are being placed an engine
-// refuses an order because it still carries out the one before. If the
-// refused goal were forgotten, its layers would look like a new hole and the
-// zone would be divided anew around it, again and again, while half of the
-// last division is still loading: a zone was out of use for seven seconds.
-// So a goal stays until the engine holds it, is gone, or gets another one.
-type board map[string]*goal
+// At peak load, several engines of a zone may fail or leave within seconds. While
+// their layers are being placed, an engine refuses an order because it still executes
+// the previous one. If the refused target were dropped, its layers would look like a
+// new gap, and the whole zone would be repartitioned repeatedly while half of the
+// previous partition is still loading. This made a zone unavailable for seven seconds.
+// Therefore a target stays until the engine holds it, is gone, or gets another target.
+type targetSet map[string]*target
 
-// goal is what an engine is wanted to hold.
-type goal struct {
+// target is the layer range that an engine is to hold.
+type target struct {
 	order citronplace.Order
-	// calling: an order is on its way to the engine.
+	// calling is set while an order is being sent to the engine.
 	calling bool
-	// refused counts the orders in a row that the engine did not take
-	// although it was not busy.
-	refused int
-	// next is when the engine is to be asked or told again.
-	next time.Time
+	// refusals counts the consecutive orders that the engine refused although
+	// it wasn't busy.
+	refusals int
+	// nextAttempt is when the order is to be sent again.
+	nextAttempt time.Time
 }
 
 const (
-	// orderAgain is how long an engine that did not take an order is left
-	// alone: another order may be under way there, which takes about a
-	// fifth of a second for each layer.
-	orderAgain = 300 * time.Millisecond
-	// mostRefused is how many orders an engine may refuse before its layers
-	// are given to others: a hole must not wait for an engine that fails.
-	// Reports lag behind by a fifth of a second, so that a sound engine
-	// refuses one or two.
-	mostRefused = 8
-	// orderLife is how long an order that an engine accepted is trusted to
-	// be under way: it may wait for running requests, which last some
-	// seconds, before it loads. After that the engine is asked again.
-	orderLife = 8 * time.Second
+	// orderRetryDelay is the wait after an engine refused an order. It may be
+	// executing another one, which takes about 200 ms per layer.
+	orderRetryDelay = 300 * time.Millisecond
+	// maxRefusals is how many orders an engine may refuse before its layers
+	// are given to others, so that a gap doesn't wait for a failing engine.
+	// Reports lag by 200 ms, so a healthy engine refuses one or two orders.
+	maxRefusals = 8
+	// acceptedOrderTimeout is how long an accepted order is assumed to be in
+	// progress. Before it loads, an engine may wait for running requests,
+	// which last some seconds. After the timeout the engine is asked again.
+	acceptedOrderTimeout = 8 * time.Second
 )
 
-// place returns the engines as placement sees them and forgets goals that
-// are reached.
-func (b board) place(engines []citronmodel.Engine) []citronplace.Engine {
+// withTargets returns the engines with their targets, as placement needs them, and
+// drops targets that have been reached.
+func (ts targetSet) withTargets(engines []citronmodel.Engine) []citronplace.Engine {
 	out := make([]citronplace.Engine, len(engines))
 	for i, e := range engines {
 		out[i] = citronplace.Engine{Engine: e, Goal: e.Layers}
-		g := b[e.ID]
-		if g == nil {
+		t := ts[e.ID]
+		if t == nil {
 			continue
 		}
-		if !g.calling && g.order.Span == e.Layers {
-			delete(b, e.ID)
+		if !t.calling && t.order.Span == e.Layers {
+			delete(ts, e.ID)
 			continue
 		}
-		out[i].Goal = g.order.Span
+		out[i].Goal = t.order.Span
 	}
 	return out
 }
 
-// keep forgets the goals of engines that are gone.
-func (b board) keep(engines []citronmodel.Engine) {
+// retainListed drops the targets of engines that are no longer listed.
+func (ts targetSet) retainListed(engines []citronmodel.Engine) {
 	listed := map[string]bool{}
 	for _, e := range engines {
 		listed[e.ID] = true
 	}
-	for id := range b {
+	for id := range ts {
 		if !listed[id] {
-			delete(b, id)
+			delete(ts, id)
 		}
 	}
 }
 
-// set gives an engine a new goal, and reports whether it differs.
-func (b board) set(e citronplace.Engine, o citronplace.Order, now time.Time) bool {
+// assign gives an engine a new target and reports whether it differs from the current
+// one.
+func (ts targetSet) assign(e citronplace.Engine, o citronplace.Order, now time.Time) bool {
 	if e.Goal == o.Span {
 		return false
 	}
-	calling := b[e.ID] != nil && b[e.ID].calling
-	b[e.ID] = &goal{order: o, calling: calling, next: now}
+	calling := ts[e.ID] != nil && ts[e.ID].calling
+	ts[e.ID] = &target{order: o, calling: calling, nextAttempt: now}
 	return true
 }
 
-// due returns the ids of engines to which an order is to be sent now.
-func (b board) due(now time.Time) []string {
+// due returns the IDs of engines to which an order is to be sent now.
+func (ts targetSet) due(now time.Time) []string {
 	var out []string
-	for id, g := range b {
-		if !g.calling && !now.Before(g.next) {
+	for id, t := range ts {
+		if !t.calling && !now.Before(t.nextAttempt) {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// calls is how many engines are being spoken to.
-func (b board) calls() int {
+// callsInFlight returns the number of engines to which an order is being sent.
+func (ts targetSet) callsInFlight() int {
 	n := 0
-	for _, g := range b {
-		if g.calling {
+	for _, t := range ts {
+		if t.calling {
 			n++
 		}
 	}
 	return n
 }
 
-// ended notes what became of an order, and reports whether the engine is to
-// be left out because it takes none.
-func (b board) ended(id string, o citronplace.Order, err error, now time.Time) bool {
-	g := b[id]
-	if g == nil {
+// recordResult records the result of sending an order. It reports whether the engine
+// has refused too many orders and is to be excluded from placement.
+func (ts targetSet) recordResult(id string, o citronplace.Order, err error, now time.Time) bool {
+	t := ts[id]
+	if t == nil {
 		return false
 	}
-	g.calling = false
+	t.calling = false
 	switch {
-	case g.order != o: // another goal was set meanwhile
-		g.next = now
+	case t.order != o: // the target has changed while the order was being sent
+		t.nextAttempt = now
 	case err == nil:
-		g.refused = 0
-		g.next = now.Add(orderLife)
+		t.refusals = 0
+		t.nextAttempt = now.Add(acceptedOrderTimeout)
 	default:
-		g.next = now.Add(orderAgain)
+		t.nextAttempt = now.Add(orderRetryDelay)
 		if !errors.Is(err, errBusy) {
-			g.refused++
+			t.refusals++
 		}
 	}
-	return g.refused >= mostRefused
+	return t.refusals >= maxRefusals
 }
--- a/citronplacer/board_test.go
+++ b/citronplacer/board_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// zoneSpec is an 80-layer model on three kinds of accelerators.
+// zoneSpec describes an 80-layer model on three kinds of accelerators.
 var zoneSpec = citronmodel.Spec{
 	Layers: 80, LayerMB: 1750, TokenBytes: 590_000, StepMS: 1.02, PerSeqMS: 0.0046, ContextMSPerK: 0.0062, ReadPerS: 164_000, Slots: 192,
 	Kinds: map[string]citronmodel.Kind{
@@ -22,44 +22,45 @@
 }
 
 const (
-	// simStep is the time between two decisions, loadLayer what an engine
-	// takes to load one layer.
-	simStep   = 100 * time.Millisecond
-	loadLayer = 175 * time.Millisecond
-	// streamsEnd is how long the requests take that pass through layers
-	// which an engine gives up, if they are not cut off.
-	streamsEnd = 8 * time.Second
-	// listLag is how many steps the leader's list is behind.
+	// simStep is the time between two decisions. layerLoadTime is the time an
+	// engine takes to load one layer.
+	simStep       = 100 * time.Millisecond
+	layerLoadTime = 175 * time.Millisecond
+	// streamDrainTime is the time until the requests end that run through
+	// layers an engine gives up, unless they are cut off.
+	streamDrainTime = 8 * time.Second
+	// listLag is how many steps the leader's list lags behind.
 	listLag = 4
 )
 
-// simEngine carries out orders as an engine does: layers that it gives up
-// are gone at once, new ones are there after the load, and until then it
-// takes no other order.
+// simEngine simulates how an engine executes orders. It drops layers at once,
+// holds new layers after loading them and refuses other orders until then.
 type simEngine struct {
 	citronmodel.Engine
 	target citronmodel.Span
-	done   time.Time
+	// done is when the engine holds target or, for a leaving engine, when it
+	// stops serving.
+	done time.Time
 }
 
-// simZone is a zone of engines with a leader that places their layers.
+// simZone simulates a zone of engines and a leader that places their layers.
 type simZone struct {
 	now     time.Time
 	engines []*simEngine
-	// leaving engines serve on until their done.
+	// leaving engines continue to serve until their done time.
 	leaving []*simEngine
 	joined  map[string]time.Time
-	goals   board
+	targets targetSet
 	orders  int
-	// lists are the engines' entries of the last steps: news of an engine
-	// reaches the leader some hundred milliseconds late.
+	// lists holds the engines' entries of the last steps: updates of an engine
+	// reach the leader some hundred milliseconds late.
 	lists [listLag][]citronmodel.Engine
-	// layers is how many layers have been loaded.
-	layers int
+	// layersLoaded counts the layers that engines have loaded.
+	layersLoaded int
 }
 
 func newSimZone(t *testing.T, large, small, slow int) *simZone {
-	z := &simZone{now: time.Unix(0, 0), goals: board{}, joined: map[string]time.Time{}}
+	z := &simZone{now: time.Unix(0, 0), targets: targetSet{}, joined: map[string]time.Time{}}
 	for _, k := range []struct {
 		kind  string
 		count int
@@ -70,9 +71,9 @@
 			z.engines = append(z.engines, &simEngine{Engine: citronmodel.Engine{ID: id, Zone: "z", Kind: kind, Addr: id}})
 		}
 	}
-	z.runUntil(t, 60*time.Second, z.whole)
+	z.runUntil(t, 60*time.Second, z.hasAllLayers)
 	z.run(20 * time.Second)
-	z.orders, z.layers = 0, 0
+	z.orders, z.layersLoaded = 0, 0
 	return z
 }
 
@@ -84,7 +85,8 @@
 	return out
 }
 
-// seen is what the leader sees of the engines that it does not know dead.
+// seen returns the entries that the leader sees: those of listLag steps ago. Removed
+// engines are missing at once, and engines that joined since have their current entry.
 func (z *simZone) seen() []citronmodel.Engine {
 	copy(z.lists[:], z.lists[1:])
 	z.lists[listLag-1] = z.list()
@@ -109,10 +111,10 @@
 		}
 	}
 	seen := z.seen()
-	z.goals.keep(seen)
-	engines := z.goals.place(seen)
+	z.targets.retainListed(seen)
+	engines := z.targets.withTargets(seen)
 	for i, e := range engines {
-		engines[i].Fresh = z.now.Sub(z.joined[e.ID]) < freshFor
+		engines[i].Fresh = z.now.Sub(z.joined[e.ID]) < freshPeriod
 	}
 	served := map[string][]citronmodel.Span{}
 	for _, e := range z.leaving {
@@ -123,35 +125,36 @@
 	for id, o := range citronplace.Decide(zoneSpec, engines, served) {
 		for _, e := range engines {
 			if e.ID == id {
-				z.goals.set(e, o, z.now)
+				z.targets.assign(e, o, z.now)
 			}
 		}
 	}
-	for _, id := range z.goals.due(z.now) {
+	for _, id := range z.targets.due(z.now) {
 		for _, e := range z.engines {
 			if e.ID == id {
-				o := z.goals[id].order
-				z.goals.ended(id, o, z.take(e, o), z.now)
+				o := z.targets[id].order
+				z.targets.recordResult(id, o, z.acceptOrder(e, o), z.now)
 			}
 		}
 	}
 }
 
-func (z *simZone) take(e *simEngine, o citronplace.Order) error {
+// acceptOrder starts to execute an order, or returns errBusy while the engine executes another.
+func (z *simZone) acceptOrder(e *simEngine, o citronplace.Order) error {
 	if !e.done.IsZero() {
 		return errBusy
 	}
 	z.orders++
-	kept := citronmodel.Span{From: max(e.Layers.From, o.From), To: min(e.Layers.To, o.To)}
-	if kept.Empty() {
-		kept = citronmodel.Span{}
+	retained := citronmodel.Span{From: max(e.Layers.From, o.From), To: min(e.Layers.To, o.To)}
+	if retained.Empty() {
+		retained = citronmodel.Span{}
 	}
-	z.layers += o.Len() - kept.Len()
-	e.done = z.now.Add(loadLayer * time.Duration(o.Len()-kept.Len()))
-	if kept.Len() < e.Layers.Len() && !o.Cut {
-		e.done = e.done.Add(streamsEnd)
+	z.layersLoaded += o.Len() - retained.Len()
+	e.done = z.now.Add(layerLoadTime * time.Duration(o.Len()-retained.Len()))
+	if retained.Len() < e.Layers.Len() && !o.Cut {
+		e.done = e.done.Add(streamDrainTime)
 	}
-	e.Layers, e.target = kept, o.Span
+	e.Layers, e.target = retained, o.Span
 	return nil
 }
 
@@ -166,15 +169,15 @@
 	begin := z.now
 	for !ok() {
 		if z.now.Sub(begin) > d {
-			t.Fatalf("not within %v: %+v", d, z.list())
+			t.Fatalf("zone lacks layers after %v: engines %+v", d, z.list())
 		}
 		z.step()
 	}
 	return z.now.Sub(begin)
 }
 
-// whole reports whether every layer can be run.
-func (z *simZone) whole() bool {
+// hasAllLayers reports whether every layer is held by an engine that serves.
+func (z *simZone) hasAllLayers() bool {
 	held := make([]bool, zoneSpec.Layers)
 	for _, e := range z.engines {
 		for l := e.Layers.From; l < e.Layers.To; l++ {
@@ -194,7 +197,7 @@
 	return true
 }
 
-// lose removes the engine that holds a layer.
+// lose removes the first engine that holds the given layer.
 func (z *simZone) lose(layer int) {
 	for i, e := range z.engines {
 		if e.Layers.From <= layer && layer < e.Layers.To {
@@ -204,12 +207,12 @@
 	}
 }
 
-// At the peak a zone loses three engines, 400 ms apart, each time while the
-// engines that are to fill the last hole still load and refuse other orders.
-// Callers of that zone are refused until it is whole. The engines that are
-// not beside a hole must keep what they have, so that this takes about as
-// long as the last repair alone.
-func TestLossesInSeriesAreRepairedOneByOne(t *testing.T) {
+// TestSuccessiveLossesAreRepairedSeparately simulates a zone that loses two or
+// three engines 400 ms apart at peak load. Each loss comes while the engines that
+// fill the previous gap are still loading and refuse other orders. The zone rejects
+// callers until it holds all layers. Engines that aren't adjacent to a gap must keep
+// their layers, so that all repairs take about as long as the last one alone.
+func TestSuccessiveLossesAreRepairedSeparately(t *testing.T) {
 	for _, order := range [][]int{{22, 35}, {35, 22}, {15, 40}, {8, 50}, {70, 22}, {22, 70}, {22, 30, 35}} {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
 			is := is.New(t)
@@ -218,17 +221,16 @@
 				z.lose(layer)
 				z.run(4 * simStep)
 			}
-			took := z.runUntil(t, 30*time.Second, z.whole)
-			t.Logf("whole after %v, %d orders, %d layers loaded", took, z.orders, z.layers)
-			is.True(took <= 2*time.Second) // the zone carries nobody meanwhile
-			is.True(z.layers <= zoneSpec.Layers)
+			took := z.runUntil(t, 30*time.Second, z.hasAllLayers)
+			t.Logf("complete after %v, %d orders, %d layers loaded", took, z.orders, z.layersLoaded)
+			is.True(took <= 2*time.Second) // the zone rejects all callers until then
+			is.True(z.layersLoaded <= zoneSpec.Layers)
 		})
 	}
 }
 
-// replace starts a new engine and, a second later, has the one that holds a
-// layer leave, which serves on for two seconds and a half. It returns the
-// kind.
+// replace starts a new engine of the same kind as the last one that holds the given
+// layer. A second later the old engine leaves.
 func (z *simZone) replace(id string, layer int) {
 	var old *simEngine
 	for _, e := range z.engines {
@@ -242,17 +244,19 @@
 	z.leave(old)
 }
 
+// leave removes an engine from the list. It continues to serve for 2.5 seconds.
 func (z *simZone) leave(old *simEngine) {
 	z.engines = slices.DeleteFunc(z.engines, func(e *simEngine) bool { return e == old })
 	old.done = z.now.Add(2500 * time.Millisecond)
 	z.leaving = append(z.leaving, old)
 }
 
-// A release at the peak: engines are replaced one after the other, each new
-// one a second before the old one says that it leaves. Callers see nothing
-// if each new engine takes the layers of the old one: what the others hold
-// stays, and no layer is missing for longer than one load.
-func TestReleaseMovesNobodyElse(t *testing.T) {
+// TestReleaseMovesOnlyReplacedLayers simulates a release at peak load: engines are
+// replaced one after the other, and each new engine starts a second before the old one
+// announces that it leaves. Callers don't notice if each new engine takes over the
+// layers of the old one: the other engines keep theirs, and no layer is missing for
+// longer than one load.
+func TestReleaseMovesOnlyReplacedLayers(t *testing.T) {
 	is := is.New(t)
 	z := newSimZone(t, 1, 6, 6)
 	replaced := 0
@@ -269,13 +273,13 @@
 	}
 	for range 80 {
 		z.run(simStep)
-		if !z.whole() {
+		if !z.hasAllLayers() {
 			missing += simStep
 		}
 	}
-	t.Logf("%d orders, %d layers loaded, %v with a hole", z.orders, z.layers, missing)
-	is.Equal(z.layers, replaced)              // nothing else was moved
-	is.True(missing <= 1600*time.Millisecond) // the large engine loads for 3.9 s and is served on for 2.5 s
+	t.Logf("%d orders, %d layers loaded, %v with a gap", z.orders, z.layersLoaded, missing)
+	is.Equal(z.layersLoaded, replaced)        // no other layers were moved
+	is.True(missing <= 1600*time.Millisecond) // the large engine loads for 3.9 s, the old one serves for 2.5 s of it
 	for _, e := range before {
 		for _, now := range z.engines {
 			if now.ID == e.ID {
@@ -285,12 +289,13 @@
 	}
 }
 
-// Engines are taken away at the peak and nothing comes in their place. Each
-// says so and serves on for two and a half seconds. A spare that repeats the
-// first layers would have to wait for the requests that run through it before
-// it could load those of the leaving engine, and callers of the zone would be
-// refused meanwhile. The engines beside it take its layers in instead.
-func TestLeavingEnginesLeaveNoHole(t *testing.T) {
+// TestLeavingEnginesLeaveNoGap simulates engines that are removed at peak load without
+// a replacement. Each announces that it leaves and serves for another 2.5 seconds. A
+// spare engine that duplicates the first layers would have to wait for its running
+// requests before it could load the layers of the leaving engine, and the zone would
+// reject callers during that time. Instead the adjacent engines must take over the
+// layers.
+func TestLeavingEnginesLeaveNoGap(t *testing.T) {
 	for _, layers := range [][]int{{40}, {8}, {50, 20}, {25, 45}} {
 		t.Run(fmt.Sprint(layers), func(t *testing.T) {
 			is := is.New(t)
@@ -305,7 +310,7 @@
 				z.run(4 * time.Second)
 			}
 			for range 100 {
-				is.True(z.whole()) // a hole while the engine still served, or after
+				is.True(z.hasAllLayers()) // no gap while the leaving engine still serves, nor later
 				z.step()
 			}
 		})
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -1,7 +1,10 @@
-// Package citronplacer carries out placement: it compares what engines hold
-// with what they should hold (citronplace) and gives orders for the
-// difference. It keeps no plan: each round starts from the engines' own
-// entries, so a new leader goes on where the old one stopped.
+// Package citronplacer executes placement: it compares the layers that engines hold
+// with those they should hold (citronplace) and sends orders for the difference. An
+// order tells an engine which layer range to hold; that range is the engine's target.
+// A gap is a range of layers that no engine of a zone holds.
+//
+// The placer stores no plan. Each round starts from the engines' own entries, so a new
+// leader continues where the previous one stopped.
 package citronplacer
 
 import (
@@ -22,23 +25,25 @@
 )
 
 const (
-	placeEvery = 100 * time.Millisecond
-	// listQuiet is how long the list of engines must not have grown before
-	// a model is placed for the first time: engines register one after the
-	// other, and a plan for half of them would leave those no cache.
-	listQuiet = 1200 * time.Millisecond
+	placeInterval = 100 * time.Millisecond
+	// listStablePeriod is how long the size of the list of engines must stay
+	// the same before a model is placed for the first time. Engines register
+	// one after the other, and a plan for half of them would leave those no
+	// cache.
+	listStablePeriod = 1200 * time.Millisecond
 )
 
-// State is what placement is decided by. It is immutable.
+// State is the immutable input of placement decisions.
 type State struct {
 	Services map[string]citrontable.Service
 	Engines  []citronmodel.Engine
 	View     *citronpool.View
-	// Whole: no entries are missing from Engines that may come back.
+	// Whole is set if Engines is complete: it lacks no entry that may return.
 	Whole bool
-	// Dead is how many nodes have just found an engine dead, by its id.
+	// Dead is the number of nodes that have recently found an engine dead, by
+	// engine ID.
 	Dead map[string]int
-	// Goals are what the leader before wanted engines to hold, by their id.
+	// Goals holds the previous leader's target layer ranges by engine ID.
 	Goals map[string]citronmodel.Span
 }
 
@@ -47,48 +52,51 @@
 	Orders citronplace.Orders
 	Clock  citronclock.Clock
 	Log    *slog.Logger
-	// Current returns the newest state, nil before the first.
+	// Current returns the latest state, or nil before there is one.
 	Current func() *State
 
 	mu sync.Mutex
-	// goals are what engines are wanted to hold and do not hold yet.
-	goals board
-	// dead are engines that did not answer this node's own question, or
-	// that several nodes found dead; checked is when one was last asked.
-	dead, checked map[string]time.Time
-	// doubts is when an engine that only one node misses did not answer.
-	doubts map[string]time.Time
+	// targets are the layer ranges that engines are to hold but don't hold
+	// yet.
+	targets targetSet
+	// dead is when an engine was found dead: it failed the leader's own check
+	// or refused too many orders. lastChecked is when an engine was last
+	// checked.
+	dead, lastChecked map[string]time.Time
+	// missed is when an engine reported by only one node last failed to
+	// answer a check.
+	missed map[string]time.Time
 	// joined is when an engine was first listed.
 	joined map[string]time.Time
-	// touched: something that placement depends on has changed since the
-	// last decision; decidedFor is the list that it was made for.
-	touched    bool
-	decidedFor []citronmodel.Engine
-	decidedAt  time.Time
-	// count and since tell how long the list has had its size.
-	count int
-	since time.Time
+	// dirty is set if an input of placement has changed since the last
+	// decision. decidedEngines is the list on which that decision was based.
+	dirty          bool
+	decidedEngines []citronmodel.Engine
+	decidedAt      time.Time
+	// listSize is the size of the list, unchanged since listSizeSince.
+	listSize      int
+	listSizeSince time.Time
 }
 
-// Run places layers until ctx ends.
+// Run places layers until ctx is done.
 func (p *Placer) Run(ctx context.Context) {
-	p.begin(p.inherit())
+	p.startTerm(p.inheritTargets())
 	var orders sync.WaitGroup
 	defer orders.Wait()
 	for ctx.Err() == nil {
 		p.round(ctx, &orders)
-		_ = p.Clock.Sleep(ctx, placeEvery)
+		_ = p.Clock.Sleep(ctx, placeInterval)
 	}
 }
 
-// begin sets what a term starts from. The node that leads asks for the goals from
-// another goroutine as soon as it leads.
-func (p *Placer) begin(goals board) {
+// startTerm sets the initial state of a term. It holds the lock because the leading
+// node calls Goals from another goroutine as soon as it leads.
+func (p *Placer) startTerm(targets targetSet) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.goals = goals
-	p.dead, p.checked, p.doubts, p.joined = map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}
-	p.since = p.Clock.Now()
+	p.targets = targets
+	p.dead, p.lastChecked, p.missed, p.joined = map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}
+	p.listSizeSince = p.Clock.Now()
 }
 
 func (p *Placer) round(ctx context.Context, orders *sync.WaitGroup) {
@@ -97,37 +105,37 @@
 		return
 	}
 	now := p.Clock.Now()
-	if len(s.Engines) != p.count {
-		p.count, p.since = len(s.Engines), now
+	if len(s.Engines) != p.listSize {
+		p.listSize, p.listSizeSince = len(s.Engines), now
 	}
-	p.check(ctx, s, now)
-	if p.toDecide(s, now) {
+	p.checkReportedDead(ctx, s, now)
+	if p.shouldDecide(s, now) {
 		p.decide(ctx, s, now)
 	}
-	p.send(ctx, orders, s, now)
+	p.sendDueOrders(ctx, orders, s, now)
 }
 
-// decideEvery is how often a decision is made although nothing has changed:
-// engines stop being fresh, and those found dead may be back.
-const decideEvery = time.Second
+// decideInterval is the maximum time between decisions if nothing changes: engines
+// stop being fresh, and the exclusion of dead engines ends.
+const decideInterval = time.Second
 
-// toDecide reports whether there is a reason to decide. A decision about some
-// thousand engines, made in each round, would take most of a leader's time.
-func (p *Placer) toDecide(s *State, now time.Time) bool {
+// shouldDecide reports whether a decision is due. A decision for several thousand
+// engines in each round would take most of a leader's processor time.
+func (p *Placer) shouldDecide(s *State, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	same := len(s.Engines) == len(p.decidedFor) && (len(s.Engines) == 0 || &s.Engines[0] == &p.decidedFor[0])
-	if same && !p.touched && now.Sub(p.decidedAt) < decideEvery {
+	same := len(s.Engines) == len(p.decidedEngines) && (len(s.Engines) == 0 || &s.Engines[0] == &p.decidedEngines[0])
+	if same && !p.dirty && now.Sub(p.decidedAt) < decideInterval {
 		return false
 	}
-	p.touched, p.decidedFor, p.decidedAt = false, s.Engines, now
+	p.dirty, p.decidedEngines, p.decidedAt = false, s.Engines, now
 	return true
 }
 
-func (p *Placer) touch() {
+func (p *Placer) markDirty() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.touched = true
+	p.dirty = true
 }
 
 func (p *Placer) decide(ctx context.Context, s *State, now time.Time) {
@@ -135,84 +143,84 @@
 		if svc.Model == nil {
 			continue
 		}
-		engines, served := p.placeable(s, svc.Name, now)
-		if !s.Whole || !anyPlaced(engines) && now.Sub(p.since) < listQuiet {
-			p.touch() // it may be time in the next round
+		engines, served := p.placeableEngines(s, svc.Name, now)
+		if !s.Whole || !anyPlaced(engines) && now.Sub(p.listSizeSince) < listStablePeriod {
+			p.markDirty() // the next round tries again
 			continue
 		}
-		p.set(ctx, engines, citronplace.Decide(*svc.Model, engines, served), now)
+		p.assign(ctx, engines, citronplace.Decide(*svc.Model, engines, served), now)
 	}
 }
 
-// inherit takes over the goals of the leader before, as far as that one told
-// of them: what is being loaded already is not planned anew.
-func (p *Placer) inherit() board {
-	goals := board{}
+// inheritTargets returns the targets that the previous leader published, so that layers
+// that are already being loaded aren't planned again.
+func (p *Placer) inheritTargets() targetSet {
+	targets := targetSet{}
 	s := p.Current()
 	if s == nil {
-		return goals
+		return targets
 	}
 	now := p.Clock.Now()
 	for id, span := range s.Goals {
-		goals[id] = &goal{order: citronplace.Order{Span: span}, next: now}
+		targets[id] = &target{order: citronplace.Order{Span: span}, nextAttempt: now}
 	}
-	return goals
+	return targets
 }
 
-// Goals returns what engines are wanted to hold and do not hold yet.
+// Goals returns the target layer ranges that engines don't hold yet, by engine ID.
 func (p *Placer) Goals() map[string]citronmodel.Span {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.goals) == 0 {
+	if len(p.targets) == 0 {
 		return nil
 	}
 	out := map[string]citronmodel.Span{}
-	for id, g := range p.goals {
-		out[id] = g.order.Span
+	for id, t := range p.targets {
+		out[id] = t.order.Span
 	}
 	return out
 }
 
-// set makes a plan's orders the goals of their engines.
-func (p *Placer) set(ctx context.Context, engines []citronplace.Engine, plan citronplace.Plan, now time.Time) {
+// assign makes the orders of a plan the targets of their engines.
+func (p *Placer) assign(ctx context.Context, engines []citronplace.Engine, plan citronplace.Plan, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range engines {
 		o, ok := plan[e.ID]
-		if !ok || !p.goals.set(e, o, now) {
+		if !ok || !p.targets.assign(e, o, now) {
 			continue
 		}
-		p.touched = true
+		p.dirty = true
 		citronevent.Log(ctx, p.Log, citronevent.PlacePlanned, "engine", e.ID, "peer", e.Addr, "kind", e.Kind, "zone", e.Zone, "from", o.From, "to", o.To, "cut", o.Cut, "hadFrom", e.Layers.From, "hadTo", e.Layers.To, "goalFrom", e.Goal.From, "goalTo", e.Goal.To)
 	}
 }
 
-// mostCalls is how many engines are spoken to at once. The first placement of
-// a hundred engines would otherwise open as many connections in one moment,
-// which a small machine does not get through before they time out.
-const mostCalls = 16
+// maxConcurrentCalls limits the engines that are called at once. Otherwise the first
+// placement of a hundred engines would open as many connections at the same time, which
+// time out on a small machine.
+const maxConcurrentCalls = 16
 
-// send gives the orders that are due.
-func (p *Placer) send(ctx context.Context, orders *sync.WaitGroup, s *State, now time.Time) {
+// sendDueOrders sends the orders that are due, each in a goroutine.
+func (p *Placer) sendDueOrders(ctx context.Context, orders *sync.WaitGroup, s *State, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.goals.keep(s.Engines)
+	p.targets.retainListed(s.Engines)
 	if len(p.joined) > 2*len(s.Engines) {
-		p.joined = map[string]time.Time{} // most are gone; the rest is fresh once more
+		p.joined = map[string]time.Time{} // most entries are of removed engines; the remaining engines become fresh again
 	}
-	due := p.goals.due(now)
+	due := p.targets.due(now)
 	for _, e := range s.Engines {
-		if !slices.Contains(due, e.ID) || p.goals.calls() >= mostCalls {
+		if !slices.Contains(due, e.ID) || p.targets.callsInFlight() >= maxConcurrentCalls {
 			continue
 		}
-		g := p.goals[e.ID]
-		g.calling = true
-		o := g.order
+		t := p.targets[e.ID]
+		t.calling = true
+		o := t.order
 		orders.Go(func() {
-			err := p.carryOut(ctx, e, o)
+			err := p.sendOrder(ctx, e, o)
 			p.mu.Lock()
-			p.touched = true
-			if p.goals.ended(e.ID, o, err, p.Clock.Now()) {
+			p.dirty = true
+			if p.targets.recordResult(e.ID, o, err, p.Clock.Now()) {
 				p.dead[e.ID] = p.Clock.Now()
 			}
 			p.mu.Unlock()
@@ -223,9 +231,9 @@
 	}
 }
 
-// placeable returns the engines of a service that may hold layers, and the
-// spans that leaving ones still serve, by zone.
-func (p *Placer) placeable(s *State, service string, now time.Time) ([]citronplace.Engine, map[string][]citronmodel.Span) {
+// placeableEngines returns the engines of a service that may hold layers, and the layer
+// ranges that leaving engines still serve, by zone.
+func (p *Placer) placeableEngines(s *State, service string, now time.Time) ([]citronplace.Engine, map[string][]citronmodel.Span) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []citronmodel.Engine
@@ -234,158 +242,169 @@
 		if e.Service != service || e.Kind == "" {
 			continue
 		}
-		if dead, ok := p.dead[e.ID]; ok && now.Sub(dead) < deadFor {
-			delete(p.goals, e.ID)
+		if dead, ok := p.dead[e.ID]; ok && now.Sub(dead) < deadPeriod {
+			delete(p.targets, e.ID)
 			continue
 		}
 		if seen, ok := s.View.ByID(e.ID); ok && seen.Replaced() {
-			delete(p.goals, e.ID) // what it held is a hole; what is in its place has an entry of its own
+			delete(p.targets, e.ID) // its layers are a gap; the engine now at its address has its own entry
 			continue
 		}
 		if e.Leaving {
-			delete(p.goals, e.ID)
+			delete(p.targets, e.ID)
 			served[e.Zone] = append(served[e.Zone], e.Layers)
 			continue
 		}
 		out = append(out, e)
 	}
-	placed := p.goals.place(out)
+	placed := p.targets.withTargets(out)
 	for i, e := range placed {
 		if _, ok := p.joined[e.ID]; !ok {
 			p.joined[e.ID] = now
 		}
-		placed[i].Fresh = now.Sub(p.joined[e.ID]) < freshFor
+		placed[i].Fresh = now.Sub(p.joined[e.ID]) < freshPeriod
 	}
 	return placed, served
 }
 
-// freshFor is how long a new engine is kept free for one that is about to
-// leave: in a release the old engine says so about a second after its
-// replacement has started.
-const freshFor = 1500 * time.Millisecond
+// freshPeriod is how long a new engine is reserved to replace an engine that is about
+// to leave. During a release the old engine announces that it leaves about a second
+// after its replacement has started.
+const freshPeriod = 1500 * time.Millisecond
 
-// deadFor is how long an engine that did not answer is left out of the
-// placement; an engine that is gone is off the list by then.
-const deadFor = 4 * time.Second
+// deadPeriod is how long a dead engine is excluded from placement. An engine that is
+// gone has left the list by then.
+const deadPeriod = 4 * time.Second
 
 const (
-	// checkAgain is the time between two questions to a suspect engine.
-	checkAgain = 700 * time.Millisecond
-	// checkTimeout is when an engine that does not answer counts as dead.
+	// recheckInterval is the time between two checks of an engine that is
+	// reported dead.
+	recheckInterval = 700 * time.Millisecond
+	// checkTimeout is the time limit after which a check counts as
+	// unanswered.
 	checkTimeout = 350 * time.Millisecond
 )
 
 const (
-	// doubtPause is the time between the two questions that a leader asks an
-	// engine that only one node misses; doubtFor is how long the first counts.
-	doubtPause = 200 * time.Millisecond
-	doubtFor   = 2 * time.Second
+	// secondCheckDelay is the time between the leader's two checks of an
+	// engine that only one node reports dead. missedCheckTTL is how long the
+	// first missed answer counts.
+	secondCheckDelay = 200 * time.Millisecond
+	missedCheckTTL   = 2 * time.Second
 )
 
 const (
-	// sureReports is how many nodes must have found an engine dead for the
-	// leader to wait only sureTimeout for its answer: an engine that has gone
-	// dark does not refuse the question, and while it is waited for its zone
-	// refuses callers. A sound engine answers within a few milliseconds.
-	sureReports = 2
-	sureTimeout = 150 * time.Millisecond
-	// ownStall is how much longer than its time limit a question may take:
-	// if more, this node itself stood still, and the silence proves nothing.
-	ownStall = 50 * time.Millisecond
+	// confirmingReports is how many nodes must have found an engine dead for
+	// the leader to wait only confirmedTimeout for its answer. An engine that
+	// has become unreachable doesn't refuse the connection, and its zone
+	// rejects callers during the wait. A healthy engine answers within a few
+	// milliseconds.
+	confirmingReports = 2
+	confirmedTimeout  = 150 * time.Millisecond
+	// maxOverrun is how much longer than its time limit a check may take. If
+	// it takes longer, this node itself was stalled, and the missing answer
+	// proves nothing.
+	maxOverrun = 50 * time.Millisecond
 )
 
-// check asks the engines that some node has found dead. Their layers are
-// given to others only if they do not answer the leader either, however many
-// nodes say so: nodes that are short of processor time miss answers together.
-// Believed, they would have whole zones divided anew for sound engines.
-func (p *Placer) check(ctx context.Context, s *State, now time.Time) {
-	for id, count := range s.Dead {
+// checkReportedDead checks the engines that some node has found dead. Their layers are
+// given to other engines only if they don't answer the leader either, however many
+// nodes report them: nodes that are short of processor time miss answers at the same
+// time. Trusting their reports would repartition whole zones of healthy engines.
+func (p *Placer) checkReportedDead(ctx context.Context, s *State, now time.Time) {
+	for id, reports := range s.Dead {
 		e, ok := s.View.ByID(id)
-		if !ok || e.Kind == "" || now.Sub(p.checkedAt(id)) < checkAgain {
+		if !ok || e.Kind == "" || now.Sub(p.lastCheckedAt(id)) < recheckInterval {
 			continue
 		}
-		p.mark(p.checked, id, now)
+		p.setTime(p.lastChecked, id, now)
 		limit := checkTimeout
-		if count >= sureReports {
-			limit = sureTimeout
+		if reports >= confirmingReports {
+			limit = confirmedTimeout
 		}
-		go p.ask(ctx, e.Engine, limit, count)
+		go p.checkEngine(ctx, e.Engine, limit, reports)
 	}
 }
 
-// ask has an engine taken for dead if it does not answer in time.
-func (p *Placer) ask(ctx context.Context, e citronmodel.Engine, limit time.Duration, reports int) {
-	asked := p.Clock.Now()
-	within, cancel := context.WithTimeout(ctx, limit)
+// checkEngine asks an engine for its state and marks it dead if it doesn't answer
+// within the limit. If only one node reports it, an unanswered check is repeated once,
+// except when the engine refuses the connection.
+func (p *Placer) checkEngine(ctx context.Context, e citronmodel.Engine, limit time.Duration, reports int) {
+	start := p.Clock.Now()
+	callCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	st, err := p.Orders.State(within, e.Addr)
+	st, err := p.Orders.State(callCtx, e.Addr)
 	now := p.Clock.Now()
 	if ctx.Err() != nil {
 		return
 	}
 	if err == nil {
-		p.startedAnew(e, st, now)
+		p.detectRestart(e, st, now)
 		return
 	}
-	if now.Sub(asked) > limit+ownStall {
-		p.mark(p.checked, e.ID, time.Time{}) // asked again at once
+	if now.Sub(start) > limit+maxOverrun {
+		p.setTime(p.lastChecked, e.ID, time.Time{}) // check again in the next round
 		return
 	}
-	if reports < sureReports && !errors.Is(err, syscall.ECONNREFUSED) && !p.doubted(e.ID, now) {
-		p.mark(p.checked, e.ID, now.Add(doubtPause-checkAgain)) // asked again soon
+	if reports < confirmingReports && !errors.Is(err, syscall.ECONNREFUSED) && !p.missedBefore(e.ID, now) {
+		p.setTime(p.lastChecked, e.ID, now.Add(secondCheckDelay-recheckInterval)) // check again after secondCheckDelay
 		return
 	}
-	p.mark(p.dead, e.ID, now)
+	p.setTime(p.dead, e.ID, now)
 	citronevent.Log(ctx, p.Log, citronevent.EngineDead, "engine", e.ID, "peer", e.Addr, "reports", reports, "err", err)
 }
 
-// startedAnew reports whether an engine's answer is of a later start than the
-// one that the list tells of, and has this node learn of it: what the list says
-// it holds is gone, and its layers are a hole from now on.
-func (p *Placer) startedAnew(e citronmodel.Engine, st citronplace.EngineState, now time.Time) bool {
-	later := e.Born != 0 && st.Born > e.Born
-	forgot := !e.Layers.Empty() && st.Layers.Empty() && st.Accepted == 0 && !st.Busy
-	if !later && !forgot {
+// detectRestart reports whether an engine has restarted since its entry in the list was
+// written. If so, it marks the engine in the node's view: the listed layers are lost and
+// count as a gap from now on. An engine that doesn't report when it started has restarted
+// if it is idle, holds no layers and has accepted no order although the list says that it
+// holds layers.
+func (p *Placer) detectRestart(e citronmodel.Engine, st citronplace.EngineState, now time.Time) bool {
+	startedLater := e.Born != 0 && st.Born > e.Born
+	lostLayers := !e.Layers.Empty() && st.Layers.Empty() && st.Accepted == 0 && !st.Busy
+	if !startedLater && !lostLayers {
 		return false
 	}
 	seen, ok := p.Current().View.ByID(e.ID)
 	switch {
 	case !ok:
-	case later:
+	case startedLater:
 		seen.StartedAnew(st.Born, now)
 	default:
 		seen.Replace(now)
 	}
-	p.touch()
+	p.markDirty()
 	return true
 }
 
-// doubted notes that an engine did not answer, and reports whether it did not
-// the last time either.
+// missedBefore records that an engine didn't answer and reports whether it also missed
+// the previous check within missedCheckTTL.
 //
-// One silence proves nothing where nobody else complains: a leader short of
-// processor time misses answers, and then those of many engines at once, each of
-// which would have its zone divided anew. An engine that refuses connections, or
-// that several nodes miss, is believed dead at once.
-func (p *Placer) doubted(id string, now time.Time) bool {
+// One missing answer proves nothing if no other node reports the engine. A leader short
+// of processor time misses the answers of many engines at once, and each of them would
+// cause its zone to be repartitioned. An engine that refuses connections, or that several
+// nodes report, is considered dead at once.
+func (p *Placer) missedBefore(id string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	last, ok := p.doubts[id]
-	p.doubts[id] = now
-	return ok && now.Sub(last) < doubtFor
+	last, ok := p.missed[id]
+	p.missed[id] = now
+	return ok && now.Sub(last) < missedCheckTTL
 }
 
-func (p *Placer) checkedAt(id string) time.Time {
+func (p *Placer) lastCheckedAt(id string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.checked[id]
+	return p.lastChecked[id]
 }
 
-func (p *Placer) mark(times map[string]time.Time, id string, now time.Time) {
+// setTime sets the time of an engine in one of the placer's maps and marks the state
+// dirty.
+func (p *Placer) setTime(times map[string]time.Time, id string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	times[id] = now
-	p.touched = true
+	p.dirty = true
 }
 
 func anyPlaced(engines []citronplace.Engine) bool {
@@ -397,21 +416,22 @@
 	return false
 }
 
-// errBusy means that the engine carries out an earlier order.
-var errBusy = errors.New("engine carries out another order")
+// errBusy means that the engine is still executing an earlier order.
+var errBusy = errors.New("engine is still executing an earlier order")
 
-// errReborn means that the engine has started anew since its entry was
-// written: the order was meant for what it held before.
-var errReborn = errors.New("engine has started anew")
+// errRestarted means that the engine has restarted since its entry was written. The
+// order was meant for the layers that it held before.
+var errRestarted = errors.New("engine has restarted since its list entry was written")
 
-// carryOut asks the engine for its state and gives the order that fits it.
-func (p *Placer) carryOut(ctx context.Context, e citronmodel.Engine, o citronplace.Order) error {
+// sendOrder asks the engine for its state and sends the order unless the engine has
+// restarted, is busy or already holds the layers.
+func (p *Placer) sendOrder(ctx context.Context, e citronmodel.Engine, o citronplace.Order) error {
 	st, err := p.Orders.State(ctx, e.Addr)
 	if err != nil {
 		return err
 	}
-	if p.startedAnew(e, st, p.Clock.Now()) {
-		return errReborn
+	if p.detectRestart(e, st, p.Clock.Now()) {
+		return errRestarted
 	}
 	if st.Busy {
 		return errBusy
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -23,28 +23,33 @@
 	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 9000, StepFactor: 2, ReadFactor: 3}},
 }
 
-type given struct {
+// sentOrder is an order that fakeEngines received.
+type sentOrder struct {
 	engine   string
 	span     citronmodel.Span
 	accepted int64
 }
 
-// engines answer questions and orders as the test says.
-type engines struct {
+// fakeEngines implements citronplace.Orders with scripted answers.
+type fakeEngines struct {
 	mu    sync.Mutex
 	state citronplace.EngineState
 	asked []string
-	given []given
-	// dead is the address of an engine that does not answer, misses how often
-	// one does not before it answers again.
+	sent  []sentOrder
+	// dead is the address of an engine that never answers. misses holds how
+	// many questions an engine leaves unanswered before it answers again, by
+	// address.
 	dead string
-	// forgot is the address of one that has started anew.
-	forgot string
-	misses map[string]int
-	place  func(n int) error
+	// restarted is the address of an engine that has restarted and has
+	// accepted no order since.
+	restarted string
+	misses    map[string]int
+	// place returns the result of the n-th order, counted from 1. If it is
+	// nil, all orders succeed.
+	place func(n int) error
 }
 
-func (e *engines) State(_ context.Context, addr string) (citronplace.EngineState, error) {
+func (e *fakeEngines) State(_ context.Context, addr string) (citronplace.EngineState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.asked = append(e.asked, addr)
@@ -56,29 +61,29 @@
 		return citronplace.EngineState{}, errors.New("no answer")
 	}
 	st := e.state
-	if addr != e.forgot {
-		st.Accepted = max(st.Accepted, 1) // it holds what it was ordered to
+	if addr != e.restarted {
+		st.Accepted = max(st.Accepted, 1) // the engine has accepted the order for the layers it holds
 	}
 	return st, nil
 }
 
-func (e *engines) Place(_ context.Context, en citronmodel.Engine, o citronplace.Order, accepted int64) error {
+func (e *fakeEngines) Place(_ context.Context, en citronmodel.Engine, o citronplace.Order, accepted int64) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.given = append(e.given, given{en.ID, o.Span, accepted})
+	e.sent = append(e.sent, sentOrder{en.ID, o.Span, accepted})
 	if e.place == nil {
 		return nil
 	}
-	return e.place(len(e.given))
+	return e.place(len(e.sent))
 }
 
-func (e *engines) orders() []given {
+func (e *fakeEngines) orders() []sentOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]given(nil), e.given...)
+	return append([]sentOrder(nil), e.sent...)
 }
 
-func (e *engines) set(f func()) {
+func (e *fakeEngines) set(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f()
@@ -95,7 +100,7 @@
 	return citronmodel.Engine{ID: id, Service: "m", Addr: id, Zone: "z", Kind: "fast", Layers: citronmodel.Span{From: from, To: to}}
 }
 
-func run(t *testing.T, e *engines, s *citronplacer.State) {
+func run(t *testing.T, e *fakeEngines, s *citronplacer.State) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &citronplacer.Placer{Orders: e, Clock: citronclock.Real{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Current: func() *citronplacer.State { return s }}
@@ -111,16 +116,16 @@
 			return
 		}
 	}
-	t.Fatalf("not within 30 s: %s", what)
+	t.Fatalf("condition not met within 30 s: %s", what)
 }
 
-// An order is not answered. It may be carried out now, seconds later or
-// never, so it is sent again with the same count of accepted orders: an
-// engine that did carry it out refuses the second, and one that carries out
-// both late holds the same layers.
-func TestUnansweredOrderIsRepeatedForTheSameState(t *testing.T) {
+// TestUnansweredOrderIsRetriedForSameState checks that an unanswered order is sent again
+// with the same count of accepted orders. The first one may be executed now, seconds
+// later or never. An engine that has executed it refuses the second, and one that
+// executes both late holds the same layers.
+func TestUnansweredOrderIsRetriedForSameState(t *testing.T) {
 	is := is.New(t)
-	e := &engines{state: citronplace.EngineState{Accepted: 3}, place: func(n int) error {
+	e := &fakeEngines{state: citronplace.EngineState{Accepted: 3}, place: func(n int) error {
 		if n == 1 {
 			return errors.New("no answer")
 		}
@@ -132,14 +137,14 @@
 	is.Equal(got[0], got[1])
 	is.Equal(got[0].accepted, int64(3))
 	time.Sleep(500 * time.Millisecond)
-	is.Equal(len(e.orders()), 2) // accepted: nothing more is ordered while it is carried out
+	is.Equal(len(e.orders()), 2) // the second was accepted: no further order while it is executed
 }
 
-// An engine that carries out an earlier order is not given another; its turn
-// comes when it is done.
-func TestBusyEngineIsLeftAlone(t *testing.T) {
+// TestBusyEngineGetsNoOrder checks that an engine that executes an order receives the
+// next one only when it is done.
+func TestBusyEngineGetsNoOrder(t *testing.T) {
 	is := is.New(t)
-	e := &engines{state: citronplace.EngineState{Busy: true}}
+	e := &fakeEngines{state: citronplace.EngineState{Busy: true}}
 	run(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0)))
 	time.Sleep(500 * time.Millisecond)
 	is.Equal(len(e.orders()), 0)
@@ -147,30 +152,31 @@
 	eventually(t, "the order", func() bool { return len(e.orders()) == 1 })
 }
 
-// Half of the list is missing because the store was away: a plan for the
-// other half would leave those engines no cache.
-func TestNothingIsPlacedFromPartOfTheList(t *testing.T) {
+// TestIncompleteListIsNotPlaced checks that nothing is placed while half of the list is
+// missing because the store was unavailable. A plan for the other half would leave those
+// engines no cache.
+func TestIncompleteListIsNotPlaced(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 0, 0))
 	s.Whole = false
-	e := &engines{}
+	e := &fakeEngines{}
 	run(t, e, s)
 	time.Sleep(500 * time.Millisecond)
 	is.New(t).Equal(len(e.orders()), 0)
 }
 
-// Two nodes find an engine dead, and it does not answer the leader either.
-// Its layers are placed at once.
-func TestEngineThatTwoNodesFindDeadIsReplaced(t *testing.T) {
+// TestEngineReportedDeadByTwoNodesIsReplaced checks that the layers of an engine are
+// placed at once if two nodes found it dead and it doesn't answer the leader either.
+func TestEngineReportedDeadByTwoNodesIsReplaced(t *testing.T) {
 	is := is.New(t)
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 4))
 	s.Dead["e2"] = 2
-	e := &engines{dead: "e2"}
+	e := &fakeEngines{dead: "e2"}
 	run(t, e, s)
-	hole := citronmodel.Span{From: 4, To: 8}
-	eventually(t, "an order for the hole", func() bool {
+	gap := citronmodel.Span{From: 4, To: 8}
+	eventually(t, "an order for the gap", func() bool {
 		for _, g := range e.orders() {
 			is.True(g.engine != "e2")
-			if g.span.Covers(hole) {
+			if g.span.Covers(gap) {
 				return true
 			}
 		}
@@ -178,109 +184,111 @@
 	})
 }
 
-// Several nodes are short of processor time in the same moment, as when
-// configurations come in quick succession, and miss an engine's answers. They
-// call it dead; it answers the leader. Nothing may be moved: a zone of sound
-// engines would be divided anew, and its callers refused for seconds.
-func TestEngineThatAnswersTheLeaderIsNotReplaced(t *testing.T) {
+// TestEngineThatAnswersLeaderIsNotReplaced guards against wrong reports of dead engines.
+// Several nodes that are short of processor time at once, for example while
+// configurations arrive in quick succession, miss an engine's answers and report it dead.
+// If it answers the leader, nothing may be moved. Otherwise a zone of healthy engines is
+// repartitioned and rejects its callers for seconds.
+func TestEngineThatAnswersLeaderIsNotReplaced(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8))
 	s.Dead["e2"] = 3
-	e := &engines{}
+	e := &fakeEngines{}
 	run(t, e, s)
 	time.Sleep(1200 * time.Millisecond)
 	is.New(t).Equal(len(e.orders()), 0)
 }
 
-// The leader dies while engines load what it ordered. The next leader sees
-// those engines hold nothing yet. It goes on with the goals that the first
-// one told of: another engine given the same layers would load them for
-// nothing and be missing where it was.
-func TestNextLeaderGoesOnWithGoals(t *testing.T) {
+// TestNextLeaderInheritsTargets simulates a leader that dies while engines load the layers
+// it ordered. The next leader sees that these engines hold nothing yet. It must continue
+// with the targets that the first leader published. Another engine given the same layers
+// would load them needlessly and be missing where it was.
+func TestNextLeaderInheritsTargets(t *testing.T) {
 	is := is.New(t)
 	s := state(engine("e1", 0, 4), engine("e2", 0, 0), engine("e3", 0, 0))
 	s.Goals = map[string]citronmodel.Span{"e3": {From: 4, To: 8}}
-	e := &engines{state: citronplace.EngineState{Busy: true}}
+	e := &fakeEngines{state: citronplace.EngineState{Busy: true}}
 	run(t, e, s)
 	time.Sleep(700 * time.Millisecond)
-	is.Equal(len(e.orders()), 0) // e3 loads; nobody else is given its layers
+	is.Equal(len(e.orders()), 0) // e3 is loading; no other engine is given its layers
 	e.set(func() { e.state.Busy = false })
-	eventually(t, "the order is given again once the engine is free", func() bool { return len(e.orders()) > 0 })
+	eventually(t, "the order is sent again once the engine is idle", func() bool { return len(e.orders()) > 0 })
 	is.Equal(e.orders()[0].engine, "e3")
 	is.Equal(e.orders()[0].span, citronmodel.Span{From: 4, To: 8})
 }
 
-// An engine answers questions but refuses every order. Its layers go to
-// another engine after a few tries: a hole must not wait for it.
-func TestEngineThatTakesNoOrderIsReplaced(t *testing.T) {
-	e := &engines{}
+// TestEngineThatRefusesOrdersIsReplaced checks that the layers of an engine that answers
+// questions but refuses every order go to another engine after maxRefusals attempts. A
+// gap must not wait for a failing engine.
+func TestEngineThatRefusesOrdersIsReplaced(t *testing.T) {
+	e := &fakeEngines{}
 	e.place = func(int) error {
-		if e.given[len(e.given)-1].engine == e.given[0].engine {
+		if e.sent[len(e.sent)-1].engine == e.sent[0].engine {
 			return errors.New("refused")
 		}
 		return nil
 	}
 	run(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0), engine("e3", 0, 0)))
-	hole := citronmodel.Span{From: 4, To: 8}
-	eventually(t, "the other empty engine is given the hole", func() bool {
-		given := e.orders()
-		last := given[max(0, len(given)-1):]
-		return len(last) > 0 && last[0].engine != given[0].engine && last[0].span.Covers(hole)
+	gap := citronmodel.Span{From: 4, To: 8}
+	eventually(t, "the other empty engine is ordered to fill the gap", func() bool {
+		sent := e.orders()
+		last := sent[max(0, len(sent)-1):]
+		return len(last) > 0 && last[0].engine != sent[0].engine && last[0].span.Covers(gap)
 	})
 }
 
-// An engine starts anew behind a cut from the store: the list still tells the
-// layers that it held. Asked by the leader, it says that it started later. It
-// gets no order that was meant for what it held before, and this node learns
-// that those layers are a hole.
-func TestOrderIsNotForAnEarlierStart(t *testing.T) {
+// TestRestartedEngineGetsNoOutdatedOrder simulates an engine that restarts while it is cut
+// off from the store, so that the list is outdated. Asked by the leader, it reports a
+// later start time. It must get no order that was meant for its previous incarnation, and
+// the node's view must mark it as restarted.
+func TestRestartedEngineGetsNoOutdatedOrder(t *testing.T) {
 	is := is.New(t)
-	e := &engines{state: citronplace.EngineState{Born: 200}}
+	e := &fakeEngines{state: citronplace.EngineState{Born: 200}}
 	listed := engine("e1", 0, 0)
 	listed.Born = 100
 	s := state(listed)
 	run(t, e, s)
-	eventually(t, "the later start is noted", func() bool { return len(s.View.StartedAnew()) == 1 })
+	eventually(t, "the restart is recorded in the view", func() bool { return len(s.View.StartedAnew()) == 1 })
 	is.Equal(len(e.orders()), 0)
 }
 
-// At the peak of a burst the leader is short of processor time. It misses the
-// answer of an engine, its own traffic calls that engine dead, and it misses
-// the answer to its question too; no other node complains. The engine is
-// asked once more before anything is moved: called dead at once, thirty sound
-// engines were replaced within three seconds, and their zones with them.
-func TestOneSilenceIsNoDeath(t *testing.T) {
+// TestOneMissedCheckIsNotDeath simulates a leader that is short of processor time during a
+// burst. It misses an engine's answer to a request and then to a check; no other node
+// reports the engine. The leader must check again before anything is moved. When one
+// missed check was enough, thirty healthy engines were replaced within three seconds and
+// their zones repartitioned.
+func TestOneMissedCheckIsNotDeath(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8))
 	s.Dead["e2"] = 1
-	e := &engines{misses: map[string]int{"e2": 1}}
+	e := &fakeEngines{misses: map[string]int{"e2": 1}}
 	run(t, e, s)
 	time.Sleep(1200 * time.Millisecond)
 	is.New(t).Equal(len(e.orders()), 0)
 }
 
-// The same engine does not answer the second question either: it is dead,
-// though only one node has streams there, and its layers are placed.
-func TestTwoSilencesAreADeath(t *testing.T) {
+// TestTwoMissedChecksAreDeath checks that an engine that also misses the second check is
+// dead, although only one node reports it, and that its layers are placed.
+func TestTwoMissedChecksAreDeath(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 4))
 	s.Dead["e2"] = 1
-	e := &engines{dead: "e2"}
+	e := &fakeEngines{dead: "e2"}
 	run(t, e, s)
-	eventually(t, "an order for the hole", func() bool { return len(e.orders()) > 0 })
+	eventually(t, "an order for the gap", func() bool { return len(e.orders()) > 0 })
 }
 
-// An engine crashes behind a cut from the store and starts again, and does not
-// tell when. The list goes on telling the layers that it held, and it answers
-// every question, so it is not dead. But it has accepted no order since it
-// started, so it cannot hold them: its layers are placed at once, not when its
-// entry lapses, or a zone refuses its callers for four seconds.
-func TestEngineThatForgotItsOrdersIsReplaced(t *testing.T) {
+// TestEngineThatLostItsLayersIsReplaced simulates an engine that crashes and restarts while
+// it is cut off from the store, and doesn't report its start time. The list still contains
+// its old layers, and the engine answers every question, so it isn't dead. But it has
+// accepted no order since it started, so it can't hold them. Its layers must be placed at
+// once and not when its entry expires, or the zone rejects callers for four seconds.
+func TestEngineThatLostItsLayersIsReplaced(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 0))
 	s.Dead["e2"] = 1
-	e := &engines{forgot: "e2"}
+	e := &fakeEngines{restarted: "e2"}
 	run(t, e, s)
-	hole := citronmodel.Span{From: 4, To: 8}
-	eventually(t, "an order for the hole", func() bool {
+	gap := citronmodel.Span{From: 4, To: 8}
+	eventually(t, "an order for the gap", func() bool {
 		for _, g := range e.orders() {
-			if g.engine == "e3" && g.span.Covers(hole) {
+			if g.engine == "e3" && g.span.Covers(gap) {
 				return true
 			}
 		}
@@ -288,10 +296,11 @@
 	})
 }
 
-// A node has just been elected and tells the others what engines are to hold, in
-// the moment in which its term begins. What it tells must be the goals of before
-// or of after, never a map in the making; the race detector sees the difference.
-func TestGoalsAreAskedForWhileATermBegins(_ *testing.T) {
+// TestGoalsDuringTermStart reads the targets while a term starts: a newly elected node
+// publishes them from another goroutine at that moment. It must read the targets from
+// before or after the start, never a map being written. The race detector finds a
+// violation.
+func TestGoalsDuringTermStart(_ *testing.T) {
 	for range 20 {
 		p := &citronplacer.Placer{Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Current: func() *citronplacer.State { return nil }}
 		ctx, cancel := context.WithCancel(context.Background())
