--- a/citronquarantine/doc.go
+++ b/citronquarantine/doc.go
@@ -1,17 +1,20 @@
-// Package citronquarantine keeps requests away from engines that they crash.
+// Package citronquarantine quarantines requests that crash engines.
 //
-// A request may crash each engine that begins to run it, and its caller sends it
-// again, under another id and to another node. What crashed is known of the
-// request by its fingerprint (Print), and all nodes share it (Ledger):
+// A request may crash every engine that starts to run it, and its caller may retry
+// it with another ID and at another node. Crashes are therefore counted by the
+// fingerprint of the request (Print), and all nodes share the counts (Ledger):
 //
-//	run begins -> engine ends -> Crashed ----> record ----> Admit: Barred
+//	run starts -> engine ends -> Crashed ----> record ----> Admit: Barred
 //	     |                                       ^
-//	     +-> run goes well ----> Succeeded ------+
+//	     +-> run succeeds -----> Succeeded ------+
 //
-// An engine that ends takes all its requests with it, and one of them at most
-// caused the crash. So a crash counts only against requests whose run had just begun, it
-// takes three engines to bar a request, and whatever runs well is cleared of its
-// crash count. A request that is barred is let through again after a
-// while, one run at a time; each further crash doubles that while. Barred wrongly
-// it is clear after its next run.
+// An engine that ends takes all its requests with it, and at most one of them caused
+// the crash. A crash therefore counts only against requests whose run had just
+// started, three engines have to crash before a request is quarantined, and a
+// successful run clears the crash count. A quarantined request is admitted again
+// after a while, one run at a time, and each further crash doubles the quarantine.
+// A request that is quarantined by mistake is cleared by its next successful run.
+//
+// A suspect is a request under which engines have crashed. A trial run is the only
+// run of a suspect that a node admits at a time.
 package citronquarantine
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -14,36 +14,37 @@
 )
 
 const (
-	// mostRecords bounds the ledger. Records of the fewest crashes are dropped
-	// first, the oldest of them before others.
-	mostRecords = 1024
-	// MaxGossipRecords is how many records nodes tell each other at once.
+	// maxRecords is the maximum number of records in the ledger. Records with the
+	// fewest crashes are dropped first, and of those the oldest.
+	maxRecords = 1024
+	// MaxGossipRecords is the maximum number of records in one message between nodes.
 	MaxGossipRecords = 64
-	// gossipTTL is how long a change is news to other nodes, and maxRecentRecords how many
-	// changes are told as news. Eight engines that end at once leave hundreds of
-	// records of one crash: told whole, again and again, they take the links of a
-	// large fleet.
+	// gossipTTL is how long a change counts as recent, and maxRecentRecords is the
+	// maximum number of recent changes in one message. Eight engines that end at once
+	// leave hundreds of records with one crash each. Sending all of them repeatedly
+	// would saturate the links of a large fleet.
 	gossipTTL        = 2 * time.Second
 	maxRecentRecords = 8
-	// summaryFor is how long forgotten records may be told still.
-	summaryFor = 10 * time.Second
-	// trialRetry is when a request may ask again while another of the same
-	// fingerprint is on trial.
+	// summaryTTL is how long a cached summary is used. For that long, it may contain
+	// records that have expired.
+	summaryTTL = 10 * time.Second
+	// trialRetry is the retry delay of a request while a trial run with the same
+	// fingerprint is in progress.
 	trialRetry = time.Second
-	// openSpread is the time over which nodes let a request through that was
-	// barred. The first that does learns whether it crashes engines still, and
-	// tells the others.
-	openSpread = 30 * time.Second
+	// releaseSpread is the time over which the nodes release a quarantined request
+	// one after another. The first node to admit it learns whether it still crashes
+	// engines and tells the others.
+	releaseSpread = 30 * time.Second
 )
 
-// Entry is the record of one request.
+// Entry is the record of one request with its fingerprint.
 type Entry struct {
 	Print Print
 	Record
 }
 
-// Ledger is what a node knows of requests that crash engines, by its own runs
-// and from other nodes.
+// Ledger holds the records of requests that crash engines, as learned from the node's
+// own runs and from other nodes.
 type Ledger struct {
 	node  string
 	clock citronclock.Clock
@@ -51,51 +52,53 @@
 
 	mu      sync.Mutex
 	entries map[Print]*entry
-	changed func()
-	// summary is what other nodes are told, nil after a change.
+	// onChange is called when there is an update for other nodes.
+	onChange func()
+	// summary is the cached summary for other nodes. It is nil after a change.
 	summary *summary
 }
 
-// summary is what All and Sum return.
+// summary holds the results of All and Sum.
 type summary struct {
 	at  time.Time
 	all []Entry
 	sum uint64
 }
 
-// entry is a record with what this node does with it.
+// entry is a record with the local state of this node.
 type entry struct {
 	Record
-	// changedAt is when this node last learned something of the request.
+	// changedAt is when the record last changed on this node.
 	changedAt time.Time
 	onTrial   bool
-	// own: this node saw the last crash, and keeps the record where it lasts;
-	// saved is what it has kept.
-	own   bool
-	saved Record
+	// observed is set if this node itself observed a crash of the request. Such a
+	// node has to save the record in durable storage. saved is the record as last
+	// saved.
+	observed bool
+	saved    Record
 }
 
-// New returns an empty ledger of the node with a name.
+// New returns an empty ledger for the node with the given name.
 func New(node string, clock citronclock.Clock) *Ledger {
-	return &Ledger{node: node, clock: clock, entries: map[Print]*entry{}, changed: func() {}}
+	return &Ledger{node: node, clock: clock, entries: map[Print]*entry{}, onChange: func() {}}
 }
 
-// Notify has f called when there is news for other nodes. It is set before the
-// ledger is used.
-func (l *Ledger) Notify(f func()) { l.changed = f }
+// Notify sets the function that is called when there is an update for other nodes.
+// It must be called before the ledger is used.
+func (l *Ledger) Notify(f func()) { l.onChange = f }
 
-// Empty reports whether no request has a crash count.
+// Empty reports whether the ledger has no records.
 func (l *Ledger) Empty() bool { return l.size.Load() == 0 }
 
-// Admit asks whether a request may run.
+// Admit decides whether a request may run.
 func (l *Ledger) Admit(p Print) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.find(p)
-	if e == nil || e.Standing() < barAt-1 {
+	if e == nil || e.Standing() < quarantineThreshold-1 {
 		return Free{}
 	}
-	if left := l.openAt(p, e.Record).Sub(l.clock.Now()); left > 0 {
+	if left := l.releaseAt(p, e.Record).Sub(l.clock.Now()); left > 0 {
 		return Barred{Left: left, Crashes: e.Standing()}
 	}
 	if e.onTrial {
@@ -105,7 +108,8 @@
 	return Trial{End: func() { l.endTrial(p) }}
 }
 
-// Blocked reports for how long a request may not run, which was let through before.
+// Blocked reports whether a request that was admitted has been quarantined since, and
+// for how long.
 func (l *Ledger) Blocked(p Print) (time.Duration, bool) {
 	if l.Empty() {
 		return 0, false
@@ -116,26 +120,29 @@
 	if e == nil {
 		return 0, false
 	}
-	left := l.openAt(p, e.Record).Sub(l.clock.Now())
+	left := l.releaseAt(p, e.Record).Sub(l.clock.Now())
 	return left, left > 0
 }
 
-// Suspect reports whether one more crash would bar the request, or it is barred.
+// Suspect reports whether the request has so many crashes that it is quarantined or
+// that one more crash would quarantine it.
 func (l *Ledger) Suspect(p Print) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.find(p)
-	return e != nil && e.Standing() >= barAt-1
+	return e != nil && e.Standing() >= quarantineThreshold-1
 }
 
-// openAt is when this node lets the request through again, zero if it does.
-func (l *Ledger) openAt(p Print, r Record) time.Time {
-	until := r.barredUntil()
+// releaseAt returns the time at which this node admits the request again. It is zero
+// if the request is not quarantined. The delay within releaseSpread is a hash of the
+// node name and the fingerprint.
+func (l *Ledger) releaseAt(p Print, r Record) time.Time {
+	until := r.quarantinedUntil()
 	if until.IsZero() {
 		return until
 	}
-	draw := xxhash.Sum64String(l.node + p.String())
-	return until.Add(time.Duration(draw % uint64(openSpread)))
+	hash := xxhash.Sum64String(l.node + p.String())
+	return until.Add(time.Duration(hash % uint64(releaseSpread)))
 }
 
 func (l *Ledger) endTrial(p Print) {
@@ -146,63 +153,65 @@
 	}
 }
 
-// Crashed notes that an engine, by the ID of its start, ended under a run of the
-// request that had begun a moment before. It returns the crash record of the
-// request now, and whether this is news.
-func (l *Ledger) Crashed(p Print, engine string, began time.Time) (r Record, news bool) {
+// Crashed records that an engine ended under a run of the request that had just
+// begun. engine is the ID of the engine's start, and began is when the run began. It
+// returns the request's record, and whether the record has changed.
+func (l *Ledger) Crashed(p Print, engine string, began time.Time) (r Record, updated bool) {
 	l.mu.Lock()
 	e := l.find(p)
 	var known Record
 	if e != nil {
 		known = e.Record
 	}
-	crash := Record{}.WithCrash(Crash{Engine: known.keyOf(engine, began), At: l.clock.Now()})
-	news = e == nil || !e.WithAll(crash).equal(e.Record)
-	if news {
+	crash := Record{}.WithCrash(Crash{Engine: known.startKey(engine, began), At: l.clock.Now()})
+	updated = e == nil || !e.WithAll(crash).equal(e.Record)
+	if updated {
 		e = l.put(p, crash)
-		e.own = true
+		e.observed = true
 	}
 	r = e.Record
 	l.mu.Unlock()
-	if news && r.weighty() {
-		l.changed() // one crash alone is told with other news
+	if updated && r.significant() {
+		l.onChange() // a single crash waits for the next regular message
 	}
-	return r, news
+	return r, updated
 }
 
-// Succeeded notes that the request has run well.
+// Succeeded records that the request has run successfully.
 func (l *Ledger) Succeeded(p Print) {
 	if l.Empty() {
 		return
 	}
 	l.mu.Lock()
 	e := l.find(p)
-	news := e != nil && e.Standing() > 0
-	if news {
+	updated := e != nil && e.Standing() > 0
+	if updated {
 		l.set(e, e.WithRefuted())
 	}
-	urgent := news && e.weighty()
+	urgent := updated && e.significant()
 	l.mu.Unlock()
 	if urgent {
-		l.changed()
+		l.onChange()
 	}
 }
 
-// Dirty returns the records that this node has to keep where they last: those of
-// requests that were barred after a crash that it saw, as long as they change.
+// Dirty returns the records that this node has to save in durable storage. These are
+// the records of requests that were quarantined and of which this node observed a
+// crash, if they differ from the saved records.
 func (l *Ledger) Dirty() []Entry {
 	if l.Empty() {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.told(func(e *entry) bool {
-		kept := len(e.saved.crashes) > 0
-		return e.own && (kept || e.Standing() >= barAt) && !e.saved.equal(e.Record)
+	return l.selectEntries(func(e *entry) bool {
+		wasSaved := len(e.saved.crashes) > 0
+		return e.observed && (wasSaved || e.Standing() >= quarantineThreshold) && !e.saved.equal(e.Record)
 	})
 }
 
-// InvalidateSaved notes that what was kept may be lost.
+// InvalidateSaved marks all records as not saved, because the storage may have lost
+// them.
 func (l *Ledger) InvalidateSaved() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -211,7 +220,7 @@
 	}
 }
 
-// MarkSaved notes that a record is kept.
+// MarkSaved marks a record as saved.
 func (l *Ledger) MarkSaved(x Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,56 +229,58 @@
 	}
 }
 
-// Learn takes what another node tells, and returns the requests that are barred
-// here by that. Other nodes are told of what is new.
-func (l *Ledger) Learn(told []Entry) ([]Entry, error) {
-	if err := l.check(told); err != nil {
+// Learn merges the records that another node sent, and returns the entries of the
+// requests that are quarantined on this node as a result. Changes that all nodes have to
+// agree on are an update for other nodes.
+func (l *Ledger) Learn(received []Entry) ([]Entry, error) {
+	if err := l.validate(received); err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
-	var barred []Entry
-	news := false
-	for _, t := range told {
+	var quarantined []Entry
+	updated := false
+	for _, in := range received {
 		before := 0
-		if e := l.find(t.Print); e != nil {
+		if e := l.find(in.Print); e != nil {
 			before = e.Standing()
-			if e.WithAll(t.Record).equal(e.Record) {
+			if e.WithAll(in.Record).equal(e.Record) {
 				continue
 			}
 		}
-		after := l.put(t.Print, t.Record).Record
-		news = news || after.weighty()
-		if before < barAt && after.Standing() >= barAt {
-			barred = append(barred, Entry{t.Print, after})
+		after := l.put(in.Print, in.Record).Record
+		updated = updated || after.significant()
+		if before < quarantineThreshold && after.Standing() >= quarantineThreshold {
+			quarantined = append(quarantined, Entry{in.Print, after})
 		}
 	}
 	l.mu.Unlock()
-	if news {
-		l.changed()
+	if updated {
+		l.onChange()
 	}
-	return barred, nil
+	return quarantined, nil
 }
 
-// check refuses invalid messages as a whole.
-func (l *Ledger) check(told []Entry) error {
-	if len(told) > MaxGossipRecords {
-		return errors.Newf("%d records at once", len(told))
+// validate rejects a message as a whole if any part of it is invalid.
+func (l *Ledger) validate(received []Entry) error {
+	if len(received) > MaxGossipRecords {
+		return errors.Newf("%d records exceed the maximum per message", len(received))
 	}
 	now := l.clock.Now()
-	for _, t := range told {
-		if n := len(t.crashes); n == 0 || n > MostCrashes {
-			return errors.Newf("record of %d crashes", n)
+	for _, in := range received {
+		if n := len(in.crashes); n == 0 || n > MostCrashes {
+			return errors.Newf("record has %d crashes: none, or more than the maximum", n)
 		}
-		for _, c := range t.crashes {
+		for _, c := range in.crashes {
 			if age := now.Sub(c.At); age < 0 || age > OldestCrash {
-				return errors.Newf("crash %v ago", age)
+				return errors.Newf("crash has age %v: negative, or more than the maximum", age)
 			}
 		}
 	}
 	return nil
 }
 
-// Recent returns what other nodes may not have heard yet.
+// Recent returns the records that have changed recently and that other nodes may not
+// have received yet.
 func (l *Ledger) Recent() []Entry {
 	if l.Empty() {
 		return nil
@@ -277,16 +288,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	recent := l.told(func(e *entry) bool { return now.Sub(e.changedAt) < gossipTTL })
+	recent := l.selectEntries(func(e *entry) bool { return now.Sub(e.changedAt) < gossipTTL })
 	return recent[:min(len(recent), maxRecentRecords)]
 }
 
-// All returns what a node is told that knows something else: the records that bar a
-// request, or would with one more crash, and those that did.
+// All returns the records that this node sends to a node whose checksum differs: those
+// of requests that are or were quarantined, or that one more crash could quarantine.
 func (l *Ledger) All() []Entry { return l.summarize().all }
 
-// Sum is a checksum of what All returns, zero of nothing. Nodes that know the same
-// have the same, whenever they heard of it.
+// Sum returns a checksum of the records that All returns, and zero if there are none.
+// Nodes with the same records have the same checksum, whenever they learned them.
 func (l *Ledger) Sum() uint64 { return l.summarize().sum }
 
 func (l *Ledger) summarize() summary {
@@ -296,34 +307,36 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	if l.summary == nil || now.Sub(l.summary.at) > summaryFor {
-		l.dropForgotten()
-		all := l.told(func(e *entry) bool { return e.weighty() })
+	if l.summary == nil || now.Sub(l.summary.at) > summaryTTL {
+		l.dropExpired()
+		all := l.selectEntries(func(e *entry) bool { return e.significant() })
 		l.summary = &summary{at: now, all: all, sum: checksum(all)}
 	}
 	return *l.summary
 }
 
-// told returns some records in the order in which they matter. The lock is held.
-func (l *Ledger) told(pick func(*entry) bool) []Entry {
+// selectEntries returns at most MaxGossipRecords matching entries, sorted by
+// decreasing number of crashes, then by decreasing time of the last crash. The caller
+// must hold l.mu.
+func (l *Ledger) selectEntries(match func(*entry) bool) []Entry {
 	var out []Entry
 	for p, e := range l.entries {
-		if pick(e) {
+		if match(e) {
 			out = append(out, Entry{p, e.Record})
 		}
 	}
 	slices.SortFunc(out, func(a, b Entry) int {
-		return cmp.Or(cmp.Compare(b.Standing(), a.Standing()), b.last().Compare(a.last()), slices.Compare(a.Print[:], b.Print[:]))
+		return cmp.Or(cmp.Compare(b.Standing(), a.Standing()), b.lastCrash().Compare(a.lastCrash()), slices.Compare(a.Print[:], b.Print[:]))
 	})
 	return out[:min(len(out), MaxGossipRecords)]
 }
 
-// checksum leaves out times, which differ from node to node.
+// checksum returns a checksum of entries. It ignores times, which differ between nodes.
 func checksum(entries []Entry) uint64 {
 	var sum uint64
 	for _, e := range entries {
 		h := xxhash.New()
-		_, _ = h.Write(e.Print[:]) // a hash takes all bytes
+		_, _ = h.Write(e.Print[:]) // never returns an error
 		for _, c := range e.Crashes() {
 			word := c.Engine << 1
 			if c.Refuted {
@@ -336,34 +349,35 @@
 	return sum
 }
 
-// Count returns how many requests are known, and how many of them are barred.
-func (l *Ledger) Count() (known, barred int) {
+// Count returns the number of records and how many of them quarantine their request.
+func (l *Ledger) Count() (known, quarantined int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	for p, e := range l.entries {
-		if l.openAt(p, e.Record).After(now) {
-			barred++
+		if l.releaseAt(p, e.Record).After(now) {
+			quarantined++
 		}
 	}
-	return len(l.entries), barred
+	return len(l.entries), quarantined
 }
 
-// find returns the entry of a request unless it is forgotten. The lock is held.
+// find returns the entry of a request, or nil if there is none. It drops the entry if
+// it has expired, unless a trial run is in progress. The caller must hold l.mu.
 func (l *Ledger) find(p Print) *entry {
 	e := l.entries[p]
-	if e == nil || e.onTrial || l.clock.Now().Before(e.forgotten()) {
+	if e == nil || e.onTrial || l.clock.Now().Before(e.expiresAt()) {
 		return e
 	}
 	l.drop(p)
 	return nil
 }
 
-// put adds a record to what is known. The lock is held.
+// put merges a record into the ledger. The caller must hold l.mu.
 func (l *Ledger) put(p Print, r Record) *entry {
 	e := l.find(p)
 	if e == nil {
-		l.makeRoom()
+		l.evictIfFull()
 		e = &entry{}
 		l.entries[p] = e
 		l.size.Store(int64(len(l.entries)))
@@ -372,32 +386,34 @@
 	return e
 }
 
-// set changes a record. The lock is held.
+// set changes a record. The caller must hold l.mu.
 func (l *Ledger) set(e *entry, r Record) {
 	e.Record, e.changedAt = r, l.clock.Now()
 	l.summary = nil
 }
 
-// makeRoom drops what is forgotten, then the record of least weight.
-func (l *Ledger) makeRoom() {
-	if len(l.entries) < mostRecords {
+// evictIfFull drops expired records if the ledger is full. If it is still full, it
+// drops the record with the fewest crashes, and of several the one whose last crash is
+// the oldest. The caller must hold l.mu.
+func (l *Ledger) evictIfFull() {
+	if len(l.entries) < maxRecords {
 		return
 	}
-	l.dropForgotten()
-	if len(l.entries) < mostRecords {
+	l.dropExpired()
+	if len(l.entries) < maxRecords {
 		return
 	}
-	var least Print
-	var worst *entry
+	var victim Print
+	var fewest *entry
 	for p, e := range l.entries {
-		if worst == nil || cmp.Or(cmp.Compare(e.Standing(), worst.Standing()), e.last().Compare(worst.last())) < 0 {
-			least, worst = p, e
+		if fewest == nil || cmp.Or(cmp.Compare(e.Standing(), fewest.Standing()), e.lastCrash().Compare(fewest.lastCrash())) < 0 {
+			victim, fewest = p, e
 		}
 	}
-	l.drop(least)
+	l.drop(victim)
 }
 
-func (l *Ledger) dropForgotten() {
+func (l *Ledger) dropExpired() {
 	for p := range l.entries {
 		l.find(p)
 	}
--- a/citronquarantine/print.go
+++ b/citronquarantine/print.go
@@ -9,33 +9,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// printBytes is the length of a Print: too long for two requests to be made that
-// share one, and short enough to be told to other nodes.
-const printBytes = 16
+// fingerprintSize is the length of a Print in bytes. It is long enough that nobody
+// can construct two requests with the same fingerprint, and short enough to gossip.
+const fingerprintSize = 16
 
-// Print is a fingerprint of a request. Two requests of a customer for the same
-// thing have the same, whichever node they come to and under whichever id.
-type Print [printBytes]byte
+// Print is the fingerprint of a request. Two requests of a customer for the same
+// thing have the same fingerprint, whichever node receives them and whatever their
+// IDs are.
+type Print [fingerprintSize]byte
 
 // PrintOf returns the fingerprint of a request.
 func PrintOf(customer, method, host, target string, body []byte) Print {
 	h := sha256.New()
 	for _, s := range []string{customer, method, host, target} {
-		addPart(h, []byte(s))
+		hashField(h, []byte(s))
 	}
-	addPart(h, body)
+	hashField(h, body)
 	var p Print
 	copy(p[:], h.Sum(nil))
 	return p
 }
 
-// addPart hashes a part and its length, so that no two lists of parts hash the
-// same bytes.
-func addPart(h hash.Hash, part []byte) {
+// hashField hashes the length of a field and then the field, so that no two lists of
+// fields hash the same bytes.
+func hashField(h hash.Hash, field []byte) {
 	var length [8]byte
-	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-	h.Write(length[:]) // a hash takes all bytes without an error
-	h.Write(part)
+	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
+	h.Write(length[:]) // hash.Hash.Write never returns an error
+	h.Write(field)
 }
 
 // String returns p in hexadecimal.
@@ -46,9 +47,9 @@
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (p *Print) UnmarshalText(text []byte) error {
-	if hex.DecodedLen(len(text)) != printBytes {
-		return errors.Newf("fingerprint of %d digits", len(text))
+	if hex.DecodedLen(len(text)) != fingerprintSize {
+		return errors.Newf("fingerprint has the wrong length: %d hexadecimal digits", len(text))
 	}
 	_, err := hex.Decode(p[:], text)
-	return errors.Wrap(err, "fingerprint")
+	return errors.Wrap(err, "decode fingerprint")
 }
--- a/citronquarantine/print_test.go
+++ b/citronquarantine/print_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestPrintTellsRequestsApart(t *testing.T) {
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	is := is.New(t)
 	of := citronquarantine.PrintOf
 	p := of("council", "POST", "h", "/a/b", []byte("text"))
@@ -23,15 +23,15 @@
 	}
 }
 
-func TestPrintIsReadAsWritten(t *testing.T) {
+func TestFingerprintTextRoundTrip(t *testing.T) {
 	is := is.New(t)
 	p := citronquarantine.PrintOf("council", "POST", "h", "/a", nil)
 	text, err := p.MarshalText()
 	is.NoErr(err)
-	var read citronquarantine.Print
-	is.NoErr(read.UnmarshalText(text))
-	is.Equal(read, p)
-	for _, bad := range []string{"", "00", string(text) + "00", "x" + string(text[1:])} {
-		is.True(read.UnmarshalText([]byte(bad)) != nil)
+	var decoded citronquarantine.Print
+	is.NoErr(decoded.UnmarshalText(text))
+	is.Equal(decoded, p)
+	for _, invalid := range []string{"", "00", string(text) + "00", "x" + string(text[1:])} {
+		is.True(decoded.UnmarshalText([]byte(invalid)) != nil)
 	}
 }
--- a/citronquarantine/record.go
+++ b/citronquarantine/record.go
@@ -10,38 +10,40 @@
 )
 
 const (
-	// barAt is on how many engines a request has to have ended to be barred.
-	barAt = 3
-	// firstTerm is for how long a request is barred at first; each further crash
-	// doubles it, up to longestTerm.
-	firstTerm   = time.Minute
-	longestTerm = 32 * time.Minute
-	// memory is how long a record is kept after the request may run again, and
-	// clearMemory if nothing counts against it: others hear of that meanwhile.
-	memory      = 10 * time.Minute
-	clearMemory = time.Minute
-	// MostCrashes bounds a record.
+	// quarantineThreshold is the number of engines that have to crash under a request
+	// before it is quarantined.
+	quarantineThreshold = 3
+	// initialQuarantine is the first quarantine of a request. Each further crash
+	// doubles it, up to maxQuarantine.
+	initialQuarantine = time.Minute
+	maxQuarantine     = 32 * time.Minute
+	// retention is how long a record is kept after the request may run again.
+	// clearedRetention is how long it is kept if no crash counts any more, so that
+	// the other nodes learn that the request is cleared.
+	retention        = 10 * time.Minute
+	clearedRetention = time.Minute
+	// MostCrashes is the maximum number of crashes in a record.
 	MostCrashes = 8
-	// OldestCrash is the age of the oldest crash that is of use.
-	OldestCrash = longestTerm + memory
+	// OldestCrash is the maximum age of a crash. Older crashes have no effect.
+	OldestCrash = maxQuarantine + retention
 )
 
-// Crash is the end of an engine under a run that had just begun.
+// Crash is the end of an engine under a run that had just started.
 type Crash struct {
 	// Engine identifies one start of an engine.
 	Engine uint64
 	At     time.Time
-	// Refuted: the request has run well since.
+	// Refuted is set if the request has run successfully since.
 	Refuted bool
 }
 
-// EngineKey identifies one start of an engine by its ID.
+// EngineKey returns the key of one start of an engine, given its ID.
 func EngineKey(id string) uint64 { return xxhash.Sum64String(id) }
 
-// keyOf identifies the start of an engine that ended under a run. Some engines do
-// not tell when they started: one that has ended before, and ran the request since,
-// has started again.
-func (r Record) keyOf(id string, began time.Time) uint64 {
+// startKey returns the key of the engine start that ended under a run. Some engines
+// do not report when they started. Such an engine has restarted if it ended before
+// the run began.
+func (r Record) startKey(id string, began time.Time) uint64 {
 	key := EngineKey(id)
 	for start := 2; r.endedBefore(key, began) && start <= MostCrashes; start++ {
 		key = EngineKey(id + "#" + strconv.Itoa(start))
@@ -53,16 +55,16 @@
 	return slices.ContainsFunc(r.crashes, func(c Crash) bool { return c.Engine == key && c.At.Before(t) })
 }
 
-// Record is the crash count of one request. It is immutable.
+// Record holds the crashes of one request. It is immutable.
 type Record struct{ crashes []Crash }
 
-// WithCrash returns the record with a crash. Of two reports of the same crash the
-// earlier counts, and a refutation stays.
+// WithCrash returns the record with a crash added. Of two reports of the same crash,
+// the earlier time is kept, and the crash is refuted if either report is.
 func (r Record) WithCrash(c Crash) Record {
 	all := slices.Clone(r.crashes)
 	i := slices.IndexFunc(all, func(o Crash) bool { return o.Engine == c.Engine })
 	if i < 0 {
-		return Record{bounded(append(all, c))}
+		return Record{truncate(append(all, c))}
 	}
 	all[i].Refuted = all[i].Refuted || c.Refuted
 	if c.At.Before(all[i].At) {
@@ -71,8 +73,9 @@
 	return Record{all}
 }
 
-// bounded drops refuted crashes first, then the oldest.
-func bounded(all []Crash) []Crash {
+// truncate reduces crashes to MostCrashes. It drops refuted crashes first, then the
+// oldest ones.
+func truncate(all []Crash) []Crash {
 	if len(all) <= MostCrashes {
 		return all
 	}
@@ -88,7 +91,7 @@
 	return all[:MostCrashes]
 }
 
-// WithAll returns the record with all crashes of another.
+// WithAll returns the record with all crashes of another record added.
 func (r Record) WithAll(o Record) Record {
 	for _, c := range o.crashes {
 		r = r.WithCrash(c)
@@ -96,7 +99,7 @@
 	return r
 }
 
-// WithRefuted returns the record of a request that has run well.
+// WithRefuted returns the record with all crashes refuted, as after a successful run.
 func (r Record) WithRefuted() Record {
 	all := slices.Clone(r.crashes)
 	for i := range all {
@@ -105,12 +108,12 @@
 	return Record{all}
 }
 
-// Crashes returns all crashes, by engine.
+// Crashes returns all crashes, refuted ones included, sorted by engine key.
 func (r Record) Crashes() []Crash {
 	return slices.SortedFunc(slices.Values(r.crashes), func(a, b Crash) int { return cmp.Compare(a.Engine, b.Engine) })
 }
 
-// Standing is how many engines count as crashed by the request.
+// Standing returns the number of crashes that are not refuted.
 func (r Record) Standing() int {
 	n := 0
 	for _, c := range r.crashes {
@@ -121,43 +124,45 @@
 	return n
 }
 
-// weighty reports whether the record bars the request, or might after one more
-// crash, or did: all nodes have to agree on it.
-func (r Record) weighty() bool { return len(r.crashes) >= barAt-1 }
+// significant reports whether the record has enough crashes, refuted or not, that the
+// request is or was quarantined, or that one more crash could quarantine it. All
+// nodes have to agree on significant records.
+func (r Record) significant() bool { return len(r.crashes) >= quarantineThreshold-1 }
 
-// last is the time of the newest crash that counts, of any if none does.
-func (r Record) last() time.Time {
-	var last time.Time
+// lastCrash returns the time of the newest crash that is not refuted. If all crashes
+// are refuted, it returns the time of the newest one.
+func (r Record) lastCrash() time.Time {
+	var lastCrash time.Time
 	for _, c := range r.crashes {
-		if c.At.After(last) && (!c.Refuted || r.Standing() == 0) {
-			last = c.At
+		if c.At.After(lastCrash) && (!c.Refuted || r.Standing() == 0) {
+			lastCrash = c.At
 		}
 	}
-	return last
+	return lastCrash
 }
 
-// barredUntil is when the request may run again; zero if it may run now and ever
-// might.
-func (r Record) barredUntil() time.Time {
+// quarantinedUntil returns the time at which the quarantine ends. It is zero if the
+// request has too few crashes for a quarantine.
+func (r Record) quarantinedUntil() time.Time {
 	n := r.Standing()
-	if n < barAt {
+	if n < quarantineThreshold {
 		return time.Time{}
 	}
-	return r.last().Add(min(longestTerm, firstTerm<<(n-barAt)))
+	return r.lastCrash().Add(min(maxQuarantine, initialQuarantine<<(n-quarantineThreshold)))
 }
 
-// forgotten is when the record has no more use.
-func (r Record) forgotten() time.Time {
+// expiresAt returns the time at which the record is no longer needed.
+func (r Record) expiresAt() time.Time {
 	if r.Standing() == 0 {
-		return r.last().Add(clearMemory)
+		return r.lastCrash().Add(clearedRetention)
 	}
-	if until := r.barredUntil(); !until.IsZero() {
-		return until.Add(memory)
+	if until := r.quarantinedUntil(); !until.IsZero() {
+		return until.Add(retention)
 	}
-	return r.last().Add(memory)
+	return r.lastCrash().Add(retention)
 }
 
-// equal reports whether two records say the same, but for times.
+// equal reports whether two records have the same crashes, ignoring their times.
 func (r Record) equal(o Record) bool {
 	return slices.EqualFunc(r.Crashes(), o.Crashes(), func(a, b Crash) bool {
 		return a.Engine == b.Engine && a.Refuted == b.Refuted
--- a/citronquarantine/verdict.go
+++ b/citronquarantine/verdict.go
@@ -5,21 +5,21 @@
 // Verdict says whether a request may run. It is one of Free, Trial and Barred.
 type Verdict interface{ verdict() }
 
-// Free lets a request run of which too little is known to hold it back.
+// Free admits a request that has too few crashes to restrict it.
 type Free struct{}
 
-// Trial lets a request run that would be barred after one more crash. Others of
-// the same fingerprint wait meanwhile.
+// Trial admits a trial run of a request that one more crash would quarantine.
+// Requests with the same fingerprint have to wait until the trial run ends.
 type Trial struct {
-	// End ends the trial.
+	// End ends the trial run.
 	End func()
 }
 
-// Barred keeps a request from running.
+// Barred rejects a quarantined request.
 type Barred struct {
-	// Left is for how long.
+	// Left is the time after which the request may be retried.
 	Left time.Duration
-	// Crashes is how many engines have ended under it.
+	// Crashes is the number of engines that have crashed under the request.
 	Crashes int
 }
 
