--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -20,7 +20,8 @@
 	return citronquarantine.PrintOf("council", "POST", "h", "/a", fmt.Append(nil, i))
 }
 
-// crash has engines end under a request, the first with number from.
+// crash makes count engines end under a request. Their IDs are numbered consecutively,
+// beginning with from.
 func crash(l *citronquarantine.Ledger, p citronquarantine.Print, from, count int) {
 	for i := range count {
 		l.Crashed(p, fmt.Sprintf("i-%d", from+i), time.Time{})
@@ -31,20 +32,20 @@
 	l, _ := newLedger("n1")
 	p := citronquarantine.PrintOf("council", "POST", "example.org", "/nest/7", []byte("a plan"))
 	for _, engine := range []string{"i-1", "i-2", "i-2", "i-3"} {
-		r, news := l.Crashed(p, engine, time.Time{})
-		fmt.Println(engine, r.Standing(), news)
+		r, updated := l.Crashed(p, engine, time.Time{})
+		fmt.Println(engine, r.Standing(), updated)
 	}
-	_, barred := l.Admit(p).(citronquarantine.Barred)
-	fmt.Println("barred:", barred)
+	_, quarantined := l.Admit(p).(citronquarantine.Barred)
+	fmt.Println("quarantined:", quarantined)
 	// Output:
 	// i-1 1 true
 	// i-2 2 true
 	// i-2 2 false
 	// i-3 3 true
-	// barred: true
+	// quarantined: true
 }
 
-func TestTwoCrashesLeaveOneRunAtATime(t *testing.T) {
+func TestTwoCrashesAllowOneTrialRunAtATime(t *testing.T) {
 	is := is.New(t)
 	l, _ := newLedger("n1")
 	p := request(1)
@@ -52,7 +53,7 @@
 	trial, ok := l.Admit(p).(citronquarantine.Trial)
 	is.True(ok)
 	_, ok = l.Admit(p).(citronquarantine.Barred)
-	is.True(ok) // another is on trial
+	is.True(ok) // a trial run is in progress
 	trial.End()
 	_, ok = l.Admit(p).(citronquarantine.Trial)
 	is.True(ok)
@@ -60,9 +61,9 @@
 	is.True(ok)
 }
 
-// Guards against counting the crashes of an engine once that starts again under the
-// same ID, and against counting one crash twice.
-func TestEngineThatIsBackCrashesAgain(t *testing.T) {
+// Guards against counting only one crash of an engine that restarts with the same ID,
+// and against counting one crash twice.
+func TestCrashesOfRestartedEngineCountSeparately(t *testing.T) {
 	is := is.New(t)
 	l, clock := newLedger("n1")
 	p := request(1)
@@ -77,9 +78,9 @@
 	}
 }
 
-// Guards against a sound request that stays barred after it was on three engines
-// that crashed for other reasons.
-func TestRequestThatRunsWellIsCleared(t *testing.T) {
+// Guards against a harmless request that stays quarantined because it ran on three
+// engines that crashed for other reasons.
+func TestSuccessfulRunClearsRequest(t *testing.T) {
 	is := is.New(t)
 	l, clock := newLedger("n1")
 	p := request(1)
@@ -90,14 +91,14 @@
 	l.Succeeded(p)
 	_, ok = l.Admit(p).(citronquarantine.Free)
 	is.True(ok)
-	l.Crashed(p, "i-2", time.Time{}) // late news of a crash from before
+	l.Crashed(p, "i-2", time.Time{}) // late report of an earlier crash
 	_, ok = l.Admit(p).(citronquarantine.Free)
 	is.True(ok)
 }
 
-// Guards against a request that crashes three more engines each time it is let
-// through again.
-func TestEachCrashAfterTheThirdDoublesTheWait(t *testing.T) {
+// Guards against a request that crashes three more engines each time its quarantine
+// ends.
+func TestEachCrashAfterTheThirdDoublesTheQuarantine(t *testing.T) {
 	is := is.New(t)
 	l, clock := newLedger("n1")
 	p := request(1)
@@ -111,7 +112,7 @@
 			trial.End()
 		}
 	}
-	is.True(crashes <= 3+5+24*2) // five shorter waits, then two an hour
+	is.True(crashes <= 3+5+24*2) // five shorter quarantines, then two per hour
 	l, clock = newLedger("n1")
 	crash(l, p, 1, 3)
 	clock.Advance(30 * time.Second)
@@ -121,11 +122,11 @@
 	is.Equal(v.Crashes, 3)
 }
 
-// Guards against all nodes letting a barred request through at the same moment.
-func TestNodesLetARequestThroughOneAfterTheOther(t *testing.T) {
+// Guards against all nodes releasing a quarantined request at the same time.
+func TestNodesReleaseRequestOneAfterAnother(t *testing.T) {
 	is := is.New(t)
 	p := request(1)
-	var open []int
+	var released []int
 	for s := range 35 {
 		n := 0
 		for i := range 9 {
@@ -136,32 +137,32 @@
 				n++
 			}
 		}
-		open = append(open, n)
+		released = append(released, n)
 	}
-	is.True(open[5] <= 4)
-	is.Equal(open[34], 9)
+	is.True(released[5] <= 4)
+	is.Equal(released[34], 9)
 }
 
 func TestLedgerIsBounded(t *testing.T) {
 	is := is.New(t)
 	l, clock := newLedger("n1")
-	guilty := request(-1)
-	crash(l, guilty, 1, 3)
+	crashing := request(-1)
+	crash(l, crashing, 1, 3)
 	for i := range 5000 {
 		crash(l, request(i), i, 1+i%2)
 	}
-	known, barred := l.Count()
+	known, quarantined := l.Count()
 	is.Equal(known, 1024)
-	is.Equal(barred, 1) // what crashed most is dropped last
+	is.Equal(quarantined, 1) // records with the most crashes are dropped last
 	is.Equal(len(l.All()), citronquarantine.MaxGossipRecords)
-	is.Equal(l.All()[0].Print, guilty)
+	is.Equal(l.All()[0].Print, crashing)
 	clock.Advance(time.Hour)
 	is.Equal(len(l.All()), 0)
 	is.True(l.Empty())
 }
 
-// Guards against a message that no sound node sends barring a request.
-func TestImpossibleRecordsAreRefused(t *testing.T) {
+// Guards against an invalid message from a faulty node that quarantines a request.
+func TestInvalidRecordsAreRejected(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
 	record := func(ages ...time.Duration) citronquarantine.Record {
@@ -171,25 +172,25 @@
 		}
 		return r
 	}
-	flood := make([]citronquarantine.Entry, citronquarantine.MaxGossipRecords+1)
-	for i := range flood {
-		flood[i] = citronquarantine.Entry{Print: request(i), Record: record(0)}
+	oversized := make([]citronquarantine.Entry, citronquarantine.MaxGossipRecords+1)
+	for i := range oversized {
+		oversized[i] = citronquarantine.Entry{Print: request(i), Record: record(0)}
 	}
-	for _, told := range [][]citronquarantine.Entry{
+	for _, received := range [][]citronquarantine.Entry{
 		{{Print: request(1)}},
 		{{Print: request(1), Record: record(0, 0, 0)}, {Print: request(2), Record: record(0, -time.Second)}},
 		{{Print: request(1), Record: record(0, 0, 48*time.Hour)}},
-		flood,
+		oversized,
 	} {
 		l, _ := newLedger("n1")
-		_, err := l.Learn(told)
+		_, err := l.Learn(received)
 		is.True(err != nil)
 		is.True(l.Empty())
 	}
 }
 
-// Whatever order nodes hear of each other in, and however often, they end up with
-// the same record of each request.
+// Guards against nodes that end up with different records of a request, depending on
+// the order and number of the messages between them.
 func TestNodesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(1_000_000, 0))
@@ -197,7 +198,7 @@
 		for i := range nodes {
 			nodes[i] = citronquarantine.New(fmt.Sprintf("n%d", i), clock)
 		}
-		tell := func(from, to int) {
+		send := func(from, to int) {
 			if _, err := nodes[to].Learn(nodes[from].All()); err != nil {
 				t.Fatal(err)
 			}
@@ -209,53 +210,53 @@
 				nodes[node.Draw(t, "node")].Crashed(request(which.Draw(t, "request")), fmt.Sprintf("i-%d", rapid.IntRange(0, 9).Draw(t, "engine")), time.Time{})
 			},
 			"run":  func(t *rapid.T) { nodes[node.Draw(t, "node")].Succeeded(request(which.Draw(t, "request"))) },
-			"tell": func(t *rapid.T) { tell(node.Draw(t, "from"), node.Draw(t, "to")) },
+			"tell": func(t *rapid.T) { send(node.Draw(t, "from"), node.Draw(t, "to")) },
 			"wait": func(*rapid.T) { clock.Advance(time.Second) },
 		})
 		for range 2 {
 			for i := range nodes {
-				tell(i, (i+1)%len(nodes))
+				send(i, (i+1)%len(nodes))
 			}
 		}
 		for i := range nodes {
 			if nodes[i].Sum() != nodes[0].Sum() {
-				t.Fatalf("node %d knows something else", i)
+				t.Fatalf("node %d: checksum of the records differs from that of node 0", i)
 			}
 		}
 	})
 }
 
-func FuzzPrintUnmarshal(f *testing.F) {
+func FuzzFingerprintUnmarshal(f *testing.F) {
 	f.Add("")
 	f.Add(request(1).String())
 	f.Fuzz(func(t *testing.T, text string) {
 		var p citronquarantine.Print
 		if p.UnmarshalText([]byte(text)) == nil && len(text) != len(p.String()) {
-			t.Fatalf("%q was read", text)
+			t.Fatalf("fingerprint %q of invalid length was accepted", text)
 		}
 	})
 }
 
-// Guards against the links of a large fleet being taken by records of one crash:
-// engines that end at once leave hundreds of them, of sound requests.
-func TestSingleCrashesAreToldSparingly(t *testing.T) {
+// Guards against records of a single crash that saturate the links of a large fleet:
+// engines that end at once leave hundreds of them, all of harmless requests.
+func TestSingleCrashesAreGossipedSparingly(t *testing.T) {
 	is := is.New(t)
 	l, clock := newLedger("n1")
-	told := 0
-	l.Notify(func() { told++ })
+	updates := 0
+	l.Notify(func() { updates++ })
 	for i := range 300 {
 		crash(l, request(i), i%8, 1)
 	}
 	for i := range 200 {
 		l.Succeeded(request(i))
 	}
-	is.Equal(told, 0)
+	is.Equal(updates, 0)
 	is.True(len(l.Recent()) <= 8)
 	is.Equal(len(l.All()), 0)
 	is.Equal(l.Sum(), uint64(0))
 	crash(l, request(299), 20, 1)
-	is.Equal(told, 1)
-	is.Equal(l.Recent()[0].Print, request(299)) // what weighs more comes first
+	is.Equal(updates, 1)
+	is.Equal(l.Recent()[0].Print, request(299)) // records with more crashes come first
 	clock.Advance(3 * time.Second)
 	is.Equal(len(l.Recent()), 0)
 	is.Equal(len(l.All()), 1)
--- a/citronquarantine/model_test.go
+++ b/citronquarantine/model_test.go
@@ -11,64 +11,68 @@
 )
 
 const (
-	// A drawn fleet: engines on which paths begin, and requests a second.
+	// The simulated fleet: the number of engines that run first hops, the requests per
+	// second, the length of a simulation step and the simulated time.
 	modelEngines = 6
 	modelRate    = 100
 	modelStep    = 20 * time.Millisecond
 	modelTime    = 3 * time.Minute
-	// A run has its first event firstEvent after it was sent, counts as just begun
-	// until provenRun later, and ends after runTime.
+	// A run sends its first event firstEvent after it starts. It counts as just started
+	// until provenRun after that, and ends after runTime.
 	firstEvent = 300 * time.Millisecond
 	provenRun  = 500 * time.Millisecond
 	runTime    = 5 * time.Second
-	// restartTime is how long a crashed engine is away.
+	// restartTime is how long a crashed engine is unavailable.
 	restartTime = 3 * time.Second
-	// Callers come back once, within comeBack.
-	comeBack = time.Second
-	// barredShare is the largest share of sound requests that may be barred.
-	barredShare = 0.001
+	// maxRetryDelay is the maximum delay before a caller retries a failed request.
+	maxRetryDelay = time.Second
+	// maxQuarantinedShare is the maximum share of harmless requests that may be
+	// quarantined.
+	maxQuarantinedShare = 0.001
 )
 
-// modelRun is a request under way: on an engine, or, with engine negative, about to
-// come again.
+// modelRun is a request in progress. If engine is negative, the request waits for its
+// caller to retry it.
 type modelRun struct {
-	print    citronquarantine.Print
-	crashing bool
-	engine   int
-	since    time.Time
-	attempts int
+	fingerprint citronquarantine.Print
+	crashing    bool
+	engine      int
+	since       time.Time
+	attempts    int
 }
 
 type model struct {
 	rand   *rand.Rand
 	clock  *citronclock.Manual
 	ledger *citronquarantine.Ledger
-	// starts counts the starts of each engine, back is when it is there again.
-	starts [modelEngines]int
-	back   [modelEngines]time.Time
-	runs   []*modelRun
-	sent   int
-	barred map[citronquarantine.Print]bool
-	// ended counts the engines that the crashing request ended.
+	// starts counts the crashes of each engine and is part of the engine's ID.
+	// availableAt is when the engine is available again after a crash.
+	starts      [modelEngines]int
+	availableAt [modelEngines]time.Time
+	runs        []*modelRun
+	sent        int
+	// quarantined holds the harmless requests that were quarantined.
+	quarantined map[citronquarantine.Print]bool
+	// ended counts the engines that crashing requests have ended.
 	ended int
 }
 
 func newModel(seed uint64) *model {
 	clock := citronclock.NewManual(time.Unix(1_000_000, 0))
-	return &model{rand: rand.New(rand.NewPCG(seed, 1)), clock: clock, ledger: citronquarantine.New("n", clock), barred: map[citronquarantine.Print]bool{}}
+	return &model{rand: rand.New(rand.NewPCG(seed, 1)), clock: clock, ledger: citronquarantine.New("n", clock), quarantined: map[citronquarantine.Print]bool{}}
 }
 
-// send has a request run on an engine that is there, unless it is barred.
+// send runs a request on a random available engine, unless it is quarantined.
 func (m *model) send(r *modelRun) {
-	if v, ok := m.ledger.Admit(r.print).(citronquarantine.Barred); ok && v.Crashes > 2 {
+	if v, ok := m.ledger.Admit(r.fingerprint).(citronquarantine.Barred); ok && v.Crashes > 2 {
 		if !r.crashing {
-			m.barred[r.print] = true
+			m.quarantined[r.fingerprint] = true
 		}
 		return
 	}
 	for range 4 * modelEngines {
 		e := m.rand.IntN(modelEngines)
-		if m.clock.Now().After(m.back[e]) {
+		if m.clock.Now().After(m.availableAt[e]) {
 			r.engine, r.since = e, m.clock.Now()
 			m.runs = append(m.runs, r)
 			return
@@ -76,60 +80,63 @@
 	}
 }
 
-// crash ends an engine and all its runs; those that had just begun are sent on
-// once, and come back later once.
+// crash ends an engine and all its runs. Runs that had just started count as crashed.
+// A request is sent on at once after its first attempt, unless it is a suspect.
+// Otherwise the caller of a harmless request retries it later, up to four attempts in
+// total.
 func (m *model) crash(engine int) {
 	now := m.clock.Now()
 	m.starts[engine]++
-	m.back[engine] = now.Add(restartTime)
-	var there, others []*modelRun
+	m.availableAt[engine] = now.Add(restartTime)
+	var ended, others []*modelRun
 	for _, r := range m.runs {
 		if r.engine == engine {
-			there = append(there, r)
+			ended = append(ended, r)
 		} else {
 			others = append(others, r)
 		}
 	}
 	m.runs = others
-	for _, r := range there {
+	for _, r := range ended {
 		if now.Sub(r.since) < firstEvent+provenRun {
-			m.ledger.Crashed(r.print, fmt.Sprintf("%d@%d", engine, m.starts[engine]), r.since)
+			m.ledger.Crashed(r.fingerprint, fmt.Sprintf("%d@%d", engine, m.starts[engine]), r.since)
 		}
 		r.attempts++
 		switch {
-		case r.attempts < 2 && !m.ledger.Suspect(r.print):
+		case r.attempts < 2 && !m.ledger.Suspect(r.fingerprint):
 			m.send(r)
 		case r.attempts < 4 && !r.crashing:
-			r.engine, r.since = -1, now.Add(time.Duration(m.rand.Int64N(int64(comeBack))))
+			r.engine, r.since = -1, now.Add(time.Duration(m.rand.Int64N(int64(maxRetryDelay))))
 			m.runs = append(m.runs, r)
 		}
 	}
 }
 
-// step lets the runs go on, and the crashing request crash its engine.
+// step advances the simulation by modelStep: runs continue, and crashing requests
+// crash their engines.
 func (m *model) step() {
 	m.clock.Advance(modelStep)
 	now := m.clock.Now()
 	runs := m.runs
 	m.runs = nil
-	var again []*modelRun
+	var retries []*modelRun
 	var crashes []int
 	for _, r := range runs {
 		age := now.Sub(r.since)
 		switch {
 		case r.engine < 0 && age > 0:
-			again = append(again, r)
+			retries = append(retries, r)
 			continue
 		case r.crashing && age > firstEvent/2:
 			crashes = append(crashes, r.engine)
 		case r.engine >= 0 && age > firstEvent+provenRun:
-			m.ledger.Succeeded(r.print)
+			m.ledger.Succeeded(r.fingerprint)
 		}
 		if r.engine < 0 || age < runTime {
 			m.runs = append(m.runs, r)
 		}
 	}
-	for _, r := range again {
+	for _, r := range retries {
 		m.send(r)
 	}
 	for _, e := range crashes {
@@ -138,12 +145,13 @@
 	}
 	for range modelRate * int(modelStep/time.Millisecond) / 1000 {
 		m.sent++
-		m.send(&modelRun{print: request(m.sent)})
+		m.send(&modelRun{fingerprint: request(m.sent)})
 	}
 }
 
-// play plays the model; fault is called so often, at random times.
-func (m *model) play(every time.Duration, fault func(m *model)) {
+// run runs the simulation. It calls fault at random times, on average once per the
+// given interval.
+func (m *model) run(every time.Duration, fault func(m *model)) {
 	for range modelTime / modelStep {
 		if m.rand.Int64N(int64(every)) < int64(modelStep) {
 			fault(m)
@@ -152,10 +160,10 @@
 	}
 }
 
-// Guards against barring the sound requests that an engine takes with it: on a bad
-// day, when half of all engines crash at once time and again, or one every three seconds,
-// and while a request crashes engines.
-func TestFewSoundRequestsAreBarred(t *testing.T) {
+// Guards against quarantining harmless requests that were running on crashed engines:
+// when half of all engines crash at once repeatedly, when an engine crashes every three
+// seconds, and while a request crashes engines.
+func TestFewHarmlessRequestsAreQuarantined(t *testing.T) {
 	cases := []struct {
 		name  string
 		every time.Duration
@@ -168,20 +176,20 @@
 		}},
 		{"an engine crashes every three seconds", 3 * time.Second, func(m *model) { m.crash(m.rand.IntN(modelEngines)) }},
 		{"a request crashes engines", 2 * time.Second, func(m *model) {
-			m.send(&modelRun{print: request(-1 - m.sent/6000), crashing: true}) // another each minute
+			m.send(&modelRun{fingerprint: request(-1 - m.sent/6000), crashing: true}) // a new one each minute
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			sent, barred, ended := 0, 0, 0
+			sent, quarantined, ended := 0, 0, 0
 			for seed := range uint64(3) {
 				m := newModel(seed)
-				m.play(c.every, c.fault)
-				sent, barred, ended = sent+m.sent, barred+len(m.barred), ended+m.ended
+				m.run(c.every, c.fault)
+				sent, quarantined, ended = sent+m.sent, quarantined+len(m.quarantined), ended+m.ended
 			}
-			t.Logf("%d of %d sound requests barred; %d engines ended under crashing ones", barred, sent, ended)
-			if share := float64(barred) / float64(sent); share > barredShare {
-				t.Errorf("%.4f of sound requests were barred", share)
+			t.Logf("%d of %d harmless requests quarantined; %d engines ended under crashing requests", quarantined, sent, ended)
+			if share := float64(quarantined) / float64(sent); share > maxQuarantinedShare {
+				t.Errorf("%.4f of harmless requests were quarantined, more than the maximum", share)
 			}
 		})
 	}
