--- a/citronpermit/choose.go
+++ b/citronpermit/choose.go
@@ -5,37 +5,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DealerFor returns the node that deals out permits for an engine: one of the engine's zone,
-// whose nodes send it most, if any is there, and rather one that has processor time.
+// DealerFor returns the node that issues the permits for an engine. It prefers nodes in
+// the engine's zone, because they send the engine the most requests, and among those the
+// nodes that have processor time to spare. Rendezvous hashing decides between the rest.
+// It returns false if all nodes are leaving.
 func DealerFor(engine, zone string, nodes []citronpeer.Member) (citronpeer.Member, bool) {
 	var best citronpeer.Member
-	var most draw
+	var bestRank rank
 	found := false
 	for _, m := range nodes {
 		if m.Leaving {
 			continue
 		}
-		d := draw{near: m.Zone == zone, strong: !m.Weak, hash: xxhash.Sum64String(engine + "/" + m.Name)}
-		if !found || d.beats(most) {
-			best, most, found = m, d, true
+		r := rank{sameZone: m.Zone == zone, strong: !m.Weak, hash: xxhash.Sum64String(engine + "/" + m.Name)}
+		if !found || r.above(bestRank) {
+			best, bestRank, found = m, r, true
 		}
 	}
 	return best, found
 }
 
-// draw is what decides between two nodes.
-type draw struct {
-	near, strong bool
-	hash         uint64
+// rank orders the nodes that could issue the permits for an engine.
+type rank struct {
+	sameZone, strong bool
+	hash             uint64
 }
 
-func (d draw) beats(o draw) bool {
+// above reports whether r ranks above o.
+func (r rank) above(o rank) bool {
 	switch {
-	case d.near != o.near:
-		return d.near
-	case d.strong != o.strong:
-		return d.strong
+	case r.sameZone != o.sameZone:
+		return r.sameZone
+	case r.strong != o.strong:
+		return r.strong
 	default:
-		return d.hash > o.hash
+		return r.hash > o.hash
 	}
 }
--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -1,19 +1,20 @@
-// Package citronpermit has all nodes together keep to the rate limit of an upstream.
+// Package citronpermit makes all nodes together respect the rate limit of an upstream.
 //
-// The load it answers: an upstream in need takes a few requests a second from all nodes
-// together, fewer than there are nodes. Were each node to keep to its part by itself,
-// three hundred parts of a hundredth of a request would either come to nothing or, with
-// one request to begin with each, to many times the limit; and the parts of nodes that
-// have no use for the upstream would be lost. So for each such upstream one node deals
-// out permits, and every request takes one before it is sent:
+// An overloaded upstream accepts only a few requests per second from all nodes together,
+// often fewer than there are nodes. Dividing the limit between the nodes does not work:
+// with three hundred nodes, a share of a hundredth of a request per second either admits
+// nothing or, if each node starts with one request, admits many times the limit. The
+// shares of nodes that have no requests for the upstream would be lost. Instead, one node
+// is the permit issuer of each such upstream, and every request takes a permit before it
+// is sent:
 //
-//	request -> its node --ask--> dealer's bucket --granted--> upstream
-//	                       |                \---denied-----> another upstream, or refused
-//	                       +-- the dealer's own requests, too
+//	request -> its node --ask--> issuer's bucket --granted--> upstream
+//	                       |                \---denied-----> another upstream, or rejected
+//	                       +-- the issuer's own requests, too
 //
-// The dealer is drawn by rendezvous hashing from the nodes that live, so that nodes which
-// know the same nodes agree on it without a word. Nothing is kept of permits: when a
-// dealer is lost, the next one begins with an empty bucket.
+// The issuer is chosen by rendezvous hashing among the live nodes, so nodes that know the
+// same members agree on it without communication. Permits are not stored: when an issuer
+// is lost, the next one starts with an empty bucket.
 package citronpermit
 
 import (
@@ -25,17 +26,18 @@
 	"golang.org/x/time/rate"
 )
 
-// Decision is the answer to a request for a permit: one of Granted and Denied.
+// Decision is the answer to a request for a permit. It is one of Granted and Denied.
 type Decision interface{ isDecision() }
 
-// Granted lets a request be sent after a wait.
+// Granted allows a request to be sent after a wait.
 type Granted struct{ After time.Duration }
 
-// Denied holds a request back.
+// Denied does not allow a request to be sent.
 type Denied struct {
-	// Free is when a permit will be free.
+	// Free is the time after which a permit becomes available.
 	Free time.Duration
-	// Again is when the node should ask again; others ask too.
+	// Again is the time after which the node should ask again. It may differ from Free
+	// because other nodes ask for the same permits.
 	Again time.Duration
 }
 
@@ -43,51 +45,54 @@
 func (Denied) isDecision()  {}
 
 const (
-	// burst is how many permits are saved up while nobody asks. A new bucket is empty.
+	// burst is the maximum number of permits that accumulate while no node asks. A new
+	// bucket is empty.
 	burst = 2
-	// warmUp is the time in which a new dealer deals out half of the limit: the one
-	// before it may be dealing still, at a node that has not heard of the change.
+	// warmUp is how long a new issuer issues only half of the limit. Its predecessor may
+	// still be issuing permits to nodes that have not learned of the change.
 	warmUp = 4 * time.Second
-	// leastPerSecond is dealt out also of lower limits: only an answer tells that a
-	// limit has ended.
-	leastPerSecond = 0.25
-	// asksPerPermit is how often nodes that were denied ask for each permit.
+	// minPerSecond is the rate at which permits are issued for lower limits. Without any
+	// requests the nodes would never learn that the limit has ended, because only a
+	// response says so.
+	minPerSecond = 0.25
+	// asksPerPermit is how often the denied nodes together should ask for each permit.
 	asksPerPermit = 4
-	// leastAgain and mostAgain bound the time after which a node asks again.
-	leastAgain = 20 * time.Millisecond
-	mostAgain  = 2 * time.Second
-	// pauseStep is by how much the pause grows or shrinks with each node that is denied,
-	// and askMemory the time over which asks are counted for that.
+	// minPause and maxPause bound the time after which a denied node asks again.
+	minPause = 20 * time.Millisecond
+	maxPause = 2 * time.Second
+	// pauseStep is the factor by which the pause grows or shrinks with each denial.
+	// askWindow is the time constant of the average rate of asks that decides which.
 	pauseStep = 1.25
-	askMemory = time.Second
-	// bucketMemory is how long a bucket is kept that nobody asks for.
-	bucketMemory = time.Minute
+	askWindow = time.Second
+	// bucketTTL is how long a bucket is kept after the last ask for it.
+	bucketTTL = time.Minute
 )
 
-// Dealer deals out permits for the upstreams that have fallen to this node.
+// Dealer issues the permits for the upstreams that are assigned to this node.
 type Dealer struct {
 	mu      sync.Mutex
 	buckets map[string]*bucket
 	sweptAt time.Time
 }
 
-// bucket is what one upstream takes.
+// bucket is the token bucket of one upstream.
 type bucket struct {
-	limiter *rate.Limiter
-	since   time.Time
-	askedAt time.Time
-	// asks is how often nodes asked lately, a second.
-	asks float64
-	// pause is what a node that is denied waits before it asks again.
+	limiter   *rate.Limiter
+	createdAt time.Time
+	askedAt   time.Time
+	// askRate is the recent rate of asks per second.
+	askRate float64
+	// pause is how long a denied node waits on average before it asks again, unless a
+	// permit becomes available only later.
 	pause time.Duration
 }
 
-// NewDealer returns a dealer without buckets.
+// NewDealer returns a Dealer without buckets.
 func NewDealer() *Dealer { return &Dealer{buckets: map[string]*bucket{}} }
 
-// Deal decides whether a request that can wait for so long may be sent to an engine of a
-// limit.
-func (d *Dealer) Deal(engine string, perSecond float64, patience time.Duration, now time.Time) Decision {
+// Deal decides whether a request may be sent to an engine that accepts perSecond requests
+// per second. maxWait is how long the request can wait for its permit.
+func (d *Dealer) Deal(engine string, perSecond float64, maxWait time.Duration, now time.Time) Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.sweep(now)
@@ -96,63 +101,64 @@
 		b = newBucket(perSecond, now)
 		d.buckets[engine] = b
 	}
-	return b.deal(perSecond, patience, now)
+	return b.issue(perSecond, maxWait, now)
 }
 
 func newBucket(perSecond float64, now time.Time) *bucket {
-	b := &bucket{limiter: rate.NewLimiter(rate.Limit(warm(perSecond)), burst), since: now, askedAt: now, pause: leastAgain}
+	b := &bucket{limiter: rate.NewLimiter(rate.Limit(warmUpRate(perSecond)), burst), createdAt: now, askedAt: now, pause: minPause}
 	b.limiter.ReserveN(now, burst)
 	return b
 }
 
-// warm is what is dealt out of a limit at first.
-func warm(perSecond float64) float64 { return max(leastPerSecond, perSecond/2) }
+// warmUpRate returns the rate at which permits are issued during warmUp.
+func warmUpRate(perSecond float64) float64 { return max(minPerSecond, perSecond/2) }
 
-func (b *bucket) deal(perSecond float64, patience time.Duration, now time.Time) Decision {
-	perSecond = max(leastPerSecond, perSecond)
-	if now.Sub(b.since) < warmUp {
-		perSecond = warm(perSecond)
+func (b *bucket) issue(perSecond float64, maxWait time.Duration, now time.Time) Decision {
+	perSecond = max(minPerSecond, perSecond)
+	if now.Sub(b.createdAt) < warmUp {
+		perSecond = warmUpRate(perSecond)
 	}
 	if rate.Limit(perSecond) != b.limiter.Limit() {
 		b.limiter.SetLimitAt(now, rate.Limit(perSecond))
 	}
-	b.count(now)
+	b.countAsk(now)
 	permit := b.limiter.ReserveN(now, 1)
 	wait := permit.DelayFrom(now)
-	if wait <= patience {
+	if wait <= maxWait {
 		return Granted{After: wait}
 	}
 	permit.CancelAt(now)
-	return Denied{Free: wait, Again: b.again(perSecond, wait)}
+	return Denied{Free: wait, Again: b.retryAfter(perSecond, wait)}
 }
 
-// count adds one to the asks of late.
-func (b *bucket) count(now time.Time) {
-	b.asks = b.asks*math.Exp(-now.Sub(b.askedAt).Seconds()/askMemory.Seconds()) + 1/askMemory.Seconds()
+// countAsk adds one ask to the exponentially weighted rate of asks.
+func (b *bucket) countAsk(now time.Time) {
+	b.askRate = b.askRate*math.Exp(-now.Sub(b.askedAt).Seconds()/askWindow.Seconds()) + 1/askWindow.Seconds()
 	b.askedAt = now
 }
 
-// again is when a node that is denied asks again. The pause follows how often nodes ask,
-// so that neither their number sets what the dealer has to answer, nor a few of them that
-// have all the requests leave permits unused.
-func (b *bucket) again(perSecond float64, wait time.Duration) time.Duration {
-	if b.asks > asksPerPermit*perSecond+1/askMemory.Seconds() {
-		b.pause = min(mostAgain, time.Duration(float64(b.pause)*pauseStep))
+// retryAfter returns the time after which a denied node should ask again, with jitter.
+// The pause adapts to the rate of asks. The load on the issuer therefore does not grow
+// with the number of nodes, and a few nodes that have all the requests do not leave
+// permits unused.
+func (b *bucket) retryAfter(perSecond float64, wait time.Duration) time.Duration {
+	if b.askRate > asksPerPermit*perSecond+1/askWindow.Seconds() {
+		b.pause = min(maxPause, time.Duration(float64(b.pause)*pauseStep))
 	} else {
-		b.pause = max(leastAgain, time.Duration(float64(b.pause)/pauseStep))
+		b.pause = max(minPause, time.Duration(float64(b.pause)/pauseStep))
 	}
-	again := max(wait, b.pause)
-	return again/2 + rand.N(again)
+	retryAfter := max(wait, b.pause)
+	return retryAfter/2 + rand.N(retryAfter)
 }
 
-// sweep drops the buckets that nobody asks for.
+// sweep drops the buckets for which no node has asked lately.
 func (d *Dealer) sweep(now time.Time) {
-	if now.Sub(d.sweptAt) < bucketMemory {
+	if now.Sub(d.sweptAt) < bucketTTL {
 		return
 	}
 	d.sweptAt = now
 	for engine, b := range d.buckets {
-		if now.Sub(b.askedAt) > bucketMemory {
+		if now.Sub(b.askedAt) > bucketTTL {
 			delete(d.buckets, engine)
 		}
 	}
