--- a/citronlimit/book.go
+++ b/citronlimit/book.go
@@ -1,11 +1,12 @@
-// Package citronlimit keeps the rate limits that upstreams name in their answers.
+// Package citronlimit tracks the rate limits that upstreams set in their responses.
 //
-// An upstream in need names how many requests a second it takes from all nodes, for
-// as long as its answers say so. A node that is told tells the others:
+// An overloaded upstream states how many requests per second it accepts from all nodes
+// together. The limit is in effect for as long as its responses state it. A node that
+// learns of a limit shares it with the other nodes:
 //
-//	answer --Heard--> book --Recent, All--> other nodes --Learn--> their books
+//	response --Heard--> book --Recent, All--> other nodes --Learn--> their books
 //
-// What is sent under a limit is decided by the permits of citronpermit.
+// The permits of citronpermit decide which requests are sent under a limit.
 package citronlimit
 
 import (
@@ -18,65 +19,71 @@
 	"citrondeck.dev/citrondeck/citronupstream"
 )
 
-// holdFor is how long a limit stands at least. One that an upstream names and takes
-// back several times a second would else let through all that came in between.
-const holdFor = time.Second
+// minLimitDuration is how long a limit stays in effect at least after it was last stated.
+// Otherwise, an upstream that sets and lifts its limit several times a second would receive
+// all requests that arrive in between.
+const minLimitDuration = time.Second
 
-// Record is what is known of the limit of one start of an upstream.
+// Record is the rate limit of one start of an upstream.
 type Record struct {
-	// Limited: it names a limit. PerSecond is how many requests a second it takes
-	// from all nodes together.
+	// Limited is set if the upstream has set a limit. PerSecond is the number of requests
+	// per second that it accepts from all nodes together.
 	Limited   bool
 	PerSecond float64
-	// Version orders the records of one upstream: nodes have no common clock.
+	// Version orders the records of one upstream, because the nodes do not share a
+	// clock.
 	Version int64
 }
 
-// stricter reports whether r allows less than o.
+// stricter reports whether r allows fewer requests than o.
 func (r Record) stricter(o Record) bool {
 	return r.Limited && (!o.Limited || r.PerSecond < o.PerSecond)
 }
 
-// same reports whether r and o allow the same.
-func (r Record) same(o Record) bool {
+// sameLimit reports whether r and o allow the same number of requests.
+func (r Record) sameLimit(o Record) bool {
 	return r.Limited == o.Limited && r.PerSecond == o.PerSecond
 }
 
-// Book is what this node knows of the limits of all upstreams, by engine id. Each
-// start of an engine has an id of its own.
+// Book holds the limits of all upstreams that this node knows, by engine ID. Each start of
+// an engine has its own ID.
 type Book struct {
 	clock citronclock.Clock
-	// records is replaced as a whole: each request reads it.
+	// records is immutable and replaced as a whole, so that every request can read it
+	// without a lock.
 	records atomic.Pointer[map[string]Record]
 	// sum is the checksum of records.
-	sum     atomic.Uint64
-	changed func(eased []string)
+	sum atomic.Uint64
+	// onChange is called when there is an update for other nodes. relaxed holds the
+	// engines that accept more requests than before.
+	onChange func(relaxed []string)
 
 	mu sync.Mutex
-	// listed reports whether an engine is in the list.
-	listed func(engine string) bool
-	// changedAt is when a record last changed here, for what is news; heldSince is
-	// when a limit was last named, for holdFor.
-	changedAt, heldSince map[string]time.Time
-	// easing are milder records that count once holdFor is over.
-	easing map[string]Record
+	// isListed reports whether an engine is in the engine list.
+	isListed func(engine string) bool
+	// changedAt is when a record last changed on this node, which decides whether it is
+	// recent. limitedAt is when a limit was last stated, for minLimitDuration.
+	changedAt, limitedAt map[string]time.Time
+	// pending holds less strict records that take effect after minLimitDuration.
+	pending map[string]Record
 }
 
-// NewBook returns a book in which no upstream is limited.
+// NewBook returns a Book in which no upstream is limited.
 func NewBook(clock citronclock.Clock) *Book {
-	b := &Book{clock: clock, changed: func([]string) {}, listed: func(string) bool { return false }, changedAt: map[string]time.Time{}, heldSince: map[string]time.Time{}, easing: map[string]Record{}}
+	b := &Book{clock: clock, onChange: func([]string) {}, isListed: func(string) bool { return false }, changedAt: map[string]time.Time{}, limitedAt: map[string]time.Time{}, pending: map[string]Record{}}
 	b.records.Store(&map[string]Record{})
 	return b
 }
 
-// Notify has f called when there is news for other nodes, with the engines that take
-// more than before. It is set before the book is used, and must not wait.
-func (b *Book) Notify(f func(eased []string)) { b.changed = f }
+// Notify sets the function that is called when there is an update for other nodes.
+// relaxed holds the engines that accept more requests than before. Notify must be called
+// before the book is used, and f must not block.
+func (b *Book) Notify(f func(relaxed []string)) { b.onChange = f }
 
-// Of returns what is known of an engine.
+// Of returns the record of an engine. It is the zero Record if the engine has none.
 func (b *Book) Of(engine string) Record { return (*b.records.Load())[engine] }
 
-// Limited counts the engines that name a limit.
+// Limited returns the number of engines that have set a limit.
 func (b *Book) Limited() int {
 	n := 0
 	for _, r := range *b.records.Load() {
@@ -87,91 +94,93 @@
 	return n
 }
 
-// Heard takes what an answer of an engine said. before is what was known of the
-// engine when the request was sent. It returns what is known now and whether that is
-// news.
+// Heard processes the rate limit in a response of an engine. before is the engine's record
+// at the time when the request was sent. Heard returns the current record and whether it
+// has changed.
 //
-// Answers overtake each other. A stricter limit counts at once; a milder one, or the
-// end of a limit, only from an answer to a request that was sent with the newest
-// record known: an earlier request may have been answered before the limit was named.
-func (b *Book) Heard(engine string, before Record, said citronupstream.RateLimit) (Record, bool) {
+// Responses may arrive out of order. A stricter limit takes effect at once. A less strict
+// limit, or the end of a limit, takes effect only if the request was sent when the current
+// record was already known. An earlier request may have been answered before the limit was
+// set.
+func (b *Book) Heard(engine string, before Record, reported citronupstream.RateLimit) (Record, bool) {
 	next := Record{}
-	switch s := said.(type) {
+	switch s := reported.(type) {
 	case citronupstream.PerSecond:
 		next.Limited, next.PerSecond = true, float64(s)
 	case citronupstream.NoRateLimit:
 	default:
 		return b.Of(engine), false
 	}
-	if known := b.Of(engine); !next.Limited && known.same(next) {
+	if known := b.Of(engine); !next.Limited && known.sameLimit(next) {
 		return known, false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known, now := b.Of(engine), b.clock.Now()
 	if next.Limited && !known.stricter(next) {
-		b.heldSince[engine] = now
-		delete(b.easing, engine)
+		b.limitedAt[engine] = now
+		delete(b.pending, engine)
 	}
 	next.Version = known.Version + 1
 	switch {
-	case known.same(next):
+	case known.sameLimit(next):
 		return known, false
 	case next.stricter(known):
 	case before.Version != known.Version:
 		return known, false
-	case now.Sub(b.heldSince[engine]) < holdFor:
-		b.easing[engine] = next
+	case now.Sub(b.limitedAt[engine]) < minLimitDuration:
+		b.pending[engine] = next
 		return known, false
 	}
 	b.set(map[string]Record{engine: next})
 	return next, true
 }
 
-// Tick puts the milder records in force whose limits have stood for long enough.
+// Tick puts pending records into effect if the limits that they replace were last stated at
+// least minLimitDuration ago.
 func (b *Book) Tick() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now, due := b.clock.Now(), map[string]Record{}
-	for engine, r := range b.easing {
+	for engine, r := range b.pending {
 		switch {
 		case r.Version != b.Of(engine).Version+1:
-			delete(b.easing, engine)
-		case now.Sub(b.heldSince[engine]) >= holdFor:
+			delete(b.pending, engine)
+		case now.Sub(b.limitedAt[engine]) >= minLimitDuration:
 			due[engine] = r
-			delete(b.easing, engine)
+			delete(b.pending, engine)
 		}
 	}
 	b.set(due)
 }
 
-// set puts newer records in force, and has other nodes hear of them.
+// set puts newer records into effect and calls onChange. The caller must hold b.mu.
 func (b *Book) set(newer map[string]Record) {
 	if len(newer) == 0 {
 		return
 	}
 	now := b.clock.Now()
 	next := maps.Clone(*b.records.Load())
-	var eased []string
+	var relaxed []string
 	for engine, r := range newer {
 		if next[engine].stricter(r) {
-			eased = append(eased, engine)
+			relaxed = append(relaxed, engine)
 		}
 		next[engine] = r
 		b.changedAt[engine] = now
 		if r.Limited {
-			b.heldSince[engine] = now
+			b.limitedAt[engine] = now
 		}
 	}
 	b.replace(next)
-	b.changed(eased)
+	b.onChange(relaxed)
 }
 
 func (b *Book) replace(records map[string]Record) {
 	b.records.Store(&records)
-	b.sum.Store(sumOf(records))
+	b.sum.Store(checksum(records))
 	gone := func(engine string, _ time.Time) bool { _, ok := records[engine]; return !ok }
 	maps.DeleteFunc(b.changedAt, gone)
-	maps.DeleteFunc(b.heldSince, gone)
-	maps.DeleteFunc(b.easing, func(engine string, _ Record) bool { _, ok := records[engine]; return !ok })
+	maps.DeleteFunc(b.limitedAt, gone)
+	maps.DeleteFunc(b.pending, func(engine string, _ Record) bool { _, ok := records[engine]; return !ok })
 }
--- a/citronlimit/gossip.go
+++ b/citronlimit/gossip.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// gossipTTL is how long a change is news to other nodes, and maxRecent how many
-	// changes are told as news at once. The rest is told in exchanges.
+	// gossipTTL is how long a change counts as recent, and maxRecent is the maximum number
+	// of recent changes in one message. Exchanges between nodes transfer the rest.
 	gossipTTL = 2 * time.Second
 	maxRecent = 64
-	// maxRecords bounds what another node may tell at once.
+	// maxRecords is the maximum number of records in a message from another node.
 	maxRecords = 8192
-	// maxVersionStep bounds how far the version of another node may be ahead: a
-	// record of a later version is never overtaken.
+	// maxVersionStep is how far the version of a received record may be ahead of the
+	// known one. No later record could supersede a record with the highest version.
 	maxVersionStep = 1 << 20
 )
 
-// supersedes reports whether r takes the place of o. Two nodes that learn something at
-// the same time make records of one version; the stricter counts.
+// supersedes reports whether r replaces o. Two nodes that learn of a change at the same
+// time create records with the same version. Of these, the stricter one takes precedence.
 func (r Record) supersedes(o Record) bool {
 	if r.Version != o.Version {
 		return r.Version > o.Version
@@ -34,7 +34,7 @@
 	return r.stricter(o)
 }
 
-// Wire returns the form in which other nodes get the record of an engine.
+// Wire returns the record of an engine as it is sent to other nodes.
 func (r Record) Wire(engine string) citronpeer.Limit {
 	return citronpeer.Limit{Engine: engine, Limited: r.Limited, PerSecond: r.PerSecond, Version: r.Version}
 }
@@ -43,33 +43,33 @@
 	r := Record{Limited: l.Limited, PerSecond: l.PerSecond, Version: l.Version}
 	switch {
 	case l.Engine == "":
-		return r, errors.New("limit of no engine")
+		return r, errors.New("rate limit has an empty engine ID")
 	case math.IsNaN(l.PerSecond) || math.IsInf(l.PerSecond, 0) || l.PerSecond < 0:
-		return r, errors.Newf("limit of %g a second", l.PerSecond)
+		return r, errors.Newf("rate limit of %g requests per second is not a finite, non-negative number", l.PerSecond)
 	case l.Version < 0 || l.Version > b.Of(l.Engine).Version+maxVersionStep:
-		return r, errors.Newf("limit of version %d", l.Version)
+		return r, errors.Newf("rate limit has version %d, which is negative or too far ahead of the known version", l.Version)
 	}
 	return r, nil
 }
 
-// Learn takes what another node told, of engines that this node has in its list. An
-// invalid message is not taken at all.
-func (b *Book) Learn(told []citronpeer.Limit) error {
-	if len(told) == 0 {
+// Learn merges the limits that another node sent. It ignores engines that are not in this
+// node's engine list, and rejects a message as a whole if any part of it is invalid.
+func (b *Book) Learn(received []citronpeer.Limit) error {
+	if len(received) == 0 {
 		return nil
 	}
-	if len(told) > maxRecords {
-		return errors.Newf("%d limits at once", len(told))
+	if len(received) > maxRecords {
+		return errors.Newf("%d rate limits exceed the maximum per message", len(received))
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	newer := map[string]Record{}
-	for _, l := range told {
+	for _, l := range received {
 		r, err := b.decode(l)
 		if err != nil {
 			return err
 		}
-		if b.listed(l.Engine) && r.supersedes(b.Of(l.Engine)) {
+		if b.isListed(l.Engine) && r.supersedes(b.Of(l.Engine)) {
 			newer[l.Engine] = r
 		}
 	}
@@ -77,22 +77,24 @@
 	return nil
 }
 
-// Retain forgets engines that are not in the list of engines.
-func (b *Book) Retain(listed func(engine string) bool) {
+// Retain drops the records of engines that are not in the engine list. Learn uses the same
+// function to ignore such engines.
+func (b *Book) Retain(isListed func(engine string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.listed = listed
+	b.isListed = isListed
 	if len(*b.records.Load()) == 0 {
 		return
 	}
 	next := maps.Clone(*b.records.Load())
-	maps.DeleteFunc(next, func(engine string, _ Record) bool { return !listed(engine) })
+	maps.DeleteFunc(next, func(engine string, _ Record) bool { return !isListed(engine) })
 	if len(next) < len(*b.records.Load()) {
 		b.replace(next)
 	}
 }
 
-// Recent returns what other nodes may not have heard yet.
+// Recent returns at most maxRecent records that have changed recently and that other nodes
+// may not have received yet.
 func (b *Book) Recent() []citronpeer.Limit {
 	if len(*b.records.Load()) == 0 {
 		return nil
@@ -110,7 +112,7 @@
 	return out
 }
 
-// All returns everything that is known, by engine.
+// All returns all records, sorted by engine ID.
 func (b *Book) All() []citronpeer.Limit {
 	var out []citronpeer.Limit
 	for engine, r := range *b.records.Load() {
@@ -120,11 +122,12 @@
 	return out
 }
 
-// Sum is a checksum of all that is known; zero if that is nothing.
+// Sum returns a checksum of all records, and zero if there are none.
 func (b *Book) Sum() uint64 { return b.sum.Load() }
 
-// sumOf adds up a hash of each record, so that their order does not matter.
-func sumOf(records map[string]Record) uint64 {
+// checksum returns the sum of the hashes of all records, which does not depend on their
+// order.
+func checksum(records map[string]Record) uint64 {
 	var sum uint64
 	var text []byte
 	for engine, r := range records {
