--- a/citronlimit/book_test.go
+++ b/citronlimit/book_test.go
@@ -10,36 +10,37 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a limit that is lifted by an answer that began before it was named.
-func TestOlderAnswerDoesNotLiftALimit(t *testing.T) {
+// Guards against a limit that is lifted by the response to a request that was sent before
+// the limit was set.
+func TestOlderResponseDoesNotLiftLimit(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	b := citronlimit.NewBook(clock)
 	before := b.Of("i-1")
-	r, news := b.Heard("i-1", before, citronupstream.PerSecond(4))
-	is.True(news)
+	r, updated := b.Heard("i-1", before, citronupstream.PerSecond(4))
+	is.True(updated)
 	is.True(r.Limited)
-	_, news = b.Heard("i-1", before, citronupstream.NoRateLimit{})
-	is.True(!news)
-	_, news = b.Heard("i-1", before, citronupstream.PerSecond(9))
-	is.True(!news)
-	_, news = b.Heard("i-1", before, citronupstream.PerSecond(2.5))
-	is.True(news) // a stricter one counts at once
+	_, updated = b.Heard("i-1", before, citronupstream.NoRateLimit{})
+	is.True(!updated)
+	_, updated = b.Heard("i-1", before, citronupstream.PerSecond(9))
+	is.True(!updated)
+	_, updated = b.Heard("i-1", before, citronupstream.PerSecond(2.5))
+	is.True(updated) // a stricter limit takes effect at once
 	is.Equal(b.Of("i-1").PerSecond, 2.5)
 	clock.Advance(2 * time.Second)
-	r, news = b.Heard("i-1", b.Of("i-1"), citronupstream.NoRateLimit{})
-	is.True(news)
+	r, updated = b.Heard("i-1", b.Of("i-1"), citronupstream.NoRateLimit{})
+	is.True(updated)
 	is.True(!r.Limited)
 	is.Equal(b.Limited(), 0)
 }
 
-func TestInvalidLimitSaysNothing(t *testing.T) {
+func TestInvalidLimitIsIgnored(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	b := citronlimit.NewBook(clock)
 	b.Heard("i-1", b.Of("i-1"), citronupstream.PerSecond(4))
-	_, news := b.Heard("i-1", b.Of("i-1"), citronupstream.InvalidRateLimit("fast"))
-	is.True(!news)
+	_, updated := b.Heard("i-1", b.Of("i-1"), citronupstream.InvalidRateLimit("fast"))
+	is.True(!updated)
 	is.Equal(b.Of("i-1").PerSecond, 4.0)
 	is.Equal(b.Of("i-2"), citronlimit.Record{})
 }
--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -14,38 +14,38 @@
 	"pgregory.net/rapid"
 )
 
-func listed(engine string) bool { return engine == "i-1" || engine == "i-2" }
+func isListed(engine string) bool { return engine == "i-1" || engine == "i-2" }
 
 func newBook(c citronclock.Clock) *citronlimit.Book {
 	b := citronlimit.NewBook(c)
-	b.Retain(listed)
+	b.Retain(isListed)
 	return b
 }
 
-// Guards against a limit that comes and goes several times a second, and lets through
-// all that comes in between.
-func TestLimitStandsForASecondAtLeast(t *testing.T) {
+// Guards against a limit that is set and lifted several times a second and does not apply
+// to the requests in between.
+func TestLimitStaysInEffectForAtLeastOneSecond(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	b := newBook(clock)
-	hear := func(l citronupstream.RateLimit) { b.Heard("i-1", b.Of("i-1"), l) }
+	respond := func(l citronupstream.RateLimit) { b.Heard("i-1", b.Of("i-1"), l) }
 	for range 20 {
-		hear(citronupstream.PerSecond(4))
+		respond(citronupstream.PerSecond(4))
 		clock.Advance(300 * time.Millisecond)
-		hear(citronupstream.NoRateLimit{})
+		respond(citronupstream.NoRateLimit{})
 		is.True(b.Of("i-1").Limited)
 		clock.Advance(300 * time.Millisecond)
 	}
 	b.Tick()
 	is.True(b.Of("i-1").Limited)
 	clock.Advance(500 * time.Millisecond)
-	b.Tick() // nothing was named since its last answer without a limit
+	b.Tick() // no response since the last one without a limit has set a limit
 	is.True(!b.Of("i-1").Limited)
 }
 
-// Guards against news that overtakes later news, and against a limit that outlives its
-// engine.
-func TestLaterRecordsWinInAnyOrder(t *testing.T) {
+// Guards against an old update that replaces a newer one because it arrives later, and
+// against a limit that is kept after its engine has left the engine list.
+func TestNewerRecordsWinInAnyOrder(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	b := newBook(clock)
@@ -55,15 +55,15 @@
 	is.NoErr(b.Learn([]citronpeer.Limit{limited}))
 	is.True(!b.Of("i-1").Limited)
 	is.NoErr(b.Learn([]citronpeer.Limit{{Engine: "i-1", Limited: true, PerSecond: 4, Version: 2}}))
-	is.True(b.Of("i-1").Limited) // of one version the stricter counts
+	is.True(b.Of("i-1").Limited) // of two records with the same version, the stricter one wins
 	is.NoErr(b.Learn([]citronpeer.Limit{{Engine: "i-9", Limited: true, PerSecond: 4, Version: 2}}))
-	is.Equal(b.Limited(), 1) // i-9 is not in the list
+	is.Equal(b.Limited(), 1) // i-9 is not in the engine list
 	b.Retain(func(engine string) bool { return engine == "i-2" })
 	is.Equal(b.Of("i-1"), citronlimit.Record{})
 	is.Equal(b.Sum(), uint64(0))
 }
 
-func TestInvalidMessageIsNotTaken(t *testing.T) {
+func TestInvalidMessageIsRejected(t *testing.T) {
 	for _, l := range []citronpeer.Limit{
 		{Limited: true, PerSecond: 1, Version: 1},
 		{Engine: "i-1", Limited: true, PerSecond: -1, Version: 1},
@@ -79,8 +79,8 @@
 	}
 }
 
-// Guards against nodes that never agree: whatever they hear and in whatever order they
-// tell each other, they end with the same records.
+// Guards against nodes that do not converge: whatever responses they receive, and in
+// whatever order they exchange messages, they end up with the same records.
 func TestBooksAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(0, 0))
@@ -118,7 +118,7 @@
 		}
 		for _, b := range books[1:] {
 			if b.Sum() != books[0].Sum() {
-				t.Fatalf("%v and %v", books[0].All(), b.All())
+				t.Fatalf("books have different records: %v and %v", books[0].All(), b.All())
 			}
 		}
 	})
@@ -131,17 +131,17 @@
 	}
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var told []citronpeer.Limit
-		if cbor.Unmarshal(text, &told) != nil {
+		var received []citronpeer.Limit
+		if cbor.Unmarshal(text, &received) != nil {
 			return
 		}
 		b := newBook(citronclock.Real{})
-		if err := b.Learn(told); err != nil && len(b.All()) > 0 {
-			t.Fatal("an invalid message was taken")
+		if err := b.Learn(received); err != nil && len(b.All()) > 0 {
+			t.Fatal("records of an invalid message were accepted")
 		}
 		for _, l := range b.All() {
 			if math.IsNaN(l.PerSecond) || l.PerSecond < 0 {
-				t.Fatalf("limit of %g", l.PerSecond)
+				t.Fatalf("invalid limit of %g requests per second was accepted", l.PerSecond)
 			}
 		}
 	})
