--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -37,7 +37,7 @@
 	// Free is the time after which a permit becomes available.
 	Free time.Duration
 	// Again is the time after which the node should ask again. It may differ from Free
-	// because other nodes ask for the same permits.
+	// because other nodes request the same permits.
 	Again time.Duration
 }
 
@@ -55,16 +55,16 @@
 	// requests the nodes would never learn that the limit has ended, because only a
 	// response says so.
 	minPerSecond = 0.25
-	// asksPerPermit is how often the denied nodes together should ask for each permit.
-	asksPerPermit = 4
+	// requestsPerPermit is how often the denied nodes together should request each permit.
+	requestsPerPermit = 4
 	// minPause and maxPause bound the time after which a denied node asks again.
 	minPause = 20 * time.Millisecond
 	maxPause = 2 * time.Second
 	// pauseStep is the factor by which the pause grows or shrinks with each denial.
-	// askWindow is the time constant of the average rate of asks that decides which.
-	pauseStep = 1.25
-	askWindow = time.Second
-	// bucketTTL is how long a bucket is kept after the last ask for it.
+	// rateWindow is the time constant of the average request rate that decides which.
+	pauseStep  = 1.25
+	rateWindow = time.Second
+	// bucketTTL is how long a bucket is kept after the last permit request for it.
 	bucketTTL = time.Minute
 )
 
@@ -77,11 +77,11 @@
 
 // bucket is the token bucket of one upstream.
 type bucket struct {
-	limiter   *rate.Limiter
-	createdAt time.Time
-	askedAt   time.Time
-	// askRate is the recent rate of asks per second.
-	askRate float64
+	limiter     *rate.Limiter
+	createdAt   time.Time
+	requestedAt time.Time
+	// requestRate is the recent number of permit requests per second.
+	requestRate float64
 	// pause is how long a denied node waits on average before it asks again, unless a
 	// permit becomes available only later.
 	pause time.Duration
@@ -105,7 +105,7 @@
 }
 
 func newBucket(perSecond float64, now time.Time) *bucket {
-	b := &bucket{limiter: rate.NewLimiter(rate.Limit(warmUpRate(perSecond)), burst), createdAt: now, askedAt: now, pause: minPause}
+	b := &bucket{limiter: rate.NewLimiter(rate.Limit(warmUpRate(perSecond)), burst), createdAt: now, requestedAt: now, pause: minPause}
 	b.limiter.ReserveN(now, burst)
 	return b
 }
@@ -121,7 +121,7 @@
 	if rate.Limit(perSecond) != b.limiter.Limit() {
 		b.limiter.SetLimitAt(now, rate.Limit(perSecond))
 	}
-	b.countAsk(now)
+	b.countRequest(now)
 	permit := b.limiter.ReserveN(now, 1)
 	wait := permit.DelayFrom(now)
 	if wait <= maxWait {
@@ -131,18 +131,18 @@
 	return Denied{Free: wait, Again: b.retryAfter(perSecond, wait)}
 }
 
-// countAsk adds one ask to the exponentially weighted rate of asks.
-func (b *bucket) countAsk(now time.Time) {
-	b.askRate = b.askRate*math.Exp(-now.Sub(b.askedAt).Seconds()/askWindow.Seconds()) + 1/askWindow.Seconds()
-	b.askedAt = now
+// countRequest adds one permit request to the exponentially weighted request rate.
+func (b *bucket) countRequest(now time.Time) {
+	b.requestRate = b.requestRate*math.Exp(-now.Sub(b.requestedAt).Seconds()/rateWindow.Seconds()) + 1/rateWindow.Seconds()
+	b.requestedAt = now
 }
 
 // retryAfter returns the time after which a denied node should ask again, with jitter.
-// The pause adapts to the rate of asks. The load on the issuer therefore does not grow
+// The pause adapts to the request rate. The load on the issuer therefore does not grow
 // with the number of nodes, and a few nodes that have all the requests do not leave
 // permits unused.
 func (b *bucket) retryAfter(perSecond float64, wait time.Duration) time.Duration {
-	if b.askRate > asksPerPermit*perSecond+1/askWindow.Seconds() {
+	if b.requestRate > requestsPerPermit*perSecond+1/rateWindow.Seconds() {
 		b.pause = min(maxPause, time.Duration(float64(b.pause)*pauseStep))
 	} else {
 		b.pause = max(minPause, time.Duration(float64(b.pause)/pauseStep))
@@ -151,14 +151,14 @@
 	return retryAfter/2 + rand.N(retryAfter)
 }
 
-// sweep drops the buckets for which no node has asked lately.
+// sweep drops the buckets for which no node has requested permits lately.
 func (d *Dealer) sweep(now time.Time) {
 	if now.Sub(d.sweptAt) < bucketTTL {
 		return
 	}
 	d.sweptAt = now
 	for engine, b := range d.buckets {
-		if now.Sub(b.askedAt) > bucketTTL {
+		if now.Sub(b.requestedAt) > bucketTTL {
 			delete(d.buckets, engine)
 		}
 	}
--- a/citronpermit/model_test.go
+++ b/citronpermit/model_test.go
@@ -38,8 +38,8 @@
 type strategy interface {
 	// allow reports whether a node may send a request now.
 	allow(node int, now time.Time) bool
-	// asks returns the number of asks for permits so far.
-	asks() int
+	// permitRequests returns the number of permit requests so far.
+	permitRequests() int
 }
 
 // equalShares divides the limit equally between the nodes.
@@ -54,28 +54,28 @@
 }
 
 func (s *equalShares) allow(node int, now time.Time) bool { return s.buckets[node].AllowN(now, 1) }
-func (s *equalShares) asks() int                          { return 0 }
+func (s *equalShares) permitRequests() int                { return 0 }
 
 // oneSender lets only one node send.
 type oneSender struct{ bucket *rate.Limiter }
 
 func (s *oneSender) allow(node int, now time.Time) bool { return node == 0 && s.bucket.AllowN(now, 1) }
-func (s *oneSender) asks() int                          { return 0 }
+func (s *oneSender) permitRequests() int                { return 0 }
 
 // singleIssuer makes the nodes ask one permit issuer.
 type singleIssuer struct {
 	issuer    *citronpermit.Dealer
 	perSecond float64
 	// retryAt is when each node may ask again.
-	retryAt []time.Time
-	asked   int
+	retryAt   []time.Time
+	requested int
 }
 
 func (s *singleIssuer) allow(node int, now time.Time) bool {
 	if now.Before(s.retryAt[node]) {
 		return false
 	}
-	s.asked++
+	s.requested++
 	d, denied := s.issuer.Deal(engineID, s.perSecond, 0, now).(citronpermit.Denied)
 	if denied {
 		s.retryAt[node] = now.Add(d.Again)
@@ -83,7 +83,7 @@
 	return !denied
 }
 
-func (s *singleIssuer) asks() int { return s.asked }
+func (s *singleIssuer) permitRequests() int { return s.requested }
 
 // load is the demand for an engine: perSecond requests per second, distributed over the
 // nodes.
@@ -137,7 +137,7 @@
 					shares, sender := l.run(newEqualShares(nodes, perSecond), duration), l.run(&oneSender{rate.NewLimiter(rate.Limit(perSecond), 2)}, duration)
 					s := &singleIssuer{issuer: citronpermit.NewDealer(), perSecond: perSecond, retryAt: make([]time.Time, nodes)}
 					permits := l.run(s, duration)
-					t.Logf("maximum number of requests in 4 s (%d allowed) and share of the limit used: equal shares %d, %.2f; one sender %d, %.2f; permits %d, %.2f with %.1f asks per second", allowed(perSecond), maxInWindow(shares), share(shares), maxInWindow(sender), share(sender), maxInWindow(permits), share(permits), float64(s.asks())/duration.Seconds())
+					t.Logf("maximum number of requests in 4 s (%d allowed) and share of the limit used: equal shares %d, %.2f; one sender %d, %.2f; permits %d, %.2f with %.1f permit requests per second", allowed(perSecond), maxInWindow(shares), share(shares), maxInWindow(sender), share(sender), maxInWindow(permits), share(permits), float64(s.permitRequests())/duration.Seconds())
 					is.True(maxInWindow(permits) <= allowed(perSecond))
 					is.True(share(permits) >= 0.8)
 				})
