--- a/citronbudget/budget.go
+++ b/citronbudget/budget.go
@@ -1,20 +1,22 @@
-// Package citronbudget limits how often nodes send requests again.
+// Package citronbudget limits how many retries the nodes send.
 //
-// When engines fail, every request in flight wants a second try at once.
-// Without a limit the second tries arrive on top of the ordinary load just
-// when capacity is lowest, and the failure spreads. The nodes share one
-// budget for each service: a share of its requests plus a fixed slack in any
-// window.
+// When engines fail, every request in flight wants a retry at the same time.
+// Without a limit the retries add to the ordinary load when capacity is
+// lowest, and the failure spreads. All nodes share one retry budget per
+// service: a fraction of the service's requests plus a fixed slack, counted
+// in a sliding window.
 //
-// A failure hits the nodes unevenly: those of the zone whose engine died
-// need many repeats at once, the others none. So the budget is not divided
-// for good. Nodes tell each other what they have used; in each interval a
-// node may use an equal part of what was left at the last news, so that a
-// node in need gets more and more of what the others leave, and all of them
-// together cannot pass the limit however late within an interval they use
-// theirs. In a large fleet an equal part is a repeat or two, so a node in need
-// borrows from others what they were dealt: what is lent is theirs no more,
-// and all together have what they had, also if the answer is lost on the way.
+// A failure affects the nodes unevenly: the nodes in the zone of the failed
+// engine need many retries at once, the other nodes none. The budget is
+// therefore not divided permanently. Nodes tell each other how many retries
+// they have used. In each allocation interval a node may use an equal share
+// of what was left at the last update. A node in need thus gets more and more
+// of what the other nodes leave, and all nodes together stay within the limit
+// however late in an interval they use their shares.
+//
+// In a large fleet an equal share is only one or two retries, so a node in
+// need borrows from other nodes. The lender gives up what it lends, so the
+// total does not grow, even if the answer is lost on the way.
 package citronbudget
 
 import (
@@ -24,199 +26,213 @@
 	"time"
 )
 
-// Limits is the budget that all nodes share.
+// Limits is the retry budget that all nodes share.
 type Limits struct {
-	// Ratio is repeats allowed for each request in a window.
+	// Ratio is the number of retries allowed per request in a window.
 	Ratio float64
-	// Slack is repeats allowed in a window beside those.
+	// Slack is the number of retries allowed in a window on top of Ratio.
 	Slack float64
 	// Window is the length of the sliding window.
 	Window time.Duration
 }
 
 const (
-	// slices a window is divided into; one more is kept, so that any span
-	// of a window's length is covered.
-	slices = 20
-	// sureShare is the part of what is left of the budget that all nodes
-	// together may use before anybody knows of it. The rest is for news that
-	// is later than usual.
-	sureShare = 0.8
-	// interval is for how long a part is dealt; in a small fleet news of what
-	// was used reaches all nodes in it.
-	interval = 800 * time.Millisecond
+	// bucketsPerWindow is the number of buckets in a window. One more bucket is
+	// kept, so that the buckets cover any time span as long as a window.
+	bucketsPerWindow = 20
+	// allocatableShare is the fraction of the remaining budget that all nodes
+	// together may use before updates about that use arrive. The rest is
+	// reserved for updates that are later than usual.
+	allocatableShare = 0.8
+	// allocationInterval is how long an allowance is valid. In a small fleet
+	// updates about used retries reach all nodes within it.
+	allocationInterval = 800 * time.Millisecond
 )
 
-// Usage is what was sent for a service in a window.
+// Usage is the number of requests and retries sent for a service in a window.
 type Usage struct{ Requests, Repeats float64 }
 
-type ring struct {
-	slot   int64
-	slices [slices + 1]Usage
-	// others is what the other nodes have sent, by their last news.
+// serviceWindow holds the sliding window and the allowance of one service.
+type serviceWindow struct {
+	// slot is the number of the current bucket since the Unix epoch.
+	slot    int64
+	buckets [bucketsPerWindow + 1]Usage
+	// others is what the other nodes have sent, as of their last update.
 	others Usage
-	// allowance is what this node may still use in this interval, loans what
-	// others lent it.
+	// allowance is the number of retries that this node may still use in this
+	// interval. loans are the retries that other nodes lent it.
 	allowance float64
 	loans     []Loan
 }
 
-// Loan is repeats that a node may use in place of the one that lent them, until
-// that one's interval ends.
+// Loan is a number of retries that a node may use in place of the lender,
+// until the lender's allocation interval ends.
 type Loan struct {
 	Repeats int
 	Until   time.Time
 }
 
-func (r *ring) sum() Usage {
-	var sum Usage
-	for _, u := range r.slices {
-		sum.Requests += u.Requests
-		sum.Repeats += u.Repeats
+func (w *serviceWindow) total() Usage {
+	var total Usage
+	for _, u := range w.buckets {
+		total.Requests += u.Requests
+		total.Repeats += u.Repeats
 	}
-	return sum
+	return total
 }
 
-// Budget counts the requests and repeats of one node.
+// Budget counts the requests and retries of one node. It is safe for
+// concurrent use.
 type Budget struct {
-	mu     sync.Mutex
-	limits Limits
-	rings  map[string]*ring
-	nodes  int
-	// newsAge is how old the news of what others have used may be.
-	newsAge time.Duration
-	dealt   time.Time
-}
-
-// New returns a budget for one node of one.
-func New(l Limits) *Budget { return &Budget{limits: l, nodes: 1, rings: map[string]*ring{}} }
-
-func (b *Budget) at(service string, now time.Time) *ring {
-	slot := now.UnixNano() / int64(b.limits.Window/slices)
-	r := b.rings[service]
-	if r == nil {
-		r = &ring{slot: slot}
-		b.rings[service] = r
-		r.allowance = b.part(r)
+	mu      sync.Mutex
+	limits  Limits
+	windows map[string]*serviceWindow
+	nodes   int
+	// updateAge is the maximum age of what is known of the other nodes' usage.
+	updateAge time.Duration
+	// allocated is when the current allowances were computed.
+	allocated time.Time
+}
+
+// New returns the budget of the only node of a fleet. Learn sets the number of
+// nodes.
+func New(l Limits) *Budget {
+	return &Budget{limits: l, nodes: 1, windows: map[string]*serviceWindow{}}
+}
+
+// windowAt returns the window of a service, advanced to now.
+func (b *Budget) windowAt(service string, now time.Time) *serviceWindow {
+	slot := now.UnixNano() / int64(b.limits.Window/bucketsPerWindow)
+	w := b.windows[service]
+	if w == nil {
+		w = &serviceWindow{slot: slot}
+		b.windows[service] = w
+		w.allowance = b.allocate(w)
 	}
-	if slot-r.slot > slices {
-		r.slices = [slices + 1]Usage{}
-		r.slot = slot
+	if slot-w.slot > bucketsPerWindow {
+		w.buckets = [bucketsPerWindow + 1]Usage{}
+		w.slot = slot
 	}
-	for r.slot < slot {
-		r.slot++
-		r.slices[r.slot%(slices+1)] = Usage{}
+	for w.slot < slot {
+		w.slot++
+		w.buckets[w.slot%(bucketsPerWindow+1)] = Usage{}
 	}
-	return r
+	return w
 }
 
-// part is what this node may use of what is left. A part of a repeat is dealt
-// as a whole one as often as it says: many nodes with a fraction each could
-// otherwise use none of what is left.
-func (b *Budget) part(r *ring) float64 {
-	own := r.sum()
-	limit := b.limits.Ratio*(own.Requests+r.others.Requests) + b.limits.Slack
-	left := max(0, limit-own.Repeats-r.others.Repeats)
-	whole, fraction := math.Modf(b.dealShare() * left / float64(b.nodes))
+// allocate returns the number of retries that this node may use in the next
+// interval. It rounds a fraction up with a probability equal to that fraction.
+// Otherwise many nodes with less than one retry each could use nothing of what
+// is left.
+func (b *Budget) allocate(w *serviceWindow) float64 {
+	own := w.total()
+	limit := b.limits.Ratio*(own.Requests+w.others.Requests) + b.limits.Slack
+	left := max(0, limit-own.Repeats-w.others.Repeats)
+	whole, fraction := math.Modf(b.shareForInterval() * left / float64(b.nodes))
 	if rand.Float64() < fraction {
 		whole++
 	}
 	return whole
 }
 
-// dealShare is the part of what is left that is dealt in an interval: what is
-// dealt until news of the first of it has come stays within sureShare.
-func (b *Budget) dealShare() float64 {
-	unknown := max(1, b.newsAge.Seconds()/interval.Seconds())
-	return sureShare / (1 + unknown)
+// shareForInterval returns the fraction of the remaining budget that is
+// allocated in one interval. Several intervals may pass before updates about
+// the first one arrive; their allocations together stay within
+// allocatableShare.
+func (b *Budget) shareForInterval() float64 {
+	unreported := max(1, b.updateAge.Seconds()/allocationInterval.Seconds())
+	return allocatableShare / (1 + unreported)
 }
 
-// Learn takes what the other nodes have used, how old that news may be, and how
-// many nodes there are.
-func (b *Budget) Learn(others map[string]Usage, newsAge time.Duration, nodes int, now time.Time) {
+// Learn records what the other nodes have used, the maximum age of that
+// information and the number of nodes. It computes new allowances if the
+// current interval has ended.
+func (b *Budget) Learn(others map[string]Usage, updateAge time.Duration, nodes int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for service, u := range others {
-		b.at(service, now).others = u
+		b.windowAt(service, now).others = u
 	}
-	b.nodes, b.newsAge = max(1, nodes), newsAge
-	if now.Sub(b.dealt) < interval {
+	b.nodes, b.updateAge = max(1, nodes), updateAge
+	if now.Sub(b.allocated) < allocationInterval {
 		return
 	}
-	b.dealt = now
-	for service := range b.rings {
-		r := b.at(service, now)
-		r.allowance = b.part(r)
+	b.allocated = now
+	for service := range b.windows {
+		w := b.windowAt(service, now)
+		w.allowance = b.allocate(w)
 	}
 }
 
-// Used returns what this node has sent in the last window.
+// Used returns what this node has sent in the last window, by service.
 func (b *Budget) Used(now time.Time) map[string]Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]Usage{}
-	for service := range b.rings {
-		out[service] = b.at(service, now).sum()
+	for service := range b.windows {
+		out[service] = b.windowAt(service, now).total()
 	}
 	return out
 }
 
-// Request counts a caller's request for a service.
+// Request counts a client's request for a service.
 func (b *Budget) Request(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.at(service, now)
-	r.slices[r.slot%(slices+1)].Requests++
+	w := b.windowAt(service, now)
+	w.buckets[w.slot%(bucketsPerWindow+1)].Requests++
 }
 
-// Take counts a repeat if the budget allows it.
+// Take counts a retry if the budget allows it, and reports whether it does.
 func (b *Budget) Take(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.at(service, now)
-	if r.allowance >= 1 {
-		r.allowance--
-	} else if !r.useLoan(now) {
+	w := b.windowAt(service, now)
+	if w.allowance >= 1 {
+		w.allowance--
+	} else if !w.takeBorrowed(now) {
 		return false
 	}
-	r.slices[r.slot%(slices+1)].Repeats++
+	w.buckets[w.slot%(bucketsPerWindow+1)].Repeats++
 	return true
 }
 
-// useLoan takes a repeat from what others lent, and reports whether it could.
-func (r *ring) useLoan(now time.Time) bool {
-	for i := range r.loans {
-		if l := &r.loans[i]; l.Repeats > 0 && now.Before(l.Until) {
+// takeBorrowed takes one retry from an unexpired loan, and reports whether
+// there was one. If not, it drops all loans.
+func (w *serviceWindow) takeBorrowed(now time.Time) bool {
+	for i := range w.loans {
+		if l := &w.loans[i]; l.Repeats > 0 && now.Before(l.Until) {
 			l.Repeats--
 			return true
 		}
 	}
-	r.loans = nil
+	w.loans = nil
 	return false
 }
 
-// Lend gives up to want repeats of this node's part to another node. They are
-// given up even if the other does not hear of it.
+// Lend gives up to want retries of this node's allowance to another node. This
+// node gives them up even if the borrower never receives the answer.
 func (b *Budget) Lend(service string, want int, now time.Time) Loan {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	until := b.dealt.Add(interval)
+	until := b.allocated.Add(allocationInterval)
 	if !now.Before(until) {
 		return Loan{}
 	}
-	r := b.at(service, now)
-	n := max(0, min(want, int(r.allowance)))
-	r.allowance -= float64(n)
+	w := b.windowAt(service, now)
+	n := max(0, min(want, int(w.allowance)))
+	w.allowance -= float64(n)
 	return Loan{Repeats: n, Until: until}
 }
 
-// Borrowed takes a loan.
+// Borrowed adds a loan from another node. It ignores a loan of no retries, and
+// one that ends later than any lender's current interval can.
 func (b *Budget) Borrowed(service string, l Loan, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if l.Repeats <= 0 || l.Until.Sub(now) > interval {
+	if l.Repeats <= 0 || l.Until.Sub(now) > allocationInterval {
 		return
 	}
-	r := b.at(service, now)
-	r.loans = append(r.loans, l)
+	w := b.windowAt(service, now)
+	w.loans = append(w.loans, l)
 }
--- a/citronbudget/seed_test.go
+++ b/citronbudget/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// CI gives the same verdict every time, so rapid's seed is fixed; try
-// others with -rapid.seed=N.
+// init fixes rapid's seed, so that CI gives the same verdict for the same
+// code. Run with -rapid.seed=N to try other seeds.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
