--- a/citronbudget/budget.go
+++ b/citronbudget/budget.go
@@ -175,7 +175,7 @@
 	return out
 }
 
-// Request counts a client's request for a service.
+// Request counts a caller's request for a service.
 func (b *Budget) Request(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/citronloan/loan.go
+++ b/citronloan/loan.go
@@ -1,10 +1,10 @@
-// Package citronloan has a node that needs more repeats than it was dealt borrow
-// them from other nodes (citronbudget).
+// Package citronloan lets a node that needs more retries than its share of the
+// retry budget (citronbudget) borrow them from other nodes.
 //
-// The load it answers: the engines of a zone die at the peak, and each of its
-// nodes has more requests to send again than it was dealt repeats, while most
-// nodes of the fleet need none of theirs. Refused for that, callers would have
-// to come back although an engine is free.
+// When the engines of a zone fail at the peak, each of the zone's nodes has
+// more requests to retry than its share allows, while most nodes of the fleet
+// need none of theirs. If those requests were refused, their callers would have
+// to send them again although an engine is free.
 package citronloan
 
 import (
@@ -19,68 +19,71 @@
 )
 
 const (
-	// lenders is how many nodes are asked at once, for borrowEach repeats
-	// each: most have a few, and some none.
-	lenders    = 3
-	borrowEach = 4
-	// borrowTimeout bounds the wait for loans. A request waits meanwhile, and
-	// nodes that are well answer within a few milliseconds.
+	// lendersPerRound is the number of nodes that a round asks concurrently,
+	// for retriesPerLender retries each. Most nodes have a few to lend, and some
+	// have none.
+	lendersPerRound  = 3
+	retriesPerLender = 4
+	// borrowTimeout limits the wait for loans, because a request is waiting
+	// for them. Healthy nodes answer within a few milliseconds.
 	borrowTimeout = 30 * time.Millisecond
-	// borrowPause follows a round in which nobody lent anything: the budget is
-	// used up, or this node is cut off.
-	borrowPause = 100 * time.Millisecond
+	// emptyRoundPause is the pause after a round in which no node lent
+	// anything: the budget is used up, or this node is cut off.
+	emptyRoundPause = 100 * time.Millisecond
 )
 
-// Borrower asks other nodes for loans, once at a time for each service. It is
-// safe for use by many goroutines.
+// Borrower asks other nodes for loans, in one round at a time per service. It
+// is safe for concurrent use.
 type Borrower struct {
 	budget *citronbudget.Budget
 	peers  *citronpeer.Client
 	clock  citronclock.Clock
-	// members are the nodes that may be asked.
+	// members returns the nodes that may be asked.
 	members func() []citronpeer.Member
 
 	mu     sync.Mutex
 	rounds map[string]*round
-	// emptyAt is when nobody lent anything for a service.
-	emptyAt map[string]time.Time
+	// emptyRoundAt is when the last round for a service ended without a loan.
+	emptyRoundAt map[string]time.Time
 }
 
-// round is one asking around; got is set before done is closed.
+// round is one round of requests for loans. It sets borrowed before it closes
+// done.
 type round struct {
-	done chan struct{}
-	got  int
+	done     chan struct{}
+	borrowed int
 }
 
 // New returns a borrower that adds loans to a budget.
 func New(budget *citronbudget.Budget, peers *citronpeer.Client, clock citronclock.Clock, members func() []citronpeer.Member) *Borrower {
-	return &Borrower{budget: budget, peers: peers, clock: clock, members: members, rounds: map[string]*round{}, emptyAt: map[string]time.Time{}}
+	return &Borrower{budget: budget, peers: peers, clock: clock, members: members, rounds: map[string]*round{}, emptyRoundAt: map[string]time.Time{}}
 }
 
-// Borrow has other nodes lend this one repeats for a service, and reports
-// whether any did. It takes borrowTimeout at most.
+// Borrow asks other nodes to lend retries for a service, and reports whether
+// any node did. It takes at most borrowTimeout. Concurrent calls for a service
+// share a round.
 func (b *Borrower) Borrow(service string) bool {
-	r, first := b.join(service)
+	r, first := b.joinRound(service)
 	if r == nil {
 		return false
 	}
 	if first {
-		r.got = b.ask(service)
-		b.end(service, r)
+		r.borrowed = b.runRound(service)
+		b.endRound(service, r)
 	}
 	<-r.done
-	return r.got > 0
+	return r.borrowed > 0
 }
 
-// join returns the round that is under way for a service, or begins one. It
-// returns none if the last brought nothing a moment ago.
-func (b *Borrower) join(service string) (r *round, first bool) {
+// joinRound returns the current round for a service, or starts one. It returns
+// nil if the last round ended without a loan less than emptyRoundPause ago.
+func (b *Borrower) joinRound(service string) (r *round, first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.rounds[service]; r != nil {
 		return r, false
 	}
-	if b.clock.Now().Sub(b.emptyAt[service]) < borrowPause {
+	if b.clock.Now().Sub(b.emptyRoundAt[service]) < emptyRoundPause {
 		return nil, false
 	}
 	r = &round{done: make(chan struct{})}
@@ -88,38 +91,39 @@
 	return r, true
 }
 
-func (b *Borrower) end(service string, r *round) {
+func (b *Borrower) endRound(service string, r *round) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.rounds, service)
-	if r.got == 0 {
-		b.emptyAt[service] = b.clock.Now()
+	if r.borrowed == 0 {
+		b.emptyRoundAt[service] = b.clock.Now()
 	}
 	close(r.done)
 }
 
-// ask asks some nodes, drawn at random, and returns how many repeats they lent.
-func (b *Borrower) ask(service string) int {
+// runRound asks randomly chosen nodes for loans, and returns the number of
+// retries they lent.
+func (b *Borrower) runRound(service string) int {
 	members := b.members()
-	loans := make([]int, min(lenders, len(members)))
+	loans := make([]int, min(lendersPerRound, len(members)))
 	var wait sync.WaitGroup
 	for i := range loans {
 		addr := members[rand.IntN(len(members))].Peer
-		wait.Go(func() { loans[i] = b.askOne(addr, service) })
+		wait.Go(func() { loans[i] = b.borrowFrom(addr, service) })
 	}
 	wait.Wait()
-	got := 0
+	borrowed := 0
 	for _, n := range loans {
-		got += n
+		borrowed += n
 	}
-	return got
+	return borrowed
 }
 
-// askOne returns how many repeats the node at addr lent.
-func (b *Borrower) askOne(addr, service string) int {
-	l, err := b.peers.Borrow(context.Background(), addr, service, borrowEach, borrowTimeout)
+// borrowFrom returns the number of retries that the node at addr lent.
+func (b *Borrower) borrowFrom(addr, service string) int {
+	l, err := b.peers.Borrow(context.Background(), addr, service, retriesPerLender, borrowTimeout)
 	if err != nil {
-		return 0 // it is cut off or slow; others may lend
+		return 0 // The node is cut off or slow; other nodes may lend.
 	}
 	now := b.clock.Now()
 	until := now.Add(time.Duration(l.LeftMS) * time.Millisecond)
@@ -127,7 +131,7 @@
 	return max(0, l.Repeats)
 }
 
-// Lend gives another node up to so many repeats of a budget.
+// Lend gives another node up to want retries of a budget.
 func Lend(budget *citronbudget.Budget, service string, want int, now time.Time) citronpeer.Loan {
 	l := budget.Lend(service, want, now)
 	return citronpeer.Loan{Repeats: l.Repeats, LeftMS: max(0, l.Until.Sub(now).Milliseconds())}
