--- a/citronpeer/fuzz_test.go
+++ b/citronpeer/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FuzzPeerMessage: whatever another process sends, it is answered or refused, and what
-// is taken from it can be told on.
+// FuzzPeerMessage checks that any bytes from another process are answered or
+// rejected, and that an accepted message can be read and encoded again.
 func FuzzPeerMessage(f *testing.F) {
 	for _, v := range []any{
 		nil, 7, "text",
@@ -30,7 +30,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		mux := http.NewServeMux()
-		citronpeer.Handle(mux, answering(func(k citronpeer.Knowledge) citronpeer.Knowledge {
+		citronpeer.Handle(mux, answerFunc(func(k citronpeer.Knowledge) citronpeer.Knowledge {
 			k.Diff.Age(0)
 			k.Digest.Beat(0)
 			return k
--- a/citronpeer/lend.go
+++ b/citronpeer/lend.go
@@ -10,14 +10,15 @@
 
 const (
 	procedureLend = "/citron.peer/Lend"
-	// mostLends is how many nodes in need are answered at once.
-	mostLends = 64
+	// maxConcurrentLoans is the number of loan requests served concurrently.
+	maxConcurrentLoans = 64
 )
 
-// Loan is what a node lends of its part of the budget of repeats.
+// Loan is the number of retries that a node lends from its share of the retry
+// budget.
 type Loan struct {
 	Repeats int `json:"repeats"`
-	// LeftMS is for how long, in milliseconds.
+	// LeftMS is how long the loan is valid, in milliseconds.
 	LeftMS int64 `json:"leftMs"`
 }
 
@@ -26,26 +27,26 @@
 	Want    int    `json:"want"`
 }
 
-// Lender is a node's side of loans that others ask for.
+// Lender serves the loan requests of other nodes.
 type Lender interface {
-	// Lend gives up to so many repeats for a service.
+	// Lend gives up to want retries for a service.
 	Lend(service string, want int) Loan
 }
 
-// HandleLend mounts the procedure of a lender on mux.
+// HandleLend mounts a lender's procedure on mux.
 func HandleLend(mux *http.ServeMux, l Lender) {
 	inner := http.NewServeMux()
 	citronwire.Handle(inner, procedureLend, func(_ context.Context, m *lendRequest) (*Loan, error) {
 		loan := l.Lend(m.Service, m.Want)
 		return &loan, nil
 	}, citronwire.Compact())
-	mux.Handle(procedureLend, limited(inner, mostLends))
+	mux.Handle(procedureLend, limitConcurrency(inner, maxConcurrentLoans))
 }
 
-// Borrow asks the node at addr for repeats, and waits no longer than limit: a
-// request is waiting.
-func (c *Client) Borrow(ctx context.Context, addr, service string, want int, limit time.Duration) (Loan, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// Borrow asks the node at addr for retries. It waits at most timeout, because
+// a request is waiting for the loan.
+func (c *Client) Borrow(ctx context.Context, addr, service string, want int, timeout time.Duration) (Loan, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	loan, err := citronwire.NewUnary[lendRequest, Loan](c.HC, "http://"+addr, procedureLend, citronwire.Compact()).Call(ctx, &lendRequest{Service: service, Want: want})
 	if err != nil {
--- a/citronpeer/limit.go
+++ b/citronpeer/limit.go
@@ -8,62 +8,67 @@
 	"citrondeck.dev/citrondeck/citronwire"
 )
 
-// Limit is what a node knows of the rate limit of one start of an engine.
+// Limit is what a node knows about the rate limit of an engine. A restarted
+// engine counts as another engine.
 type Limit struct {
 	Engine string `json:"engine"`
-	// Limited: the engine takes PerSecond requests a second from all nodes.
+	// Limited reports whether the engine has a rate limit. PerSecond is the
+	// number of requests it accepts per second from all nodes together.
 	Limited   bool    `json:"limited,omitempty"`
 	PerSecond float64 `json:"perSecond,omitempty"`
-	// Version orders what is known of one engine.
+	// Version orders the known limits of one engine.
 	Version int64 `json:"version"`
 }
 
 const (
 	procedurePermit = "/citron.peer/Permit"
-	// mostPermits is how many nodes that ask for a permit are answered at once.
-	mostPermits = 64
+	// maxConcurrentPermits is the number of permit requests served concurrently.
+	maxConcurrentPermits = 64
 )
 
-// PermitRequest asks for a permit to send one request to an engine that names a rate
-// limit.
+// PermitRequest asks for a permit to send one request to an engine that has a
+// rate limit.
 type PermitRequest struct {
-	// Node is the name of the node that asks, Limit what it knows of the engine.
+	// Node is the name of the node that asks. Limit is what it knows about the
+	// engine's rate limit.
 	Node  string `json:"node"`
 	Limit Limit  `json:"limit"`
-	// PatienceMS is how many milliseconds the request can wait.
+	// PatienceMS is how long the request can wait, in milliseconds.
 	PatienceMS int64 `json:"patienceMs,omitempty"`
 }
 
-// Permit answers a PermitRequest.
+// Permit is the answer to a PermitRequest.
 type Permit struct {
-	// Granted: the request may be sent after WaitMS. If not, the engine has no room
-	// for it before WaitMS are over, and the node should ask again after AgainMS.
+	// Granted reports whether the request may be sent after WaitMS. If not, the
+	// engine has no free capacity for it before WaitMS has passed, and the node
+	// should ask again after AgainMS. Both are in milliseconds.
 	Granted bool  `json:"granted,omitempty"`
 	WaitMS  int64 `json:"waitMs,omitempty"`
 	AgainMS int64 `json:"againMs,omitempty"`
-	// Limit is what the node that deals out permits knows of the engine.
+	// Limit is what the permit issuer knows about the engine's rate limit.
 	Limit Limit `json:"limit"`
 }
 
-// PermitDealer is a node's side of permits that others ask for.
+// PermitDealer is a permit issuer: it serves the permit requests of other
+// nodes.
 type PermitDealer interface {
 	Permit(PermitRequest) Permit
 }
 
-// HandlePermit mounts the procedure of a dealer on mux.
+// HandlePermit mounts a permit issuer's procedure on mux.
 func HandlePermit(mux *http.ServeMux, d PermitDealer) {
 	inner := http.NewServeMux()
 	citronwire.Handle(inner, procedurePermit, func(_ context.Context, r *PermitRequest) (*Permit, error) {
 		p := d.Permit(*r)
 		return &p, nil
 	}, citronwire.Compact())
-	mux.Handle(procedurePermit, limited(inner, mostPermits))
+	mux.Handle(procedurePermit, limitConcurrency(inner, maxConcurrentPermits))
 }
 
-// AskPermit asks the node at addr for a permit, and waits no longer than limit for its
-// answer.
-func (c *Client) AskPermit(ctx context.Context, addr string, r PermitRequest, limit time.Duration) (Permit, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// AskPermit asks the node at addr for a permit and waits at most timeout for
+// the answer.
+func (c *Client) AskPermit(ctx context.Context, addr string, r PermitRequest, timeout time.Duration) (Permit, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	p, err := citronwire.NewUnary[PermitRequest, Permit](c.HC, "http://"+addr, procedurePermit, citronwire.Compact()).Call(ctx, &r)
 	if err != nil {
--- a/citronpeer/limit_test.go
+++ b/citronpeer/limit_test.go
@@ -13,18 +13,18 @@
 	"github.com/matryer/is"
 )
 
-// A node stands still for a moment, and all others come with what they know of
-// the whole fleet. It must not hold all of that at once: a node with 184 MB was
-// killed for it. Those it has no place for are turned away unread, and news,
-// which is small, still gets through.
-func TestFloodOfExchangesIsBounded(t *testing.T) {
+// A node stalls for a moment, and then all other nodes send it what they know of
+// the whole fleet. The node must not hold all of that at once: a node with
+// 184 MB was killed that way. It rejects the exchanges above its limit unread
+// and still serves updates, which are small.
+func TestConcurrentExchangesAreBounded(t *testing.T) {
 	is := is.New(t)
 	mux := http.NewServeMux()
-	var serving, most atomic.Int64
+	var serving, maxServing atomic.Int64
 	release := make(chan struct{})
-	a := held{exchange: func() {
-		if n := serving.Add(1); n > most.Load() {
-			most.Store(n)
+	a := blockingAnswerer{exchange: func() {
+		if n := serving.Add(1); n > maxServing.Load() {
+			maxServing.Store(n)
 		}
 		<-release
 	}}
@@ -33,16 +33,16 @@
 	defer hs.Close()
 	addr := strings.TrimPrefix(hs.URL, "http://")
 	c := &citronpeer.Client{HC: hs.Client(), Timeout: 30 * time.Second}
-	const flood = 100
-	errs := make(chan error, flood)
-	for range flood {
+	const exchanges = 100
+	errs := make(chan error, exchanges)
+	for range exchanges {
 		go func() {
 			_, err := c.Exchange(context.Background(), addr, citronpeer.Knowledge{})
 			errs <- err
 		}()
 	}
-	for range flood - 8 {
-		is.True(<-errs != nil) // turned away at once
+	for range exchanges - 8 {
+		is.True(<-errs != nil) // rejected immediately
 	}
 	_, err := c.News(context.Background(), addr, citronpeer.Knowledge{})
 	is.NoErr(err)
@@ -50,15 +50,15 @@
 	for range 8 {
 		is.NoErr(<-errs)
 	}
-	is.Equal(most.Load(), int64(8))
+	is.Equal(maxServing.Load(), int64(8))
 }
 
-// held is an answerer whose exchanges wait.
-type held struct{ exchange func() }
+// blockingAnswerer is an Answerer that calls exchange in each exchange.
+type blockingAnswerer struct{ exchange func() }
 
-func (h held) Exchange(k citronpeer.Knowledge) citronpeer.Knowledge {
-	h.exchange()
+func (a blockingAnswerer) Exchange(k citronpeer.Knowledge) citronpeer.Knowledge {
+	a.exchange()
 	return k
 }
 
-func (h held) News(k citronpeer.Knowledge) citronpeer.Knowledge { return k }
+func (a blockingAnswerer) News(k citronpeer.Knowledge) citronpeer.Knowledge { return k }
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -1,12 +1,12 @@
-// Package citronpeer lets nodes tell each other what they know: who is
-// there, which configuration is the newest, and which engines are leaving.
+// Package citronpeer exchanges gossip state between nodes: which nodes exist,
+// which configuration is the newest, and which engines are leaving.
 //
-// A node that the store turns away for a while still has to learn of a new
-// configuration and of engines that leave. Every node asks a few others,
-// drawn at random, a few times a second; whoever has the older document
-// takes the newer one. News reaches all nodes in a number of rounds that
-// grows with the logarithm of the fleet. Of the members themselves a message
-// tells only what the other node lacks (citronroster).
+// A node that the store rejects for a while still has to learn of a new
+// configuration and of engines that leave. A few times a second, every node
+// contacts a few randomly chosen nodes, and the node with the older document
+// takes the newer one. An update reaches all nodes in a number of rounds that
+// grows with the logarithm of the fleet size. About members, a message carries
+// only what the other node is missing (citronroster).
 package citronpeer
 
 import (
@@ -21,64 +21,67 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a node as the others know it.
+// Member is the state of a node that other nodes know.
 type Member struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
-	// Front is where callers connect, Peer where other nodes do.
+	// Front is the address for callers. Peer is the address for other nodes.
 	Front string `json:"front"`
 	Peer  string `json:"peer"`
-	// Started tells a restarted process from the one before it.
+	// Started is the start time of the process, in nanoseconds since the Unix
+	// epoch. It tells a restarted process from the previous one.
 	Started int64 `json:"started"`
 	Gauges
-	// Weak: it has too little processor time to lead or watch where others
-	// can (Before).
+	// Weak reports that the node has too little processor time to lead or to
+	// watch the store if another node can (Before).
 	Weak bool `json:"weak,omitempty"`
-	// Ready: callers may connect. Leaving: it will stop.
+	// Ready reports whether callers may connect. Leaving reports that the node
+	// is about to stop.
 	Ready   bool `json:"ready"`
 	Leaving bool `json:"leaving"`
-	// Leads: the node holds the lease under which layers are placed.
+	// Leads reports whether the node holds the lease for placing layers.
 	Leads bool `json:"leads,omitempty"`
-	// Watching: the node watches the store, and the store answers it.
+	// Watching reports whether the node watches the store and the store
+	// responds.
 	Watching bool `json:"watching,omitempty"`
-	// Store is what the node knows of the store.
+	// Store is what the node knows about the availability of the store.
 	Store citronhealth.Status `json:"store,omitzero"`
-	// Goals are the layers, from and up to, that the node as the leader
-	// wants engines to hold, by their id, until they hold them.
+	// Goals are target layer ranges (from, to) by engine ID, set by this node
+	// as the leader. An entry remains until the engine holds its range.
 	Goals map[string][2]int `json:"goals,omitempty"`
-	// Dead are ids of engines that the node has just found not to answer.
+	// Dead are the IDs of engines that have just failed to answer the node.
 	Dead []string `json:"dead,omitempty"`
-	// Starts are engines, by their name in the list, that told the node that
-	// they started at a later moment than the list says.
+	// Starts are start times of engines, by their name in the list of engines.
+	// These engines told the node of a later start time than the list has.
 	Starts map[string]int64 `json:"starts,omitempty"`
 }
 
-// Gauges are what changes of a member from moment to moment.
+// Gauges are the frequently changing values of a member.
 type Gauges struct {
-	// Beat grows while the process lives.
+	// Beat is the heartbeat counter. It grows while the process lives.
 	Beat int64 `json:"beat"`
-	// Load is the cache, in tokens, that the node's requests take by zone.
+	// Load is the engine cache that the node's requests use, in tokens by zone.
 	Load map[string]int64 `json:"load,omitempty"`
-	// Sent is what the node has sent for each service in a window.
+	// Sent is what the node has sent in the last window, by service.
 	Sent map[string]Sent `json:"sent,omitempty"`
 }
 
-// WithGauges returns m with other gauges.
+// WithGauges returns m with its gauges replaced by g.
 func (m Member) WithGauges(g Gauges) Member {
 	m.Gauges = g
 	return m
 }
 
-// Sent counts requests and repeats.
+// Sent counts the requests and retries that were sent for a service.
 type Sent struct {
 	Requests float64 `json:"requests"`
 	Repeats  float64 `json:"repeats"`
 }
 
-// BeatEvery is the least time between two beats of a member, on average.
+// BeatEvery is the minimum average time between two heartbeats of a member.
 const BeatEvery = 100 * time.Millisecond
 
-// Newer reports whether m is later news of the same node than o.
+// Newer reports whether m is a later state of the same node than o.
 func (m Member) Newer(o Member) bool {
 	if m.Started != o.Started {
 		return m.Started > o.Started
@@ -86,9 +89,11 @@
 	return m.Beat > o.Beat
 }
 
-// Before is the order in which nodes take on what a few of them do for all.
-// Weak nodes come last. Names begin with the zone as a rule: taken in their
-// order, the first few would stand in one zone, and be cut off together.
+// Before reports whether m precedes o in the order in which nodes take on the
+// tasks that a few nodes do for the whole fleet. Weak nodes come last. The
+// order is by hash of the name: names usually begin with the zone, so in
+// alphabetical order the first few nodes would be in one zone and be cut off
+// together.
 func (m Member) Before(o Member) bool {
 	if m.Weak != o.Weak {
 		return o.Weak
@@ -97,20 +102,21 @@
 	return a < b || a == b && m.Name < o.Name
 }
 
-// Print is a fingerprint of all of a member but its gauges (citronroster). In
-// one of six thousand fleets of 1,200 nodes two members share one, until either
-// changes. The news of one is then missing, and it is asked itself.
+// Print is a fingerprint of a member without its gauges (citronroster). In one
+// of six thousand fleets of 1,200 nodes two members have the same fingerprint,
+// until one of them changes. Updates about one of them are then missing, and
+// other nodes probe it.
 type Print uint32
 
-// Digest tells which members a node knows, by fingerprint, and how new each
-// is. The lists go together.
+// Digest lists the members that a node knows: their fingerprints and, at the
+// same index, their heartbeat counters.
 type Digest struct {
 	Prints []Print `json:"prints,omitempty"`
 	Beats  []int64 `json:"beats,omitempty"`
 }
 
-// Beat is the beat that goes with the fingerprint at i; zero if a node has
-// told fewer beats than fingerprints.
+// Beat returns the heartbeat counter for the fingerprint at index i. It returns
+// zero if the digest has fewer counters than fingerprints.
 func (d Digest) Beat(i int) int64 {
 	if i >= len(d.Beats) {
 		return 0
@@ -118,95 +124,101 @@
 	return d.Beats[i]
 }
 
-// Gauge is news of a member that the other node knows whole.
+// Gauge holds new gauges of a member whose details the receiver knows.
 type Gauge struct {
 	Print Print `json:"print"`
 	Gauges
 }
 
-// Diff is what one node has newer than another: members whole, and gauges of
-// members of which the other has the details.
+// Diff is what one node has newer than another: full members, and the gauges of
+// members whose details the other node knows.
 type Diff struct {
 	Members []Member `json:"members,omitempty"`
-	// AgesMS are how long ago the members were last heard of, in milliseconds.
-	// The lists go together.
+	// AgesMS are the times since the members were last heard of, in
+	// milliseconds, at the same index as in Members.
 	AgesMS []int64 `json:"agesMs,omitempty"`
 	Gauges []Gauge `json:"gauges,omitempty"`
 }
 
-// Age is how old the news of member i is. Without a word of it, or if it cannot
-// be, it is taken for new, as from the member itself.
+// Age returns the age of the state of Members[i]. A missing or implausible age
+// counts as zero, as if the state came from the member itself.
 func (d Diff) Age(i int) time.Duration {
-	if i >= len(d.AgesMS) || d.AgesMS[i] < 0 || d.AgesMS[i] > oldestNews.Milliseconds() {
+	if i >= len(d.AgesMS) || d.AgesMS[i] < 0 || d.AgesMS[i] > maxPlausibleAge.Milliseconds() {
 		return 0
 	}
 	return time.Duration(d.AgesMS[i]) * time.Millisecond
 }
 
-// oldestNews is beyond what nodes tell of each other.
-const oldestNews = time.Minute
+// maxPlausibleAge is above any age of a state that nodes send.
+const maxPlausibleAge = time.Minute
 
-// Sum is what the nodes of a zone do together.
+// Sum holds the zone totals: the load and usage of all nodes of a zone.
 type Sum struct {
 	Zone string `json:"zone"`
-	// AgeMS is how long ago it was added up by a node of that zone, in
-	// milliseconds. Ages need no clocks that agree.
+	// AgeMS is how long ago a node of the zone computed the totals, in
+	// milliseconds. Ages need no synchronized clocks.
 	AgeMS int64            `json:"ageMs"`
 	Load  map[string]int64 `json:"load,omitempty"`
 	Sent  map[string]Sent  `json:"sent,omitempty"`
 }
 
-// Wants is what a node asks for of what another has told of in its digest.
+// Wants lists the missing items that a node requests from a peer, by
+// fingerprint from the peer's digest.
 type Wants struct {
 	Members []Print `json:"members,omitempty"`
 	Gauges  []Print `json:"gauges,omitempty"`
 }
 
-// Empty reports whether nothing is wanted.
+// Empty reports whether no item is missing.
 func (w Wants) Empty() bool { return len(w.Members)+len(w.Gauges) == 0 }
 
-// ConfigDocument is a configuration that nodes pass on; the higher version wins.
+// ConfigDocument is the configuration as nodes pass it on. The higher version
+// wins.
 type ConfigDocument struct {
 	Version int64  `json:"revision"`
 	Body    []byte `json:"body,omitempty"`
 }
 
-// ListDocument is the list of engines as nodes pass it on; the later revision
+// ListDocument is the list of engines as nodes pass it on. The later revision
 // wins.
 type ListDocument struct {
 	Revision citronkv.Revision `json:"revision"`
-	// Base is the revision whose changes Body holds; zero if Body is whole.
+	// Base is the revision that the changes in Body apply to. It is zero if
+	// Body is the full list.
 	Base citronkv.Revision `json:"base,omitzero"`
 	Body []byte            `json:"body,omitempty"`
 }
 
-// Knowledge is what a node tells another. Documents whose body is empty
-// only tell which revision it has.
+// Knowledge is the gossip state that a node sends to another. A document with
+// an empty body only tells which revision the sender has.
 type Knowledge struct {
-	// From is the node that tells it.
+	// From is the sender.
 	From Member
-	// Diff is what the other lacks, as far as it has told what it knows.
+	// Diff is what the receiver is missing, as far as it has sent its digest.
 	Diff
-	// Digest is which members this node knows, and Sums what the zones do;
-	// both are empty in news.
+	// Digest lists the members that the sender knows. Sums are the zone totals.
+	// Both are empty in updates.
 	Digest Digest
 	Sums   []Sum
-	// Wants is what this node lacks of the other's digest.
+	// Wants are the items of the receiver's digest that the sender is missing.
 	Wants   Wants
 	Config  ConfigDocument
 	Engines ListDocument
-	// Accused are ids of engines that have just been named in a refusal.
+	// Accused are the IDs of accused engines: engines that another engine has
+	// just named as the cause of a failed request.
 	Accused []string
-	// Suspects are requests that crash engines; SuspectSum is a checksum of all
-	// that this node knows, in exchanges.
+	// Suspects are requests under which engines have crashed. SuspectSum is a
+	// checksum of all suspects that the sender knows. It is set in exchanges.
 	Suspects   []Suspect
 	SuspectSum uint64
-	// Limits are rate limits of engines; LimitSum is a checksum of all that this
-	// node knows, in exchanges.
+	// Limits are rate limits of engines. LimitSum is a checksum of all limits
+	// that the sender knows. It is set in exchanges.
 	Limits   []Limit
 	LimitSum uint64
 }
 
+// exchangeMessage is Knowledge as it is encoded. Both have the same fields, so
+// that one converts to the other.
 type exchangeMessage struct {
 	From Member `json:"from"`
 	Diff
@@ -226,51 +238,53 @@
 const (
 	procedureExchange = "/citron.peer/Exchange"
 	procedureNews     = "/citron.peer/News"
-	// mostExchanges is how many exchanges a node serves at once. Each may
-	// hold the decoded members of the whole fleet; a node that stood still for
-	// a moment is met by all that waited, and ran out of memory. Who is turned
-	// away asks another node in its next round.
-	mostExchanges = 8
-	// mostNews is the same for news, which is of one node as a rule and small.
-	mostNews = 64
-	// smallMessage is below what compressing a message gains. Fingerprints,
-	// of which most messages of a large fleet consist, do not compress.
-	smallMessage = 4 << 10
+	// maxConcurrentExchanges is the number of exchanges a node serves
+	// concurrently. Each may hold the decoded members of the whole fleet. A node
+	// that had stalled for a moment ran out of memory when all waiting nodes
+	// contacted it. A rejected node contacts another node in its next round.
+	maxConcurrentExchanges = 8
+	// maxConcurrentUpdates is the same for updates, which are small: an update
+	// usually concerns one node.
+	maxConcurrentUpdates = 64
+	// minCompressedBytes is the smallest message size that is worth compressing.
+	// Most messages of a large fleet consist of fingerprints, which do not
+	// compress.
+	minCompressedBytes = 4 << 10
 )
 
-// Answerer is a node's side of what others begin.
+// Answerer serves the messages that other nodes send.
 type Answerer interface {
-	// Exchange gets which members another node knows, and returns what it
-	// lacks of what this one knows, and what this one lacks.
+	// Exchange receives the digest of another node. It returns what the other
+	// node is missing, and requests what this node is missing.
 	Exchange(Knowledge) Knowledge
-	// News gets what another node tells of itself, and of the members that
-	// this one asked it for, and returns the same of this node.
+	// News receives another node's update about itself and about the members
+	// that this node has requested. It returns the same about this node.
 	News(Knowledge) Knowledge
 }
 
-// Handle mounts the procedures of a node on mux.
+// Handle mounts a node's procedures on mux.
 func Handle(mux *http.ServeMux, a Answerer) {
-	handle(mux, procedureExchange, mostExchanges, a.Exchange)
-	handle(mux, procedureNews, mostNews, a.News)
+	handle(mux, procedureExchange, maxConcurrentExchanges, a.Exchange)
+	handle(mux, procedureNews, maxConcurrentUpdates, a.News)
 }
 
-func handle(mux *http.ServeMux, procedure string, most int, answer func(Knowledge) Knowledge) {
+func handle(mux *http.ServeMux, procedure string, maxConcurrent int, answer func(Knowledge) Knowledge) {
 	inner := http.NewServeMux()
 	citronwire.Handle(inner, procedure, func(_ context.Context, m *exchangeMessage) (*exchangeMessage, error) {
 		a := exchangeMessage(answer(Knowledge(*m)))
 		return &a, nil
-	}, citronwire.Compact(), citronwire.FastGzipHandler, connect.WithCompressMinBytes(smallMessage))
-	mux.Handle(procedure, limited(inner, most))
+	}, citronwire.Compact(), citronwire.FastGzipHandler, connect.WithCompressMinBytes(minCompressedBytes))
+	mux.Handle(procedure, limitConcurrency(inner, maxConcurrent))
 }
 
-// limited turns away what comes while so many requests are being served,
-// before anything of it is read.
-func limited(h http.Handler, most int) http.Handler {
-	places := make(chan struct{}, most)
+// limitConcurrency serves at most maxConcurrent requests concurrently. It
+// rejects further requests before it reads their bodies.
+func limitConcurrency(h http.Handler, maxConcurrent int) http.Handler {
+	slots := make(chan struct{}, maxConcurrent)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case places <- struct{}{}:
-			defer func() { <-places }()
+		case slots <- struct{}{}:
+			defer func() { <-slots }()
 			h.ServeHTTP(w, r)
 		default:
 			w.WriteHeader(http.StatusTooManyRequests)
@@ -278,20 +292,20 @@
 	})
 }
 
-// Client asks other nodes.
+// Client sends messages to other nodes.
 type Client struct {
 	HC      *http.Client
 	Timeout time.Duration
 }
 
-// Exchange tells the node at addr which members this one knows and returns
-// what that one has newer.
+// Exchange sends this node's digest to the node at addr. It returns what that
+// node has newer, and what it is missing.
 func (c *Client) Exchange(ctx context.Context, addr string, k Knowledge) (Knowledge, error) {
 	return c.call(ctx, addr, procedureExchange, k)
 }
 
-// News tells the node at addr of this one and which documents it has, and
-// returns those that this one lacks.
+// News sends the node at addr an update about this node and the revisions of
+// its documents. It returns the documents that this node is missing.
 func (c *Client) News(ctx context.Context, addr string, k Knowledge) (Knowledge, error) {
 	return c.call(ctx, addr, procedureNews, k)
 }
@@ -300,9 +314,9 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	m := exchangeMessage(k)
-	// Members repeat the same names; compressed, a message is a quarter as
-	// long, and bytes between zones are dear.
-	res, err := citronwire.NewUnary[exchangeMessage, exchangeMessage](c.HC, "http://"+addr, procedure, citronwire.Compact(), citronwire.FastGzipClient, connect.WithSendGzip(), connect.WithCompressMinBytes(smallMessage)).Call(ctx, &m)
+	// The members in a message contain the same names many times. Compression
+	// shrinks a message to a quarter, and traffic between zones is expensive.
+	res, err := citronwire.NewUnary[exchangeMessage, exchangeMessage](c.HC, "http://"+addr, procedure, citronwire.Compact(), citronwire.FastGzipClient, connect.WithSendGzip(), connect.WithCompressMinBytes(minCompressedBytes)).Call(ctx, &m)
 	if err != nil {
 		return Knowledge{}, err
 	}
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -30,37 +30,37 @@
 	}
 }
 
-// answering answers exchanges and news alike.
-type answering func(citronpeer.Knowledge) citronpeer.Knowledge
+// answerFunc answers exchanges and updates alike.
+type answerFunc func(citronpeer.Knowledge) citronpeer.Knowledge
 
-func (a answering) Exchange(k citronpeer.Knowledge) citronpeer.Knowledge { return a(k) }
-func (a answering) News(k citronpeer.Knowledge) citronpeer.Knowledge     { return a(k) }
+func (a answerFunc) Exchange(k citronpeer.Knowledge) citronpeer.Knowledge { return a(k) }
+func (a answerFunc) News(k citronpeer.Knowledge) citronpeer.Knowledge     { return a(k) }
 
-// What one node tells is what the other hears, both ways.
+// Each node receives exactly what the other node sent.
 func TestExchange(t *testing.T) {
 	is := is.New(t)
 	mux := http.NewServeMux()
-	var heard citronpeer.Knowledge
+	var received citronpeer.Knowledge
 	answer := citronpeer.Knowledge{
 		From: member(2), Diff: citronpeer.Diff{Members: []citronpeer.Member{member(3)}, AgesMS: []int64{70}, Gauges: []citronpeer.Gauge{{Print: 7, Gauges: gauges(7)}}},
 		Wants: citronpeer.Wants{Gauges: []citronpeer.Print{1 << 31}}, Config: citronpeer.ConfigDocument{Version: 9, Body: []byte("nine")},
 	}
-	citronpeer.Handle(mux, answering(func(k citronpeer.Knowledge) citronpeer.Knowledge {
-		heard = k
+	citronpeer.Handle(mux, answerFunc(func(k citronpeer.Knowledge) citronpeer.Knowledge {
+		received = k
 		return answer
 	}))
 	hs := httptest.NewServer(mux)
 	defer hs.Close()
 	c := &citronpeer.Client{HC: hs.Client(), Timeout: 30 * time.Second}
-	told := citronpeer.Knowledge{From: member(1), Digest: citronpeer.Digest{Prints: []citronpeer.Print{5}, Beats: []int64{9}}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
-	got, err := c.Exchange(context.Background(), strings.TrimPrefix(hs.URL, "http://"), told)
+	sent := citronpeer.Knowledge{From: member(1), Digest: citronpeer.Digest{Prints: []citronpeer.Print{5}, Beats: []int64{9}}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
+	got, err := c.Exchange(context.Background(), strings.TrimPrefix(hs.URL, "http://"), sent)
 	is.NoErr(err)
-	is.Equal(heard, told)
+	is.Equal(received, sent)
 	is.Equal(got, answer)
 }
 
-// A node that stands still must not hold up the others' rounds.
-func TestExchangeEndsWithoutAnswer(t *testing.T) {
+// A stalled node must not delay the rounds of other nodes.
+func TestExchangeTimesOut(t *testing.T) {
 	is := is.New(t)
 	block := make(chan struct{})
 	hs := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-block }))
@@ -71,11 +71,11 @@
 	is.True(err != nil)
 }
 
-// Which news of a node is later.
+// A later start wins, and within one start the higher heartbeat counter.
 func TestNewer(t *testing.T) {
 	is := is.New(t)
-	at := func(started, beat int64) citronpeer.Member {
-		return citronpeer.Member{Started: started, Gauges: citronpeer.Gauges{Beat: beat}}
+	at := func(started, heartbeat int64) citronpeer.Member {
+		return citronpeer.Member{Started: started, Gauges: citronpeer.Gauges{Beat: heartbeat}}
 	}
 	a := at(5, 10)
 	is.True(at(5, 11).Newer(a))
@@ -84,9 +84,10 @@
 	is.True(!a.Newer(a))
 }
 
-// A few nodes watch the store and stand ready to lead. One zone's cut must not
-// take all of them, and a small machine not be one while a large one can.
-func TestFirstNodesStandInSeveralZones(t *testing.T) {
+// A few nodes watch the store and are ready to lead. They must not all be lost
+// when one zone is cut off, and a weak node must not be one of them while
+// stronger nodes exist.
+func TestFirstNodesAreInSeveralZones(t *testing.T) {
 	is := is.New(t)
 	var all []citronpeer.Member
 	for i := range 300 {
@@ -108,14 +109,14 @@
 	is.True(!all[0].Before(all[0]))
 }
 
-// BenchmarkNews gives the bytes on the wire of one piece of news: a node and the
-// revisions of its documents, with no member of the fleet but itself. The whole
-// knowledge of a hundred nodes, which was sent before, is 3.8 KB.
+// BenchmarkNews reports the bytes on the wire of one update: a node and the
+// revisions of its documents, without the other members of the fleet. The full
+// gossip state of a hundred nodes, which was sent before, is 3.8 KB.
 func BenchmarkNews(b *testing.B) {
 	k := citronpeer.Knowledge{From: member(1), Config: citronpeer.ConfigDocument{Version: 9}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
 	var size int64
 	mux := http.NewServeMux()
-	citronpeer.Handle(mux, answering(func(citronpeer.Knowledge) citronpeer.Knowledge { return citronpeer.Knowledge{} }))
+	citronpeer.Handle(mux, answerFunc(func(citronpeer.Knowledge) citronpeer.Knowledge { return citronpeer.Knowledge{} }))
 	hs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		size = r.ContentLength
 		mux.ServeHTTP(w, r)
@@ -130,8 +131,8 @@
 	b.ReportMetric(float64(size), "bytes")
 }
 
-// BenchmarkMessage gives the bytes on the wire and the time of one message
-// about so many members.
+// BenchmarkMessage reports the bytes on the wire and the time of one message, by
+// the number of members in it.
 func BenchmarkMessage(b *testing.B) {
 	for _, n := range []int{9, 100, 295, 1200} {
 		k := citronpeer.Knowledge{}
@@ -140,7 +141,7 @@
 		}
 		var size int64
 		mux := http.NewServeMux()
-		citronpeer.Handle(mux, answering(func(citronpeer.Knowledge) citronpeer.Knowledge { return citronpeer.Knowledge{} }))
+		citronpeer.Handle(mux, answerFunc(func(citronpeer.Knowledge) citronpeer.Knowledge { return citronpeer.Knowledge{} }))
 		hs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			size = r.ContentLength
 			mux.ServeHTTP(w, r)
--- a/citronpeer/suspect.go
+++ b/citronpeer/suspect.go
@@ -1,19 +1,19 @@
 package citronpeer
 
-// Suspect is a request under which engines have ended.
+// Suspect is a request under which engines have crashed.
 type Suspect struct {
 	// Print is the request's fingerprint in hexadecimal.
 	Print   string         `json:"print"`
 	Crashes []SuspectCrash `json:"crashes"`
 }
 
-// SuspectCrash is the end of an engine under a suspect.
+// SuspectCrash is the crash of an engine under a suspect.
 type SuspectCrash struct {
-	// Engine identifies one start of an engine.
+	// Engine identifies the engine. A restarted engine has another value.
 	Engine uint64 `json:"engine"`
-	// AgeMS is how long ago it was, in milliseconds. Ages need no clocks that
-	// agree.
+	// AgeMS is how long ago the engine crashed, in milliseconds. Ages need no
+	// synchronized clocks.
 	AgeMS int64 `json:"ageMs"`
-	// Refuted: the request has run well since.
+	// Refuted reports whether the request has succeeded since the crash.
 	Refuted bool `json:"refuted,omitempty"`
 }
