--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -1,23 +1,23 @@
-// Package citronroster finds out what one node has to tell another of the
+// Package citronroster determines what a node has to tell another node about the
 // members of their fleet.
 //
-// Every node knows every other, and what changes most is that they are alive
-// and how much they do. Told whole a few times a second at every node, members
-// take most of the processor time of a large fleet. So a member is told whole
-// once, and from then on by a fingerprint of what seldom changes of it, with
-// its beat:
+// Every node knows every other node. What changes most often is that members
+// are alive and what load they have. If nodes sent full members a few times a
+// second, that would take most of the processor time of a large fleet. A node
+// therefore sends a full member once, and from then on a fingerprint of its
+// rarely changing details together with its heartbeat counter:
 //
 //	A -- digest of A ----------------------> B
 //	A <- digest of B, what B has newer, and
-//	     what B wants of what A has newer -- B
-//	A -- what B wants ---------------------> B
+//	     items of A that B is missing ------ B
+//	A -- the items B is missing -----------> B
 //
-// What a member does (its gauges) is told within its zone. Of other zones a
-// node knows the sums, which some node of the zone has added up, with their
-// ages: they are few however many nodes there are.
+// A member's load and usage (its gauges) are sent within its zone only. About
+// other zones a node knows the zone totals, computed by some node of that zone,
+// with their ages. There are few of these, however many nodes the fleet has.
 //
-// Nothing here does input or output: a Roster is a value, a Table and Sums are
-// the state of one node, and each message is a function of those.
+// The package does no input or output. A Roster is a value, a Table and Sums
+// hold the state of one node, and each message is a function of these.
 package citronroster
 
 import (
@@ -28,15 +28,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// beatStep is by how many beats a member must be ahead to be worth telling.
-// Hearsay is a second old as a rule, and half of that less serves nobody.
-const beatStep = 5
+// minHeartbeatLead is how far a member's heartbeat counter must be ahead for its
+// gauges to be sent again. Second-hand reports are usually a second old; making
+// them newer by less than half of that is of no use.
+const minHeartbeatLead = 5
 
-// Of is the fingerprint of a member's details.
+// Of returns the fingerprint of a member's details.
 func Of(m citronpeer.Member) citronpeer.Print {
 	text, err := json.Marshal(m.WithGauges(citronpeer.Gauges{}))
 	if err != nil {
-		panic(err) // members are plain values
+		panic(err) // A member holds only types that JSON can encode.
 	}
 	return citronpeer.Print(xxhash.Sum64(text))
 }
@@ -45,28 +46,28 @@
 type Entry struct {
 	citronpeer.Member
 	Print citronpeer.Print
-	// Age is how long ago the member was heard of when the entry was made.
+	// Age is how long ago the member was last heard of when the entry was made.
 	Age time.Duration
 }
 
-// Roster is the members that a node of a zone knows at one moment. It is
-// immutable.
+// Roster is an immutable snapshot of the members that a node of a zone knows.
 type Roster struct {
 	zone    string
 	entries []Entry
-	byPrint map[citronpeer.Print]int
+	// indexByPrint holds indexes into entries.
+	indexByPrint map[citronpeer.Print]int
 }
 
-// New returns a roster of these members, which it keeps.
+// New returns a roster of entries. It takes ownership of entries.
 func New(zone string, entries []Entry) Roster {
-	r := Roster{zone: zone, entries: entries, byPrint: make(map[citronpeer.Print]int, len(entries))}
+	r := Roster{zone: zone, entries: entries, indexByPrint: make(map[citronpeer.Print]int, len(entries))}
 	for i, e := range entries {
-		r.byPrint[e.Print] = i
+		r.indexByPrint[e.Print] = i
 	}
 	return r
 }
 
-// Digest tells which members the roster has, and how new.
+// Digest returns the fingerprints and heartbeat counters of all members.
 func (r Roster) Digest() citronpeer.Digest {
 	d := citronpeer.Digest{Prints: make([]citronpeer.Print, len(r.entries)), Beats: make([]int64, len(r.entries))}
 	for i, e := range r.entries {
@@ -75,61 +76,61 @@
 	return d
 }
 
-// Diff is what a node that has told this digest lacks. near: it is of the same
-// zone.
-func (r Roster) Diff(d citronpeer.Digest, near bool) citronpeer.Diff {
+// Diff returns what the sender of digest d is missing. sameZone reports whether
+// the sender is in the roster's zone.
+func (r Roster) Diff(d citronpeer.Digest, sameZone bool) citronpeer.Diff {
 	theirs := make(map[citronpeer.Print]int64, len(d.Prints))
 	for i, p := range d.Prints {
 		theirs[p] = d.Beat(i)
 	}
 	var out citronpeer.Diff
 	for _, e := range r.entries {
-		beat, known := theirs[e.Print]
+		heartbeat, known := theirs[e.Print]
 		switch {
 		case !known:
-			out = e.addTo(out)
-		case near && e.Zone == r.zone && e.Beat >= beat+beatStep:
+			out = e.appendTo(out)
+		case sameZone && e.Zone == r.zone && e.Beat >= heartbeat+minHeartbeatLead:
 			out.Gauges = append(out.Gauges, e.gauge())
 		}
 	}
 	return out
 }
 
-// Wants is what this roster lacks of a node that has told this digest. near: it
-// is of the same zone.
-func (r Roster) Wants(d citronpeer.Digest, near bool) citronpeer.Wants {
+// Wants returns the items of digest d that this roster is missing. sameZone
+// reports whether the sender of d is in the roster's zone.
+func (r Roster) Wants(d citronpeer.Digest, sameZone bool) citronpeer.Wants {
 	var out citronpeer.Wants
 	for i, p := range d.Prints {
-		at, known := r.byPrint[p]
+		index, known := r.indexByPrint[p]
 		switch {
 		case !known:
 			out.Members = append(out.Members, p)
-		case near && r.entries[at].Zone == r.zone && d.Beat(i) >= r.entries[at].Beat+beatStep:
+		case sameZone && r.entries[index].Zone == r.zone && d.Beat(i) >= r.entries[index].Beat+minHeartbeatLead:
 			out.Gauges = append(out.Gauges, p)
 		}
 	}
 	return out
 }
 
-// Wanted is what another node wants. What is gone from the roster since its
-// digest is left out.
+// Wanted returns the items that another node requests. It leaves out items that
+// are no longer in the roster.
 func (r Roster) Wanted(w citronpeer.Wants) citronpeer.Diff {
 	var out citronpeer.Diff
 	for _, p := range w.Members {
-		if at, ok := r.byPrint[p]; ok {
-			out = r.entries[at].addTo(out)
+		if index, ok := r.indexByPrint[p]; ok {
+			out = r.entries[index].appendTo(out)
 		}
 	}
 	for _, p := range w.Gauges {
-		if at, ok := r.byPrint[p]; ok {
-			out.Gauges = append(out.Gauges, r.entries[at].gauge())
+		if index, ok := r.indexByPrint[p]; ok {
+			out.Gauges = append(out.Gauges, r.entries[index].gauge())
 		}
 	}
 	return out
 }
 
-// addTo adds the whole member to what another node is told.
-func (e Entry) addTo(d citronpeer.Diff) citronpeer.Diff {
+// appendTo appends the full member and its age to a diff.
+func (e Entry) appendTo(d citronpeer.Diff) citronpeer.Diff {
 	d.Members = append(d.Members, e.Member)
 	d.AgesMS = append(d.AgesMS, e.Age.Milliseconds())
 	return d
--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -10,11 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-// member is a node of a zone, of the beat that its details changed at last.
-func member(name, zone string, details, beat int64) citronpeer.Member {
+// member returns a node of zone with the given heartbeat counter. Members with
+// different values of details differ in their details.
+func member(name, zone string, details, heartbeat int64) citronpeer.Member {
 	return citronpeer.Member{
 		Name: name, Zone: zone, Peer: name + ":1", Started: 1, Ready: details%2 == 0, Store: statusOf(details),
-		Gauges: citronpeer.Gauges{Beat: beat, Load: map[string]int64{zone: beat}},
+		Gauges: citronpeer.Gauges{Beat: heartbeat, Load: map[string]int64{zone: heartbeat}},
 	}
 }
 
@@ -26,9 +27,9 @@
 	return citronroster.New(zone, entries)
 }
 
-// Gauges change from moment to moment and leave a member's fingerprint as it is;
-// anything else changes it.
-func TestFingerprint(t *testing.T) {
+// Gauges change all the time and do not affect a member's fingerprint. Any other
+// change does.
+func TestFingerprintIgnoresGauges(t *testing.T) {
 	is := is.New(t)
 	a := member("a", "z1", 0, 5)
 	is.Equal(citronroster.Of(a), citronroster.Of(a.WithGauges(citronpeer.Gauges{Beat: 99})))
@@ -37,9 +38,9 @@
 	is.True(citronroster.Of(a) != citronroster.Of(b))
 }
 
-// Two nodes of a fleet of three hundred that know the same tell each other of no
-// member whole, and of no gauges.
-func TestWhatBothKnowIsNotTold(t *testing.T) {
+// Two nodes of a fleet of three hundred that know the same send each other no
+// full member and no gauges.
+func TestKnownStateIsNotSent(t *testing.T) {
 	is := is.New(t)
 	var all []citronpeer.Member
 	for i := range 300 {
@@ -50,33 +51,34 @@
 	is.True(b.Wants(a.Digest(), true).Empty())
 }
 
-// A member of another zone that is further on is told by its beat alone; one of
-// this zone by its gauges too.
+// Only the heartbeat counter of a newer member of another zone is sent. The
+// gauges of a newer member of this zone are sent too.
 func TestGaugesStayInTheirZone(t *testing.T) {
 	is := is.New(t)
-	old := roster("z1", member("near", "z1", 0, 10), member("far", "z2", 0, 10))
-	late := roster("z1", member("near", "z1", 0, 20), member("far", "z2", 0, 20))
-	diff := late.Diff(old.Digest(), true)
+	older := roster("z1", member("near", "z1", 0, 10), member("far", "z2", 0, 10))
+	newer := roster("z1", member("near", "z1", 0, 20), member("far", "z2", 0, 20))
+	diff := newer.Diff(older.Digest(), true)
 	is.Equal(len(diff.Members), 0)
 	is.Equal(len(diff.Gauges), 1)
 	is.Equal(diff.Gauges[0].Load, map[string]int64{"z1": 20})
-	is.Equal(late.Diff(old.Digest(), false), citronpeer.Diff{})
-	is.Equal(old.Wants(late.Digest(), true).Gauges, []citronpeer.Print{citronroster.Of(member("near", "z1", 0, 1))})
+	is.Equal(newer.Diff(older.Digest(), false), citronpeer.Diff{})
+	is.Equal(older.Wants(newer.Digest(), true).Gauges, []citronpeer.Print{citronroster.Of(member("near", "z1", 0, 1))})
 }
 
-// A digest with fewer beats than fingerprints, or with fingerprints that nobody
-// has, is answered like any other, and what is wanted of it is not there.
-func TestSpoiledDigest(t *testing.T) {
+// A digest with fewer heartbeat counters than fingerprints, or with unknown
+// fingerprints, is answered like any other. Requested items that the roster does
+// not have are left out of the answer.
+func TestMalformedDigest(t *testing.T) {
 	is := is.New(t)
 	r := roster("z1", member("a", "z1", 0, 10))
 	d := citronpeer.Digest{Prints: []citronpeer.Print{citronroster.Of(member("a", "z1", 0, 1)), 77}}
-	is.Equal(len(r.Diff(d, true).Gauges), 1) // the beat that is missing counts as none
+	is.Equal(len(r.Diff(d, true).Gauges), 1) // a missing heartbeat counter counts as zero
 	is.Equal(r.Wants(d, true), citronpeer.Wants{Members: []citronpeer.Print{77}})
 	is.Equal(r.Wanted(citronpeer.Wants{Members: []citronpeer.Print{77}, Gauges: []citronpeer.Print{78}}), citronpeer.Diff{})
 }
 
-// Whatever two nodes know of a fleet, after one exchange both know the newest
-// details that either knew of each member.
+// Whatever two nodes know about a fleet, after one exchange both know the newest
+// details that either knew about each member.
 func TestExchangeSpreadsNewestDetails(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
@@ -97,8 +99,8 @@
 			}
 		}
 		a, b := tables[0], tables[1]
-		near := rapid.Bool().Draw(t, "near")
-		ra, rb := citronroster.New("z0", a.Alive(now)), citronroster.New("z1", b.Alive(now))
+		sameZone := rapid.Bool().Draw(t, "near")
+		rosterA, rosterB := citronroster.New("z0", a.Alive(now)), citronroster.New("z1", b.Alive(now))
 		take := func(tb *citronroster.Table, d citronpeer.Diff) {
 			for _, m := range d.Members {
 				tb.Take(m, now, now)
@@ -107,8 +109,8 @@
 				tb.TakeGauge(g, now)
 			}
 		}
-		take(a, rb.Diff(ra.Digest(), near))
-		take(b, ra.Wanted(rb.Wants(ra.Digest(), near)))
+		take(a, rosterB.Diff(rosterA.Digest(), sameZone))
+		take(b, rosterA.Wanted(rosterB.Wants(rosterA.Digest(), sameZone)))
 		for _, tb := range tables {
 			known := map[string]citronpeer.Member{}
 			for _, e := range tb.Alive(now) {
@@ -116,7 +118,7 @@
 			}
 			for name, m := range newest {
 				if citronroster.Of(known[name]) != citronroster.Of(m) {
-					t.Fatalf("of %s it knows %v, not %v", name, known[name], m)
+					t.Fatalf("member %s: known details are %v, want %v", name, known[name], m)
 				}
 			}
 		}
--- a/citronroster/sums.go
+++ b/citronroster/sums.go
@@ -7,51 +7,53 @@
 	"citrondeck.dev/citrondeck/citronpeer"
 )
 
-// sumLife is how old a zone's sum may be. It is told anew a few times a second;
-// one that is older tells of nodes that are cut off or gone.
-const sumLife = 3 * time.Second
+// maxTotalsAge is the age up to which zone totals are used. They are refreshed
+// a few times a second; older ones describe nodes that are cut off or gone.
+const maxTotalsAge = 3 * time.Second
 
-// Sums is what one node knows of what each zone does. It is not safe for use by
-// several goroutines.
+// Sums holds the zone totals that one node knows. It is not safe for concurrent
+// use.
 type Sums struct {
-	zone string
-	held map[string]heldSum
+	zone   string
+	byZone map[string]timedSum
 }
 
-type heldSum struct {
+type timedSum struct {
 	citronpeer.Sum
-	// made is when it was added up, by this node's clock.
-	made time.Time
+	// computed is when the totals were computed, by this node's clock.
+	computed time.Time
 }
 
-// NewSums returns the empty sums of a node of this zone.
-func NewSums(zone string) *Sums { return &Sums{zone: zone, held: map[string]heldSum{}} }
+// NewSums returns empty zone totals for a node of zone.
+func NewSums(zone string) *Sums { return &Sums{zone: zone, byZone: map[string]timedSum{}} }
 
-// Set takes the sum of the node's own zone, as this node has added it up.
+// Set stores the totals of the node's own zone, computed by this node.
 func (s *Sums) Set(sum citronpeer.Sum, now time.Time) {
 	sum.Zone = s.zone
-	s.held[s.zone] = heldSum{Sum: sum, made: now}
+	s.byZone[s.zone] = timedSum{Sum: sum, computed: now}
 }
 
-// Take takes another node's word for the sum of another zone, if it is newer.
-// One with an age that cannot be is left alone: it would never be replaced.
+// Take stores the totals of another zone, as received from another node, if
+// they are newer than the known ones. It ignores totals with a negative age,
+// which no later ones would replace.
 func (s *Sums) Take(sum citronpeer.Sum, now time.Time) {
 	if sum.Zone == s.zone || sum.AgeMS < 0 {
 		return
 	}
-	made := now.Add(-time.Duration(sum.AgeMS) * time.Millisecond)
-	if old, ok := s.held[sum.Zone]; ok && !made.After(old.made) {
+	computed := now.Add(-time.Duration(sum.AgeMS) * time.Millisecond)
+	if old, ok := s.byZone[sum.Zone]; ok && !computed.After(old.computed) {
 		return
 	}
-	s.held[sum.Zone] = heldSum{Sum: sum, made: made}
+	s.byZone[sum.Zone] = timedSum{Sum: sum, computed: computed}
 }
 
-// Tell returns the sums of all zones that are not too old, with their ages.
+// Tell returns the totals of all zones that are at most maxTotalsAge old, with
+// their current ages.
 func (s *Sums) Tell(now time.Time) []citronpeer.Sum {
 	var out []citronpeer.Sum
-	for _, h := range s.held {
-		if age := now.Sub(h.made); age <= sumLife {
-			sum := h.Sum
+	for _, t := range s.byZone {
+		if age := now.Sub(t.computed); age <= maxTotalsAge {
+			sum := t.Sum
 			sum.AgeMS = max(0, age.Milliseconds())
 			out = append(out, sum)
 		}
@@ -59,18 +61,18 @@
 	return out
 }
 
-// Total adds a sum to the loads and uses of several.
+// Total accumulates the load and usage of several members or zones.
 type Total struct {
 	Load map[string]int64
 	Sent map[string]citronpeer.Sent
 }
 
-// NewTotal returns a total of nothing.
+// NewTotal returns an empty total.
 func NewTotal() Total {
 	return Total{Load: map[string]int64{}, Sent: map[string]citronpeer.Sent{}}
 }
 
-// Add adds what a member or a zone does.
+// Add adds the load and usage of a member or a zone.
 func (t Total) Add(load map[string]int64, sent map[string]citronpeer.Sent) {
 	for zone, tokens := range load {
 		t.Load[zone] += tokens
@@ -83,5 +85,5 @@
 	}
 }
 
-// Clone returns a copy.
+// Clone returns a copy that shares no maps with t.
 func (t Total) Clone() Total { return Total{Load: maps.Clone(t.Load), Sent: maps.Clone(t.Sent)} }
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -8,100 +8,110 @@
 )
 
 const (
-	// suspectAfter is when a member that was not heard of is asked itself. News
-	// of it is hearsay, and old when it comes: a later limit had callers sent to
-	// nodes that were long gone.
-	suspectAfter = 1500 * time.Millisecond
-	// farSuspectAfter is the same for a member of another zone: callers of this one
-	// are hardly ever sent there, and hearsay from there is older.
-	farSuspectAfter = 3 * time.Second
-	// FreshFor is how long after it was heard of callers may be sent to a member.
-	FreshFor = suspectAfter + askTime
-	// askTime is how long after that one that does not answer is lost.
-	askTime = 500 * time.Millisecond
-	// askLate is the same for one that nobody had time to ask: a node that is
-	// cut from a whole zone has more to ask than it can.
-	askLate = 700 * time.Millisecond
-	// oldestHearsay bounds how old a beat is taken for that another node tells of: a
-	// sound member that is short of processor time beats late.
-	oldestHearsay = suspectAfter / 2
-	// mostAhead is by how many beats a member may be ahead of what was told
-	// of it: whatever is further ahead is not its beat, and would hide what
-	// it does from then on.
-	mostAhead = 1000
-	// gapWeight is the weight of one piece of news in the usual time.
+	// probeAfter is how long a member may go unheard of before this node probes
+	// it. Updates about a member are second-hand reports and old when they
+	// arrive: with a longer limit, callers were sent to nodes that had long been
+	// gone.
+	probeAfter = 1500 * time.Millisecond
+	// remoteProbeAfter is the same for a member of another zone. Callers of this
+	// zone are hardly ever sent there, and second-hand reports from there are
+	// older.
+	remoteProbeAfter = 3 * time.Second
+	// FreshFor is the time since a member was last heard of within which callers
+	// may be sent to it.
+	FreshFor = probeAfter + probeTimeout
+	// probeTimeout is how long after probeAfter or remoteProbeAfter a probed
+	// member that does not answer is lost.
+	probeTimeout = 500 * time.Millisecond
+	// unprobedTimeout is the same for a member that was not probed: a node that
+	// is cut off from a whole zone has more members to probe than it can.
+	unprobedTimeout = 700 * time.Millisecond
+	// maxReportAge is the maximum age that is assumed for a heartbeat in a
+	// second-hand report: a healthy member that is short of processor time sends
+	// its heartbeats late.
+	maxReportAge = probeAfter / 2
+	// maxHeartbeatLead is how far a heartbeat counter may be ahead of the last
+	// known one. A counter further ahead cannot be the member's own, and would
+	// hide the member's later gauges.
+	maxHeartbeatLead = 1000
+	// gapWeight is the weight of one interval in the running mean.
 	gapWeight = 0.01
-	// forgetAfter is when a lost member is no longer known at all.
+	// forgetAfter is how long after it was last heard of a member is removed
+	// from the table.
 	forgetAfter = 20 * time.Second
-	// mostAsked is how many members are asked in one aging.
-	mostAsked = 8
-	// stoodStill is the time between two agings from which on this node has
-	// not been running, and its silence about others tells nothing.
-	stoodStill = 500 * time.Millisecond
+	// maxProbesPerAging is the number of members probed in one call of Age.
+	maxProbesPerAging = 8
+	// stallThreshold is the time between two calls of Age above which this node
+	// counts as stalled. That it heard of no member meanwhile says nothing about
+	// the members.
+	stallThreshold = 500 * time.Millisecond
 )
 
-// Known is a member, and when it was heard of.
+// Known is a member in a table, and when it was last heard of.
 type Known struct {
 	Entry
 	Heard time.Time
-	// seen is the latest beat that was told of it. Within a zone its gauges
+	// latestHeartbeat is the latest known heartbeat counter. Within a zone the gauges
 	// may be older.
-	seen int64
-	// Alive: it is not lost. Stale: it was not heard of lately all the same, and what
-	// it told last may be over.
+	latestHeartbeat int64
+	// Alive reports that the member is not lost. Stale reports that it has
+	// nevertheless not been heard of lately, and that its last known state may be
+	// out of date.
 	Alive, Stale bool
-	// asked: it was asked itself since it was heard of.
-	asked bool
+	// probed reports whether it was probed since it was last heard of.
+	probed bool
 }
 
-// Table is what one node knows of the others, as time goes on. It is not safe
-// for use by several goroutines.
+// Table is what one node knows about the other nodes over time. It is not safe
+// for concurrent use.
 //
-// A member is believed lost only if it does not answer when asked itself. In a
-// large fleet the news of a sound member is late now and then; taken for lost,
-// it is missing from what callers are told, and from the sums that repeats are
-// dealt and paths are chosen by.
+// A member is considered lost only if it does not answer a probe. In a large
+// fleet, updates about a healthy member are late now and then. If it were
+// considered lost for that, it would be missing from what callers are told and
+// from the totals used to allocate retries and to choose paths.
 type Table struct {
-	// self is the node whose table it is, by name, and zone its zone.
+	// self is the name of the node that owns the table, and zone is its zone.
 	self, zone string
 	members    map[string]*Known
 	byPrint    map[citronpeer.Print]*Known
-	aged       time.Time
-	// near is the usual time between two pieces of news of a member of this
+	// agedAt is when Age was last called.
+	agedAt time.Time
+	// sameZoneGap is the mean time between two updates about a member of this
 	// zone.
-	near gap
+	sameZoneGap runningMean
 }
 
-// gap is a running mean of times.
-type gap time.Duration
+// runningMean is an exponentially weighted mean of durations.
+type runningMean time.Duration
 
-// with returns g with one more time taken in.
-func (g gap) with(d time.Duration) gap {
-	return g + gap(gapWeight*float64(d-time.Duration(g)))
+// with returns the mean updated with one more duration.
+func (m runningMean) with(d time.Duration) runningMean {
+	return m + runningMean(gapWeight*float64(d-time.Duration(m)))
 }
 
-// NearGap is the usual time between two pieces of news of a member of this zone.
-// What is known of such a member is twice as old at most, as a rule.
-func (t *Table) NearGap() time.Duration { return time.Duration(t.near) }
+// NearGap returns the mean time between two updates about a member of this
+// zone. What is known of such a member is usually at most twice as old.
+func (t *Table) NearGap() time.Duration { return time.Duration(t.sameZoneGap) }
 
-// NewTable returns the empty table of the node of this name.
+// NewTable returns the empty table of the node self in zone.
 func NewTable(self, zone string) *Table {
 	return &Table{self: self, zone: zone, members: map[string]*Known{}, byPrint: map[citronpeer.Print]*Known{}}
 }
 
-// Take takes what is told of a member as a whole by a node that heard of it at a
-// moment. It reports whether that was news, and whether with it the member has
-// come, is back, or serves callers otherwise than before.
+// Take records a full member from a node that last heard of it at heard. It
+// reports whether the state was new, and whether the member thereby joined,
+// came back, or changed its Ready or Leaving state.
 //
-// Were a member that is new here taken for heard of just now, nodes that start one
-// after the other would keep a dead one for each other.
-func (t *Table) Take(m citronpeer.Member, heard, now time.Time) (news, changed bool) {
+// A member that is new to this node is not counted as heard of just now.
+// Otherwise nodes that start one after the other would keep a dead member alive
+// for each other.
+func (t *Table) Take(m citronpeer.Member, heard, now time.Time) (isNew, changed bool) {
 	if m.Name == "" || m.Name == t.self {
 		return false, false
 	}
 	old, ok := t.members[m.Name]
-	// A process restarted after its clock was set back looks older than the
-	// one before it, which is known to be gone by now.
+	// A process that restarted after its clock was set back looks older than
+	// the previous process, which is known to be gone by now.
 	restarted := ok && !old.Alive && m.Started != old.Started
 	if ok && !restarted && !m.Newer(old.Member) {
 		return false, false
@@ -110,51 +120,53 @@
 		delete(t.byPrint, old.Print)
 	}
 	if ok && old.Alive {
-		heard = now // it has gone on since it was heard of here
+		heard = now // The heartbeat has advanced since this node last heard of the member.
 	}
-	k := &Known{Entry: Entry{Member: m, Print: Of(m)}, seen: m.Beat, Heard: heard, Alive: true}
+	k := &Known{Entry: Entry{Member: m, Print: Of(m)}, latestHeartbeat: m.Beat, Heard: heard, Alive: true}
 	t.members[m.Name] = k
 	t.byPrint[k.Print] = k
 	return true, !ok || !old.Alive || old.Leaving != m.Leaving || old.Ready != m.Ready
 }
 
-// TakeGauge takes news of a member that is known whole. It returns the member,
-// and whether it is back with it; nil if that was no news.
+// TakeGauge records new gauges of a member whose details are known. It returns
+// the member, and whether the member thereby came back. It returns nil if the
+// gauges are not new or the member is unknown.
 func (t *Table) TakeGauge(g citronpeer.Gauge, now time.Time) (of *Known, back bool) {
 	k := t.byPrint[g.Print]
-	if k == nil || g.Beat <= k.Beat || g.Beat > k.seen+mostAhead {
+	if k == nil || g.Beat <= k.Beat || g.Beat > k.latestHeartbeat+maxHeartbeatLead {
 		return nil, false
 	}
 	k.Gauges = g.Gauges
-	return k, t.hear(k, g.Beat, now)
+	return k, t.noteHeartbeat(k, g.Beat, now)
 }
 
-// TakeDigest takes from another node's digest that members live, and returns
-// those that are back with it. The beat of a member of this zone stays that of
-// its gauges, which do not come with a digest.
+// TakeDigest records from another node's digest which members are alive, and
+// returns the members that thereby came back. Beat of a member of this zone
+// stays unchanged: it belongs to the gauges, which a digest does not carry.
 func (t *Table) TakeDigest(d citronpeer.Digest, now time.Time) (back []*Known) {
 	for i, p := range d.Prints {
 		k := t.byPrint[p]
-		beat := d.Beat(i)
-		if k == nil || beat > k.seen+mostAhead {
+		heartbeat := d.Beat(i)
+		if k == nil || heartbeat > k.latestHeartbeat+maxHeartbeatLead {
 			continue
 		}
 		if k.Zone != t.zone {
-			k.Beat = max(k.Beat, beat)
+			k.Beat = max(k.Beat, heartbeat)
 		}
-		if t.hear(k, beat, now) {
+		if t.noteHeartbeat(k, heartbeat, now) {
 			back = append(back, k)
 		}
 	}
 	return back
 }
 
-// heardAt is when a member was at a beat, at the earliest: the later by its beats
-// than the last one known. Taken for now, beats of a dead member that travel from node
-// to node would keep it for another second.
-func (k *Known) heardAt(beat int64, now time.Time) time.Time {
-	at := k.Heard.Add(time.Duration(beat-k.seen) * citronpeer.BeatEvery)
-	if oldest := now.Add(-oldestHearsay); at.Before(oldest) {
+// heardAt estimates the earliest time at which the member reached a heartbeat
+// counter, from the last known counter and the minimum heartbeat interval. If
+// now were used instead, heartbeats of a dead member that travel from node to
+// node would keep it alive for another second.
+func (k *Known) heardAt(heartbeat int64, now time.Time) time.Time {
+	at := k.Heard.Add(time.Duration(heartbeat-k.latestHeartbeat) * citronpeer.BeatEvery)
+	if oldest := now.Add(-maxReportAge); at.Before(oldest) {
 		return oldest
 	}
 	if at.After(now) {
@@ -163,57 +175,58 @@
 	return at
 }
 
-// hear notes that a member was at this beat, and reports whether it was lost
-// before.
-func (t *Table) hear(k *Known, beat int64, now time.Time) bool {
-	if beat <= k.seen {
+// noteHeartbeat records that a member reached a heartbeat counter, and reports
+// whether the member was lost before.
+func (t *Table) noteHeartbeat(k *Known, heartbeat int64, now time.Time) bool {
+	if heartbeat <= k.latestHeartbeat {
 		return false
 	}
-	lost := !k.Alive
-	if !lost && k.Zone == t.zone {
-		t.near = t.near.with(now.Sub(k.Heard))
+	wasLost := !k.Alive
+	if !wasLost && k.Zone == t.zone {
+		t.sameZoneGap = t.sameZoneGap.with(now.Sub(k.Heard))
 	}
-	k.Heard = k.heardAt(beat, now)
-	k.seen, k.Alive, k.Stale, k.asked = beat, true, false, false
-	return lost
+	k.Heard = k.heardAt(heartbeat, now)
+	k.latestHeartbeat, k.Alive, k.Stale, k.probed = heartbeat, true, false, false
+	return wasLost
 }
 
-// Age returns which members to ask whether they live, and which are lost from
-// now on, and forgets those that have been lost for long.
-func (t *Table) Age(now time.Time) (ask, lost []*Known) {
-	still := now.Sub(t.aged)
-	if !t.aged.IsZero() && still > stoodStill {
-		t.later(still)
+// Age returns the members to probe and the members that have just become lost.
+// It removes members that have been lost for long.
+func (t *Table) Age(now time.Time) (probe, lost []*Known) {
+	sinceLast := now.Sub(t.agedAt)
+	if !t.agedAt.IsZero() && sinceLast > stallThreshold {
+		t.discountStall(sinceLast)
 	}
-	t.aged = now
+	t.agedAt = now
 	for name, k := range t.members {
-		age, suspect := now.Sub(k.Heard), t.suspectAfter(k)
+		age, limit := now.Sub(k.Heard), t.probeAfter(k)
 		k.Stale = k.Stale || age > FreshFor
 		switch {
 		case age > forgetAfter:
 			delete(t.members, name)
 			delete(t.byPrint, k.Print)
-		case k.Alive && (k.asked && age > suspect+askTime || age > suspect+askLate):
+		case k.Alive && (k.probed && age > limit+probeTimeout || age > limit+unprobedTimeout):
 			k.Alive = false
 			lost = append(lost, k)
-		case k.Alive && age > suspect && !k.asked && len(ask) < mostAsked:
-			k.asked = true
-			ask = append(ask, k)
+		case k.Alive && age > limit && !k.probed && len(probe) < maxProbesPerAging:
+			k.probed = true
+			probe = append(probe, k)
 		}
 	}
-	return ask, lost
+	return probe, lost
 }
 
-// suspectAfter is when a member is asked itself.
-func (t *Table) suspectAfter(k *Known) time.Duration {
+// probeAfter returns how long a member may go unheard of before it is probed.
+func (t *Table) probeAfter(k *Known) time.Duration {
 	if k.Zone == t.zone {
-		return suspectAfter
+		return probeAfter
 	}
-	return farSuspectAfter
+	return remoteProbeAfter
 }
 
-// later counts a time in which this node did not run as no time.
-func (t *Table) later(d time.Duration) {
+// discountStall excludes a time in which this node stalled from the ages of the
+// members.
+func (t *Table) discountStall(d time.Duration) {
 	for _, k := range t.members {
 		if k.Alive {
 			k.Heard = k.Heard.Add(d)
@@ -221,7 +234,8 @@
 	}
 }
 
-// All are the members that are known, also those lost.
+// All iterates over the known members, including lost ones, in no particular
+// order.
 func (t *Table) All() iter.Seq[*Known] {
 	return func(yield func(*Known) bool) {
 		for _, k := range t.members {
@@ -232,7 +246,7 @@
 	}
 }
 
-// Alive are the members that are not lost, in no order.
+// Alive returns the members that are not lost, in no particular order.
 func (t *Table) Alive(now time.Time) []Entry {
 	out := make([]Entry, 0, len(t.members)+1)
 	for _, k := range t.members {
--- a/citronroster/table_test.go
+++ b/citronroster/table_test.go
@@ -15,28 +15,30 @@
 
 const tick = 100 * time.Millisecond
 
-// statusOf makes members of different details.
+// statusOf returns a store status that differs between the values 0 to 3 of
+// details.
 func statusOf(details int64) citronhealth.Status {
 	return citronhealth.Status{Answered: details&1 != 0, Served: details&2 != 0}
 }
 
-// age ages a table for a time, tick by tick, and returns who was asked and lost.
-func age(tb *citronroster.Table, now *time.Time, d time.Duration) (asked, lost []string) {
+// age ages a table for d, tick by tick, and returns the members that were probed
+// and lost.
+func age(tb *citronroster.Table, now *time.Time, d time.Duration) (probed, lost []string) {
 	for end := now.Add(d); now.Before(end); {
 		*now = now.Add(tick)
-		a, l := tb.Age(*now)
-		for _, k := range a {
-			asked = append(asked, k.Name)
+		p, l := tb.Age(*now)
+		for _, k := range p {
+			probed = append(probed, k.Name)
 		}
 		for _, k := range l {
 			lost = append(lost, k.Name)
 		}
 	}
-	return asked, lost
+	return probed, lost
 }
 
-// told are the members that callers may be sent to.
-func told(tb *citronroster.Table, now time.Time) (names []string) {
+// advertised returns the members that callers may be sent to.
+func advertised(tb *citronroster.Table, now time.Time) (names []string) {
 	for _, e := range tb.Alive(now) {
 		if e.Age <= citronroster.FreshFor {
 			names = append(names, e.Name)
@@ -45,55 +47,55 @@
 	return names
 }
 
-// A node is killed. The others ask it, get no answer, and declare it failed
+// A node is killed. The other nodes probe it, get no answer, and consider it lost
 // within the 3 s in which callers may still be sent there.
 func TestDeadMemberIsLostInTime(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	tb.Take(member("b", "z1", 0, 1), now, now)
-	asked, lost := age(tb, &now, 3*time.Second)
-	is.Equal(asked, []string{"b"})
+	probed, lost := age(tb, &now, 3*time.Second)
+	is.Equal(probed, []string{"b"})
 	is.Equal(lost, []string{"b"})
 	is.Equal(len(tb.Alive(now)), 0)
-	// It comes back: news of it is news of a member that was not there.
+	// It comes back: an update about it counts as one about a member that was absent.
 	_, back := tb.TakeGauge(citronpeer.Gauge{Print: citronroster.Of(member("b", "z1", 0, 1)), Gauges: citronpeer.Gauges{Beat: 50}}, now)
 	is.True(back)
 	is.Equal(len(tb.Alive(now)), 1)
 }
 
-// Guards against a dead member that nodes which start keep for one another: what
-// one of them is told is as old as the news of the node that tells it.
-func TestHearsayIsAsOldAsItsTeller(t *testing.T) {
+// Guards against starting nodes that keep a dead member alive for each other: a
+// second-hand report must count as old as the sender's own information.
+func TestSecondHandReportKeepsItsAge(t *testing.T) {
 	is := is.New(t)
 	now := start
 	first := citronroster.NewTable("a", "z1")
 	first.Take(member("b", "z1", 0, 1), now, now)
 	_, lost := age(first, &now, 1900*time.Millisecond)
 	is.Equal(len(lost), 0)
-	told := citronroster.New("z1", first.Alive(now)).Diff(citronpeer.Digest{}, true)
-	is.Equal(len(told.Members), 1)
+	report := citronroster.New("z1", first.Alive(now)).Diff(citronpeer.Digest{}, true)
+	is.Equal(len(report.Members), 1)
 	second := citronroster.NewTable("c", "z1")
-	second.Take(told.Members[0], now.Add(-told.Age(0)), now)
+	second.Take(report.Members[0], now.Add(-report.Age(0)), now)
 	_, lost = age(second, &now, 600*time.Millisecond)
 	is.Equal(lost, []string{"b"})
 }
 
-// A sound node's news is late for longer than is usual. It answers when asked,
-// and stays.
-func TestMemberThatAnswersStays(t *testing.T) {
+// Updates about a healthy node are later than usual. The node answers the probe
+// and is not lost.
+func TestMemberThatAnswersProbeStays(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	tb.Take(member("b", "z1", 0, 1), now, now)
-	asked, _ := age(tb, &now, 1600*time.Millisecond)
-	is.Equal(asked, []string{"b"})
+	probed, _ := age(tb, &now, 1600*time.Millisecond)
+	is.Equal(probed, []string{"b"})
 	tb.Take(member("b", "z1", 0, 17), now, now)
 	_, lost := age(tb, &now, 1500*time.Millisecond)
 	is.Equal(len(lost), 0)
 }
 
-// A zone is cut off: more nodes are silent at once than can be asked at once. Callers are
-// sent to none of them within the time all the same.
-func TestSilentZoneIsLostInTime(t *testing.T) {
+// A zone is cut off, and more of its nodes send nothing than can be probed at the
+// same time. Callers must still not be sent to any of them past the time limit.
+func TestCutOffZoneIsLostInTime(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	for i := range 200 {
@@ -101,14 +103,14 @@
 	}
 	_, lost := age(tb, &now, 2200*time.Millisecond+tick)
 	is.Equal(len(lost), 100)
-	is.Equal(len(told(tb, now)), 0)
+	is.Equal(len(advertised(tb, now)), 0)
 	_, lost = age(tb, &now, 2*time.Second)
 	is.Equal(len(lost), 100)
 }
 
-// A node stands still for five seconds (it was frozen, or had no processor time).
-// It has heard of nobody meanwhile, which tells nothing about the others.
-func TestNodeThatStoodStillLosesNobody(t *testing.T) {
+// A node stalls for five seconds (it is frozen, or gets no processor time). It
+// hears of no member meanwhile, which says nothing about the members.
+func TestStalledNodeLosesNoMember(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	tb.Take(member("b", "z1", 0, 1), now, now)
@@ -117,34 +119,35 @@
 	_, lost := age(tb, &now, time.Second)
 	is.Equal(len(lost), 0)
 	_, lost = age(tb, &now, 2*time.Second)
-	is.Equal(lost, []string{"b"}) // its silence counts from now on
+	is.Equal(lost, []string{"b"}) // time without updates counts again
 }
 
-// In a large fleet news of other zones' nodes takes long as a rule, and is a second
-// old when it comes. A node that dies must be out of what callers are told three
-// seconds later all the same, so two and a bit are left from the last news on.
-func TestSlowNewsDoesNotKeepTheDead(t *testing.T) {
+// In a large fleet updates about nodes of other zones are usually slow, and a
+// second old when they arrive. Callers must still not be sent to a node more than
+// three seconds after it died, which leaves slightly more than two seconds after
+// the last update.
+func TestSlowUpdatesDoNotKeepDeadMember(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	tb.Take(member("b", "z2", 0, 1), now, now)
-	for beat := int64(10); beat < 10000; beat += 10 {
+	for heartbeat := int64(10); heartbeat < 10000; heartbeat += 10 {
 		now = now.Add(400 * time.Millisecond)
 		tb.Age(now)
 		now = now.Add(400 * time.Millisecond)
 		tb.Age(now)
-		tb.TakeDigest(citronpeer.Digest{Prints: []citronpeer.Print{citronroster.Of(member("b", "z2", 0, 1))}, Beats: []int64{beat}}, now)
+		tb.TakeDigest(citronpeer.Digest{Prints: []citronpeer.Print{citronroster.Of(member("b", "z2", 0, 1))}, Beats: []int64{heartbeat}}, now)
 	}
-	is.Equal(told(tb, now), []string{"b"})
+	is.Equal(advertised(tb, now), []string{"b"})
 	age(tb, &now, 2200*time.Millisecond+tick)
-	is.Equal(len(told(tb, now)), 0)
-	asked, lost := age(tb, &now, 2*time.Second)
-	is.Equal(asked, []string{"b"})
+	is.Equal(len(advertised(tb, now)), 0)
+	probed, lost := age(tb, &now, 2*time.Second)
+	is.Equal(probed, []string{"b"})
 	is.Equal(lost, []string{"b"})
 }
 
-// Guards against a dead member that is kept by beats which travel from node to node: the
-// last of them comes a second after it died.
-func TestLateBeatOfTheDeadDoesNotKeepIt(t *testing.T) {
+// Guards against a dead member that is kept alive by heartbeats traveling from
+// node to node: the last of them arrives a second after it died.
+func TestLateHeartbeatDoesNotKeepDeadMember(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	b := member("b", "z1", 0, 1)
@@ -155,39 +158,39 @@
 	is.Equal(lost, []string{"b"})
 }
 
-// Guards against a fleet that spends its time on asking members of other zones, whose
-// news is late as a rule, whether they live.
-func TestMemberOfAnotherZoneIsAskedLater(t *testing.T) {
+// Guards against a fleet that spends its time on probing members of other zones,
+// about which updates are usually late.
+func TestMemberOfAnotherZoneIsProbedLater(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	tb.Take(member("near", "z1", 0, 1), now, now)
 	tb.Take(member("far", "z2", 0, 1), now, now)
-	asked, lost := age(tb, &now, 2200*time.Millisecond+tick)
-	is.Equal(asked, []string{"near"})
+	probed, lost := age(tb, &now, 2200*time.Millisecond+tick)
+	is.Equal(probed, []string{"near"})
 	is.Equal(lost, []string{"near"})
-	is.Equal(len(told(tb, now)), 0)
-	asked, lost = age(tb, &now, 2*time.Second)
-	is.Equal(asked, []string{"far"})
+	is.Equal(len(advertised(tb, now)), 0)
+	probed, lost = age(tb, &now, 2*time.Second)
+	is.Equal(probed, []string{"far"})
 	is.Equal(lost, []string{"far"})
 }
 
-// Guards against a sound member that is short of processor time, beats at half of the
-// pace, and is asked at all times.
-func TestSlowMemberIsNotAsked(t *testing.T) {
+// Guards against constant probes of a healthy member that is short of processor
+// time and sends heartbeats at half the usual rate.
+func TestSlowMemberIsNotProbed(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	b := member("b", "z2", 0, 1)
 	tb.Take(b, now, now)
-	for beat := int64(1); beat < 500; beat += 2 {
-		asked, _ := age(tb, &now, 4*tick)
-		is.Equal(len(asked), 0)
-		tb.TakeDigest(citronpeer.Digest{Prints: []citronpeer.Print{citronroster.Of(b)}, Beats: []int64{beat}}, now)
+	for heartbeat := int64(1); heartbeat < 500; heartbeat += 2 {
+		probed, _ := age(tb, &now, 4*tick)
+		is.Equal(len(probed), 0)
+		tb.TakeDigest(citronpeer.Digest{Prints: []citronpeer.Print{citronroster.Of(b)}, Beats: []int64{heartbeat}}, now)
 	}
 }
 
-// One peer tells of a beat that no node can have reached. If it were believed,
-// all that the member tells of itself would look old from then on.
-func TestImpossibleBeatIsNotTaken(t *testing.T) {
+// A peer reports a heartbeat counter that no node can have reached. If it were
+// accepted, everything the member later reports about itself would look old.
+func TestImpossibleHeartbeatIsRejected(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	b := member("b", "z1", 0, 1)
@@ -198,12 +201,12 @@
 	k, _ = tb.TakeGauge(citronpeer.Gauge{Print: citronroster.Of(b), Gauges: citronpeer.Gauges{Beat: 2}}, now)
 	is.True(k != nil)
 	k, _ = tb.TakeGauge(citronpeer.Gauge{Print: 77, Gauges: citronpeer.Gauges{Beat: 2}}, now)
-	is.True(k == nil) // of nobody
+	is.True(k == nil) // unknown fingerprint
 }
 
-// Of what a zone does the youngest word counts, whoever brings it, and none that
-// is older than three seconds: its nodes may be cut off.
-func TestYoungestSumCounts(t *testing.T) {
+// The most recent totals of a zone count, from whichever node they come. Totals
+// older than three seconds do not count: the zone's nodes may be cut off.
+func TestMostRecentZoneTotalsCount(t *testing.T) {
 	is := is.New(t)
 	s := citronroster.NewSums("z1")
 	tokens := func(now time.Time) int64 {
@@ -226,6 +229,6 @@
 	is.Equal(tokens(start), int64(3))
 	is.Equal(s.Tell(start.Add(time.Second))[0].AgeMS, int64(1300))
 	is.Equal(len(s.Tell(start.Add(3*time.Second))), 0)
-	s.Take(citronpeer.Sum{Zone: "z1", Load: map[string]int64{"z2": 9}}, start) // of our own zone we know
+	s.Take(citronpeer.Sum{Zone: "z1", Load: map[string]int64{"z2": 9}}, start) // a node does not accept totals of its own zone
 	is.Equal(len(s.Tell(start)), 1)
 }
