--- a/citronfleet/check.go
+++ b/citronfleet/check.go
@@ -1,9 +1,8 @@
 package citronfleet
 
-// Parsing and checking. Decoding is strict (an unknown field is an
-// error). Each semantic problem is located by its YAML path, which the
-// parser's AST turns into a line and column, so that an operator is sent
-// to the place to mend.
+// Parsing and validation. Decoding is strict: an unknown field is an error.
+// Each semantic problem carries a YAML path, which the parser's AST maps to a
+// line and a column, so that operators see where to fix the text.
 
 import (
 	"fmt"
@@ -17,7 +16,7 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Problem is one reason a fleet text was refused.
+// Problem is one reason why a fleet text was rejected, and its position.
 type Problem struct {
 	File string
 	Line int
@@ -30,7 +29,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s", p.File, p.Line, p.Col, p.Path, p.Msg)
 }
 
-// Problems is the error Parse returns for a refused text.
+// Problems is the error that Parse returns for a rejected fleet text.
 type Problems []Problem
 
 func (ps Problems) Error() string {
@@ -41,9 +40,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse decodes and checks a fleet text. A refused text yields Problems
-// (or a YAML syntax error with its position); nothing half-read is
-// returned.
+// Parse decodes and validates a fleet text. For an invalid text, it returns
+// Problems, or a decoding error with its position, and an empty Fleet.
 func Parse(file string, text []byte) (Fleet, error) {
 	var f Fleet
 	if err := citronyaml.Decode(file, text, &f); err != nil {
@@ -54,20 +52,23 @@
 		return Fleet{}, errors.Wrapf(err, "%s", file)
 	}
 	c := checker{file: file, doc: doc}
-	c.fleet(f)
+	c.checkFleet(f)
 	if len(c.problems) > 0 {
 		return Fleet{}, c.problems
 	}
 	return f, nil
 }
 
+// checker collects the problems of one fleet text.
 type checker struct {
 	file     string
 	doc      *ast.File
 	problems Problems
 }
 
-func (c *checker) add(path, format string, args ...any) {
+// addProblem records a problem at a YAML path. Line and column stay zero if the
+// path cannot be found in the document.
+func (c *checker) addProblem(path, format string, args ...any) {
 	p := Problem{File: c.file, Path: strings.TrimPrefix(path, "$."), Msg: fmt.Sprintf(format, args...)}
 	if yp, err := yaml.PathString(path); err == nil {
 		if n, err := yp.FilterFile(c.doc); err == nil && n != nil {
@@ -78,71 +79,73 @@
 	c.problems = append(c.problems, p)
 }
 
-func (c *checker) fleet(f Fleet) {
+func (c *checker) checkFleet(f Fleet) {
 	if f.Name == "" {
-		c.add("$", "the fleet needs a name (fleet: ...)")
+		c.addProblem("$", "the fleet needs a name (fleet: ...)")
 	}
 	if len(f.Zones) == 0 {
-		c.add("$", "the fleet needs at least one zone")
+		c.addProblem("$", "the fleet needs at least one zone")
 	}
 	seen := map[string]bool{}
 	for i, cu := range f.Customers {
 		path := fmt.Sprintf("$.customers[%d]", i)
 		if cu.Name == "" || seen[cu.Name] {
-			c.add(path, "customer name %q is empty or repeated", cu.Name)
+			c.addProblem(path, "customer name %q is empty or repeated", cu.Name)
 		}
 		seen[cu.Name] = true
 		if cu.Share < 0 {
-			c.add(path+".share", "share must not be negative")
+			c.addProblem(path+".share", "share must not be negative")
 		}
 	}
 	names := map[string]bool{}
-	backends := map[string]string{}
+	addrs := map[string]string{}
 	for i, s := range f.Services {
 		path := fmt.Sprintf("$.services[%d]", i)
 		if s.Name == "" || names[s.Name] {
-			c.add(path, "service name %q is empty or repeated", s.Name)
+			c.addProblem(path, "service name %q is empty or repeated", s.Name)
 		}
 		names[s.Name] = true
-		c.service(path, s, f.Zones, backends)
+		c.checkService(path, s, f.Zones, addrs)
 	}
 	for i, s := range f.Services {
 		for j, d := range s.Depends {
 			if !names[d] {
-				c.add(fmt.Sprintf("$.services[%d].depends[%d]", i, j), "unknown service %q", d)
+				c.addProblem(fmt.Sprintf("$.services[%d].depends[%d]", i, j), "unknown service %q", d)
 			}
 		}
 	}
-	if cyc := cycle(f.Services); cyc != nil {
-		i := slices.IndexFunc(f.Services, func(s Service) bool { return s.Name == cyc[0] })
-		c.add(fmt.Sprintf("$.services[%d].depends", i), "dependency cycle: %s", strings.Join(cyc, " -> "))
+	if cycle := findCycle(f.Services); cycle != nil {
+		i := slices.IndexFunc(f.Services, func(s Service) bool { return s.Name == cycle[0] })
+		c.addProblem(fmt.Sprintf("$.services[%d].depends", i), "dependency cycle: %s", strings.Join(cycle, " -> "))
 	}
 }
 
-func (c *checker) service(path string, s Service, zones []string, backends map[string]string) {
+// checkService checks one service. addrs maps the back ends seen so far, of all
+// services, to their addresses.
+func (c *checker) checkService(path string, s Service, zones []string, addrs map[string]string) {
 	switch s.Kind {
 	case Model:
 		if s.Layers <= 0 {
-			c.add(path, "a model service needs layers: N > 0")
+			c.addProblem(path, "a model service needs layers: N > 0")
 			return
 		}
 		if len(s.Engines) == 0 {
-			c.add(path, "a model service needs engines")
+			c.addProblem(path, "a model service needs engines")
 			return
 		}
 		if len(s.Upstreams) > 0 {
-			c.add(path+".upstreams", "a model service has engines, not upstreams")
+			c.addProblem(path+".upstreams", "a model service has engines, not upstreams")
 		}
-		c.cover(path, s)
+		c.checkCover(path, s)
 	case Plain:
 		if len(s.Upstreams) == 0 {
-			c.add(path, "a plain service needs upstreams")
+			c.addProblem(path, "a plain service needs upstreams")
 		}
 		if len(s.Engines) > 0 {
-			c.add(path+".engines", "a plain service has upstreams, not engines")
+			c.addProblem(path+".engines", "a plain service has upstreams, not engines")
 		}
 	default:
-		c.add(path+".kind", "kind must be model or plain, not %q", s.Kind)
+		c.addProblem(path+".kind", "kind must be model or plain, not %q", s.Kind)
 	}
 	list, field := s.Engines, "engines"
 	if s.Kind == Plain {
@@ -151,49 +154,53 @@
 	for j, b := range list {
 		bp := fmt.Sprintf("%s.%s[%d]", path, field, j)
 		if b.Name == "" || b.Addr == "" {
-			c.add(bp, "a back end needs a name and an addr")
+			c.addProblem(bp, "a back end needs a name and an addr")
 		}
-		if prev, ok := backends[b.Name]; ok && prev != b.Addr {
-			c.add(bp+".name", "back end %q is named twice with different addresses", b.Name)
+		if prev, ok := addrs[b.Name]; ok && prev != b.Addr {
+			c.addProblem(bp+".name", "back end %q is named twice with different addresses", b.Name)
 		}
-		backends[b.Name] = b.Addr
+		addrs[b.Name] = b.Addr
 		if !slices.Contains(zones, b.Zone) {
-			c.add(bp+".zone", "zone %q is not in the fleet's zones", b.Zone)
+			c.addProblem(bp+".zone", "zone %q is not in the fleet's zones", b.Zone)
 		}
 	}
 }
 
-// cover checks that the engines' layer ranges give at least one exact
-// cover of [0, layers) and that every engine lies on one. A range is an
-// edge from its first layer to its end; a chain is a path from 0 to
-// layers, so it runs each layer once and in order by construction.
-func (c *checker) cover(path string, s Service) {
-	reach := Reachable(s.Layers, s.Engines)
+// checkCover checks that the engines' layer ranges allow at least one exact
+// cover of [0, layers) and that every engine is part of one. Layer boundaries
+// are the nodes of a graph, and each layer range is an edge from its start to
+// its end. A path from 0 to layers runs each layer exactly once and in order.
+func (c *checker) checkCover(path string, s Service) {
+	reachable := Reachable(s.Layers, s.Engines)
 	for j, e := range s.Engines {
 		ep := fmt.Sprintf("%s.engines[%d].layers", path, j)
 		from, to := e.Range[0], e.Range[1]
 		if from < 0 || to > s.Layers || from >= to {
-			c.add(ep, "layers [%d,%d) must lie within [0,%d) and hold at least one layer", from, to, s.Layers)
+			c.addProblem(ep, "layers [%d,%d) must lie within [0,%d) and hold at least one layer", from, to, s.Layers)
 			continue
 		}
-		if !reach.To[from] || !reach.From[to] {
-			c.add(ep, "layers [%d,%d) of engine %q lie on no exact cover of layers 0..%d (a gap or an overlap)", from, to, e.Name, s.Layers)
+		if !reachable.To[from] || !reachable.From[to] {
+			c.addProblem(ep, "layers [%d,%d) of engine %q lie on no exact cover of layers 0..%d (a gap or an overlap)", from, to, e.Name, s.Layers)
 		}
 	}
-	if !reach.To[s.Layers] {
-		c.add(path+".engines", "no chain of engines covers layers 0..%d exactly once in order", s.Layers)
+	if !reachable.To[s.Layers] {
+		c.addProblem(path+".engines", "no chain of engines covers layers 0..%d exactly once in order", s.Layers)
 	}
 }
 
-// Cover says which layer boundaries a chain can start from and end at.
+// Cover tells which layer boundaries are connected to layer 0 and to the end of
+// the last layer by a chain of engines.
 type Cover struct {
-	// To[b] is true when a chain from layer 0 reaches boundary b.
+	// To[b] is true if a chain from layer 0 reaches boundary b.
 	To []bool
-	// From[b] is true when a chain from boundary b reaches the last layer.
+	// From[b] is true if a chain from boundary b reaches the end of the last
+	// layer.
 	From []bool
 }
 
-// Reachable computes the boundaries on some exact cover of [0, layers).
+// Reachable computes which layer boundaries can be reached from layer 0, and
+// from which ones the end of the last layer can be reached. A boundary for
+// which both hold is part of an exact cover of [0, layers).
 func Reachable(layers int, engines []Backend) Cover {
 	to := make([]bool, layers+1)
 	from := make([]bool, layers+1)
@@ -222,42 +229,43 @@
 	return Cover{To: to, From: from}
 }
 
-// cycle returns a dependency cycle, or nil.
-func cycle(services []Service) []string {
+// findCycle returns the names of the services on a dependency cycle, with the
+// first one repeated at the end, or nil if there is none.
+func findCycle(services []Service) []string {
 	deps := map[string][]string{}
 	for _, s := range services {
 		deps[s.Name] = s.Depends
 	}
 	const (
-		white = iota
-		grey
-		black
+		unvisited = iota
+		onStack
+		done
 	)
-	colour := map[string]int{}
+	state := map[string]int{}
 	var stack []string
 	var visit func(n string) []string
 	visit = func(n string) []string {
-		colour[n] = grey
+		state[n] = onStack
 		stack = append(stack, n)
 		for _, d := range deps[n] {
-			switch colour[d] {
-			case grey:
+			switch state[d] {
+			case onStack:
 				i := slices.Index(stack, d)
 				return append(slices.Clone(stack[i:]), d)
-			case white:
-				if cyc := visit(d); cyc != nil {
-					return cyc
+			case unvisited:
+				if cycle := visit(d); cycle != nil {
+					return cycle
 				}
 			}
 		}
 		stack = stack[:len(stack)-1]
-		colour[n] = black
+		state[n] = done
 		return nil
 	}
 	for _, s := range services {
-		if colour[s.Name] == white {
-			if cyc := visit(s.Name); cyc != nil {
-				return cyc
+		if state[s.Name] == unvisited {
+			if cycle := visit(s.Name); cycle != nil {
+				return cycle
 			}
 		}
 	}
--- a/citronfleet/check_test.go
+++ b/citronfleet/check_test.go
@@ -9,7 +9,9 @@
 	"github.com/matryer/is"
 )
 
-const good = `fleet: t
+// valid is a fleet text without problems. The cases of TestParseRejects each
+// replace one part of it.
+const valid = `fleet: t
 zones: [a, b]
 customers:
   - name: c1
@@ -28,9 +30,10 @@
       - {name: u1, addr: "127.0.0.1:3", zone: a}
 `
 
-// Each bad text is refused with the line of the fault and a message an
-// operator can act on; nothing half-read comes back.
-func TestParseRefuses(t *testing.T) {
+// TestParseRejects checks that each invalid text is rejected with the position
+// of the problem and a message that an operator can act on, and that no partly
+// decoded fleet is returned.
+func TestParseRejects(t *testing.T) {
 	cases := []struct {
 		name, from, to, want string
 	}{
@@ -49,19 +52,19 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(good, c.from, c.to, 1)
-			is.True(text != good) // the case edits the text
+			text := strings.Replace(valid, c.from, c.to, 1)
+			is.True(text != valid) // the replacement must match
 			f, err := citronfleet.Parse("fleet.yaml", []byte(text))
 			is.True(err != nil)
-			is.True(strings.Contains(err.Error(), c.want)) // names the fault
-			is.Equal(f.Name, "")                           // nothing half-read
+			is.True(strings.Contains(err.Error(), c.want)) // the message describes the problem
+			is.Equal(f.Name, "")                           // no partly decoded fleet
 		})
 	}
 }
 
 func TestParseAccepts(t *testing.T) {
 	is := is.New(t)
-	f, err := citronfleet.Parse("fleet.yaml", []byte(good))
+	f, err := citronfleet.Parse("fleet.yaml", []byte(valid))
 	is.NoErr(err)
 	m, ok := f.Service("m")
 	is.True(ok)
@@ -77,8 +80,8 @@
 	// Output: fleet.yaml:4:9: services[0]: a plain service needs upstreams
 }
 
-// Parsing and checking a fleet text: of one model on 164 engines, and of
-// the two-year size.
+// BenchmarkParse measures parsing and validating a fleet text with one model on
+// 164 engines, and one of the size expected in two years.
 func BenchmarkParse(b *testing.B) {
 	for _, models := range []int{1, 25} {
 		var t strings.Builder
--- a/citronfleet/fleet.go
+++ b/citronfleet/fleet.go
@@ -1,14 +1,14 @@
-// Package citronfleet reads and checks the operators' fleet text: the one
-// YAML document that lists the zones, the customers and the services,
-// what each service depends on, and for a model service the engines with
-// the layer range each holds. A Fleet is an immutable value; With methods
-// return changed copies.
+// Package citronfleet parses and validates the fleet text: the YAML document
+// in which operators list the zones, the customers and the services, the
+// dependencies of each service, and for a model service its engines and the
+// layer range of each engine. A Fleet is an immutable value; its With methods
+// return modified copies.
 //
-// Check refuses a text that could not be served as written, and names the
-// line and column of each problem:
+// Parse rejects a text that cannot be served as written and reports the line
+// and the column of each problem:
 //
 //	f, err := citronfleet.Parse("fleet.yaml", text)
-//	// err: fleet.yaml:14:9: services[0].engines[2]: layers [10,20) overlap ...
+//	// err: fleet.yaml:14:9: services[0].engines[2].layers: layers [10,20) of engine "e3" lie on no exact cover ...
 package citronfleet
 
 import (
@@ -18,32 +18,33 @@
 	"citrondeck.dev/citrondeck/citronkv"
 )
 
-// Kind says what a service is.
+// Kind is the kind of a service.
 type Kind string
 
 // Kinds of service.
 const (
-	// Model is a model spread over engines, each holding a range of layers.
+	// Model is a model whose layers are distributed over engines. Each engine
+	// holds a layer range.
 	Model Kind = "model"
 	// Plain is an ordinary service with interchangeable upstreams.
 	Plain Kind = "plain"
 )
 
-// Fleet is one accepted fleet text.
+// Fleet is the content of one valid fleet text.
 type Fleet struct {
 	Name      string     `json:"fleet,omitempty" yaml:"fleet"`
 	Zones     []string   `json:"zones,omitempty" yaml:"zones"`
 	Customers []Customer `json:"customers,omitempty" yaml:"customers"`
 	Services  []Service  `json:"services,omitempty" yaml:"services"`
-	// Revision is the KV revision the text was read at; zero when parsed
-	// from a file.
+	// Revision is the KV revision at which the text was read. It is zero if
+	// the text was parsed from a file.
 	Revision citronkv.Revision `json:"-" yaml:"-"`
 }
 
-// Customer is a party whose callers send requests.
+// Customer is a tenant whose callers send requests.
 type Customer struct {
 	Name string `json:"name,omitempty" yaml:"name"`
-	// Share is the customer's weight when engines are short.
+	// Share is the customer's weight when engine capacity is scarce.
 	Share int `json:"share,omitempty" yaml:"share"`
 }
 
@@ -51,16 +52,18 @@
 type Service struct {
 	Name string `json:"name,omitempty" yaml:"name"`
 	Kind Kind   `json:"kind,omitempty" yaml:"kind"`
-	// Idempotent is false for calls that must run at most once.
+	// Idempotent is false if a call must run at most once. The default is
+	// true; see IsIdempotent.
 	Idempotent *bool    `json:"idempotent,omitempty" yaml:"idempotent"`
 	Depends    []string `json:"depends,omitempty" yaml:"depends"`
-	// Layers is the model's layer count (model services).
+	// Layers is the number of layers of the model (model services only).
 	Layers int `json:"layers,omitempty" yaml:"layers"`
-	// Engines hold the model's layers (model services).
+	// Engines are the back ends that hold the model's layers (model services
+	// only).
 	Engines []Backend `json:"engines,omitempty" yaml:"engines"`
-	// Upstreams serve a plain service.
+	// Upstreams are the back ends of a plain service.
 	Upstreams []Backend `json:"upstreams,omitempty" yaml:"upstreams"`
-	// Timeout bounds one request end to end.
+	// Timeout is the end-to-end time limit of a request.
 	Timeout time.Duration `json:"timeout,omitempty" yaml:"timeout"`
 }
 
@@ -69,17 +72,19 @@
 	Name string `json:"name,omitempty" yaml:"name"`
 	Addr string `json:"addr,omitempty" yaml:"addr"`
 	Zone string `json:"zone,omitempty" yaml:"zone"`
-	// Range is [from, to): the layers an engine holds.
+	// Range is the half-open range [from, to) of the layers that an engine
+	// holds.
 	Range [2]int `json:"layers,omitempty" yaml:"layers"`
-	// Capacity is the engine's declared tokens per second.
+	// Capacity is the engine's declared throughput in tokens per second.
 	Capacity int `json:"capacity,omitempty" yaml:"capacity"`
 }
 
-// IsIdempotent reports whether a call may be repeated; services are
-// idempotent unless the text says otherwise.
+// IsIdempotent reports whether a call may be retried after it may have run.
+// Services are idempotent unless the fleet text says otherwise.
 func (s Service) IsIdempotent() bool { return s.Idempotent == nil || *s.Idempotent }
 
-// Backends returns the engines or the upstreams.
+// Backends returns the engines of a model service or the upstreams of a plain
+// service.
 func (s Service) Backends() []Backend {
 	if s.Kind == Model {
 		return s.Engines
@@ -87,27 +92,27 @@
 	return s.Upstreams
 }
 
-// Bound is the token rate the hardware allows a model service: the least,
-// over its layers, of the capacity of the engines holding that layer
-// (each token passes every layer once). It is 0 where some engine of the
-// bottleneck declares no capacity, and for plain services.
+// Bound returns the maximum rate of a model service in tokens per second. Each
+// token passes every layer once, so the bound is the minimum over all layers of
+// the total capacity of the engines that hold the layer. It is zero if the
+// engines of some layer declare no capacity, and for plain services.
 func (s Service) Bound() float64 {
-	best := 0.0
+	bound := 0.0
 	for l := range s.Layers {
-		sum := 0.0
+		capacity := 0.0
 		for _, e := range s.Engines {
 			if e.Range[0] <= l && l < e.Range[1] {
-				sum += float64(e.Capacity)
+				capacity += float64(e.Capacity)
 			}
 		}
-		if l == 0 || sum < best {
-			best = sum
+		if l == 0 || capacity < bound {
+			bound = capacity
 		}
 	}
-	return best
+	return bound
 }
 
-// Service returns the named service.
+// Service returns the service with this name.
 func (f Fleet) Service(name string) (Service, bool) {
 	for _, s := range f.Services {
 		if s.Name == name {
@@ -117,19 +122,19 @@
 	return Service{}, false
 }
 
-// HasCustomer reports whether name is a known customer.
+// HasCustomer reports whether the fleet has a customer with this name.
 func (f Fleet) HasCustomer(name string) bool {
 	return slices.ContainsFunc(f.Customers, func(c Customer) bool { return c.Name == name })
 }
 
-// WithRevision returns f read at revision rev.
+// WithRevision returns a copy of f with revision rev.
 func (f Fleet) WithRevision(rev citronkv.Revision) Fleet {
 	f.Revision = rev
 	return f
 }
 
-// WithService returns f with s replacing the service of the same name, or
-// added at the end.
+// WithService returns a copy of f in which s replaces the service of the same
+// name. If there is none, s is appended.
 func (f Fleet) WithService(s Service) Fleet {
 	out := slices.Clone(f.Services)
 	i := slices.IndexFunc(out, func(o Service) bool { return o.Name == s.Name })
@@ -142,7 +147,7 @@
 	return f
 }
 
-// WithoutService returns f without the named service.
+// WithoutService returns a copy of f without the service with this name.
 func (f Fleet) WithoutService(name string) Fleet {
 	f.Services = slices.DeleteFunc(slices.Clone(f.Services), func(o Service) bool { return o.Name == name })
 	return f
