--- a/citrontable/table.go
+++ b/citrontable/table.go
@@ -1,6 +1,7 @@
-// Package citrontable is the configuration in force as traffic reads it:
-// which route a request takes, which service runs it, and which customer a
-// key belongs to. A Table is immutable; a new version is a new Table.
+// Package citrontable holds the active configuration in the form in which
+// requests look it up: the route of a request, the service that runs it, and the
+// customer that an API key belongs to. A Table is immutable; each version of the
+// configuration is a new Table.
 package citrontable
 
 import (
@@ -11,16 +12,16 @@
 	"citrondeck.dev/citrondeck/citronmodel"
 )
 
-// Kind says what may be repeated.
+// Kind says how a request is answered and whether it may run more than once.
 type Kind int
 
-// The kinds of request.
+// Kinds of request.
 const (
-	// Unsafe requests run at most once for each attempt of the caller.
+	// Unsafe requests run at most once per attempt of the caller.
 	Unsafe Kind = iota
 	// Safe requests may run more than once.
 	Safe
-	// Streaming requests answer with a series of numbered events.
+	// Streaming requests are answered with a sequence of numbered events.
 	Streaming
 )
 
@@ -28,19 +29,21 @@
 	return [...]string{"unsafe", "safe", "streaming"}[k]
 }
 
-// Weighted is one of the services a route divides its requests over.
+// Weighted is one of the services over which a route distributes its requests,
+// with its relative weight.
 type Weighted struct {
 	Service string
 	Weight  int
 }
 
-// Route says how requests of one host and path prefix are handled.
+// Route configures the handling of requests for one host and path prefix.
 type Route struct {
 	Name, Host, Prefix string
 	Kind               Kind
-	// Timeout is the longest time a caller is kept waiting; Target is the
-	// time within which an answer is in time; MaxGap is the longest pause
-	// between events that is still in time.
+	// Timeout is the maximum time that a caller waits. Target is the target
+	// latency: a later response, or a later first event of a stream, counts as
+	// late. MaxGap is the maximum time between two events of a stream before it
+	// counts as late.
 	Timeout, Target, MaxGap time.Duration
 	Priority                int
 	Services                []Weighted
@@ -54,16 +57,16 @@
 	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
 
-// Pick returns the service for a draw in [0, 1).
+// Pick chooses a service by weight. draw is a random number in [0, 1).
 func (r Route) Pick(draw float64) string {
 	total := 0
 	for _, w := range r.Services {
 		total += w.Weight
 	}
-	left := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, w := range r.Services {
-		left -= float64(w.Weight)
-		if left < 0 {
+		remaining -= float64(w.Weight)
+		if remaining < 0 {
 			return w.Service
 		}
 	}
@@ -73,7 +76,7 @@
 	return r.Services[len(r.Services)-1].Service
 }
 
-// Service is a group of engines.
+// Service is a group of engines that serve the same requests.
 type Service struct {
 	Name       string
 	HealthPath string
@@ -82,14 +85,15 @@
 	Model *citronmodel.Spec
 }
 
-// Customer is the holder of keys; Priority, if set, goes before the route's.
+// Customer is a tenant and its API keys. Priority, if set, overrides the
+// route's priority.
 type Customer struct {
 	Name     string
 	Keys     []string
 	Priority *int
 }
 
-// Limits bound what a caller may send.
+// Limits holds the limits on what a caller may send.
 type Limits struct {
 	MaxBodyBytes int64
 }
@@ -100,17 +104,18 @@
 	Services map[string]Service
 	Limits   Limits
 
-	routes    map[string][]Route // by host, longest prefix first
-	customers map[string]Customer
-	// keyed: the configuration knows customers, so requests carry keys.
-	keyed bool
+	routes         map[string][]Route // by host, longest prefix first
+	customersByKey map[string]Customer
+	// requireKeys is true if the configuration lists customers. Requests on
+	// routes that are not public must then carry an API key.
+	requireKeys bool
 }
 
-// New builds a table.
+// New returns a table with the given content.
 func New(version int64, routes []Route, services []Service, customers []Customer, limits Limits) *Table {
 	t := &Table{
-		Version: version, Limits: limits, keyed: len(customers) > 0,
-		Services: map[string]Service{}, routes: map[string][]Route{}, customers: map[string]Customer{},
+		Version: version, Limits: limits, requireKeys: len(customers) > 0,
+		Services: map[string]Service{}, routes: map[string][]Route{}, customersByKey: map[string]Customer{},
 	}
 	for _, s := range services {
 		t.Services[s.Name] = s
@@ -123,13 +128,14 @@
 	}
 	for _, c := range customers {
 		for _, k := range c.Keys {
-			t.customers[k] = c
+			t.customersByKey[k] = c
 		}
 	}
 	return t
 }
 
-// Route returns the route of a host with the longest prefix of path.
+// Route returns the route of the host with the longest prefix that matches
+// path.
 func (t *Table) Route(host, path string) (Route, bool) {
 	for _, r := range t.routes[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -139,11 +145,11 @@
 	return Route{}, false
 }
 
-// Customer returns the holder of key.
+// Customer returns the customer that key belongs to.
 func (t *Table) Customer(key string) (Customer, bool) {
-	c, ok := t.customers[key]
+	c, ok := t.customersByKey[key]
 	return c, ok
 }
 
-// NeedsKey reports whether a request on route r must carry a known key.
-func (t *Table) NeedsKey(r Route) bool { return t.keyed && !r.Public }
+// NeedsKey reports whether a request on route r must carry a customer's API key.
+func (t *Table) NeedsKey(r Route) bool { return t.requireKeys && !r.Public }
--- a/citronyaml/yaml.go
+++ b/citronyaml/yaml.go
@@ -1,6 +1,6 @@
-// Package citronyaml decodes the YAML that people write for citrondeck,
-// fleet texts and settings. Decoding is strict: an unknown field is an
-// error. Every error names the file, the line and the column.
+// Package citronyaml decodes the YAML files that operators write: fleet texts
+// and settings. Decoding is strict: an unknown field is an error. Every error
+// names the file, the line and the column.
 package citronyaml
 
 import (
@@ -14,17 +14,18 @@
 	"github.com/goccy/go-yaml/lexer"
 )
 
-// position is how the library writes the place of an error.
-var position = regexp.MustCompile(`^\[(\d+):(\d+)\] `)
+// errorPosition matches the position that the YAML library puts in front of an
+// error message.
+var errorPosition = regexp.MustCompile(`^\[(\d+):(\d+)\] `)
 
-// durationError is a duration that could not be read.
+// durationError reports a value that is not a valid duration.
 type durationError struct{ text string }
 
 func (e durationError) Error() string {
 	return fmt.Sprintf("%q is not a duration; write it like 250ms, 3s or 1m30s", e.text)
 }
 
-// Decode decodes text into v. file names the text in errors.
+// Decode decodes text into v. Errors refer to the text as file.
 func Decode(file string, text []byte, v any) error {
 	err := yaml.UnmarshalWithOptions(text, v, yaml.Strict(), yaml.CustomUnmarshaler(decodeDuration))
 	if err == nil {
@@ -32,11 +33,11 @@
 	}
 	var de durationError
 	if errors.As(err, &de) {
-		line, col := find(text, de.text)
+		line, col := findValue(text, de.text)
 		return errors.Newf("%s:%d:%d: %s", file, line, col, de.Error())
 	}
 	msg := yaml.FormatError(err, false, false)
-	return errors.Newf("%s:%s", file, position.ReplaceAllString(msg, "$1:$2: "))
+	return errors.Newf("%s:%s", file, errorPosition.ReplaceAllString(msg, "$1:$2: "))
 }
 
 func decodeDuration(d *time.Duration, raw []byte) error {
@@ -49,9 +50,10 @@
 	return nil
 }
 
-// find returns the place of the first value that reads s: the library
-// gives a custom decoder no position.
-func find(text []byte, s string) (line, col int) {
+// findValue returns the position of the first value that equals s, or 0, 0 if
+// there is none. It is needed because the YAML library does not pass a position
+// to custom decoders.
+func findValue(text []byte, s string) (line, col int) {
 	for _, t := range lexer.Tokenize(string(text)) {
 		if t.Value == s {
 			return t.Position.Line, t.Position.Column
