--- a/citronmodel/model.go
+++ b/citronmodel/model.go
@@ -1,7 +1,7 @@
-// Package citronmodel holds what the product knows of a model service and
-// of the engines that run it: the declared figures of the service, what an
-// engine holds, and how much memory and time a range of layers costs on
-// each kind of engine. Placement and path choice rank their options with it.
+// Package citronmodel describes model services and the engines that run them:
+// the declared parameters of a service, the layers that an engine holds, and the
+// memory and time that a layer range costs on each kind of engine. Placement and
+// path selection use these costs to rank their options.
 package citronmodel
 
 import (
@@ -9,50 +9,54 @@
 	"time"
 )
 
-// Span is a half-open range of layers.
+// Span is the half-open range [From, To) of layers.
 type Span struct{ From, To int }
 
-// Len is the number of layers in the span.
+// Len returns the number of layers in the span.
 func (s Span) Len() int { return s.To - s.From }
 
-// Empty reports whether the span holds no layer.
+// Empty reports whether the span contains no layer.
 func (s Span) Empty() bool { return s.To <= s.From }
 
-// Covers reports whether every layer of o is in s.
+// Covers reports whether s contains every layer of o.
 func (s Span) Covers(o Span) bool { return s.From <= o.From && o.To <= s.To }
 
-// Kind is one kind of accelerator.
+// Kind describes one kind of accelerator.
 type Kind struct {
 	Name string
-	// MemoryMB holds layers first; what is left caches running requests.
+	// MemoryMB is the memory in MB. The memory that the engine's layers leave
+	// free holds the cache of running requests.
 	MemoryMB float64
-	// StepFactor and ReadFactor multiply the declared times for writing
-	// tokens and for reading prompts.
+	// StepFactor and ReadFactor scale the declared times for token steps and
+	// for prompt processing.
 	StepFactor, ReadFactor float64
 }
 
-// Spec is what a service declares of its model and its engines.
+// Spec is a service's declaration of its model and its engines.
 type Spec struct {
 	Layers  int
 	LayerMB float64
-	// TokenBytes is the cache of one token over all layers.
+	// TokenBytes is the cache size of one token over all layers.
 	TokenBytes float64
-	// StepMS is the fixed time of a token step over all layers, PerSeqMS
-	// what each writing request adds, ContextMSPerK what each thousand
-	// cached tokens add; ReadPerS is the prompt tokens read a second.
+	// A token step over all layers takes StepMS, plus PerSeqMS for each request
+	// that is generating tokens, plus ContextMSPerK for each 1000 cached tokens.
+	// ReadPerS is the prompt processing rate in tokens per second.
 	StepMS, PerSeqMS, ContextMSPerK, ReadPerS float64
-	// Load is how long loading the whole model takes; LoadsAtOnce is how
-	// many loads run at once before each slows down.
+	// Load is the time to load the whole model. LoadsAtOnce is the number of
+	// concurrent loads beyond which each load slows down.
 	Load        time.Duration
 	LoadsAtOnce int
-	// Slots is how many requests an engine takes as the first of a path.
+	// Slots is the number of requests that an engine runs concurrently as the
+	// first hop of their paths.
 	Slots int
-	// MeanTokens is the usual prompt and answer of a request together.
+	// MeanTokens is the usual number of tokens of a request, prompt and response
+	// together.
 	MeanTokens int
 	Kinds      map[string]Kind
 }
 
-// MaxLayers is how many layers fit into the memory of a kind.
+// MaxLayers returns the number of layers that fit into the memory of an engine
+// of this kind.
 func (s Spec) MaxLayers(kind string) int {
 	k, ok := s.Kinds[kind]
 	if !ok || s.LayerMB <= 0 {
@@ -63,8 +67,8 @@
 
 const bytesPerMB = 1e6
 
-// CacheTokens is how many tokens of running requests an engine of a kind
-// can cache while it holds the given number of layers.
+// CacheTokens returns the number of tokens of running requests that an engine
+// of this kind can cache while it holds the given number of layers.
 func (s Spec) CacheTokens(kind string, layers int) float64 {
 	k, ok := s.Kinds[kind]
 	if !ok || layers <= 0 || s.Layers == 0 || s.TokenBytes <= 0 {
@@ -74,9 +78,9 @@
 	return max(0, free/(s.TokenBytes/float64(s.Layers)*float64(layers)))
 }
 
-// RoomTokens is how many tokens of running requests an engine of a kind has
-// room for while it holds the given number of layers: it runs so many requests
-// at once, and caches so many tokens.
+// RoomTokens returns an engine's capacity in tokens of running requests while it
+// holds the given number of layers. The capacity is the smaller of two limits:
+// the cache size, and Slots concurrent requests of MeanTokens each.
 func (s Spec) RoomTokens(kind string, layers int) float64 {
 	cache := s.CacheTokens(kind, layers)
 	if s.Slots <= 0 || s.MeanTokens <= 0 {
@@ -85,25 +89,29 @@
 	return min(cache, float64(s.Slots*s.MeanTokens))
 }
 
-// StepTime is the time, in milliseconds, that an engine of a kind needs for
-// one token step over the given number of layers with so many writers.
+// StepTime returns the time in milliseconds that an engine of this kind needs
+// for one token step over the given number of layers. writers is the number of
+// requests that are generating tokens, contextTokens the number of tokens that
+// they have cached.
 func (s Spec) StepTime(kind string, layers int, writers, contextTokens float64) float64 {
 	k, ok := s.Kinds[kind]
 	if !ok || s.Layers == 0 {
 		return 0
 	}
-	full := s.StepMS + s.PerSeqMS*writers + s.ContextMSPerK*contextTokens/1000
-	return full * k.StepFactor * float64(layers) / float64(s.Layers)
+	allLayers := s.StepMS + s.PerSeqMS*writers + s.ContextMSPerK*contextTokens/1000
+	return allLayers * k.StepFactor * float64(layers) / float64(s.Layers)
 }
 
-// Engine is one back end as the list of engines shows it. An engine of a
-// plain service has no kind and no layers.
+// Engine is one back end as listed in the engine list. An engine of a plain
+// service has no kind and no layers.
 type Engine struct {
-	// ID is of one start of the engine (IncarnationID): what is known of it,
-	// sent to it or wanted of it ends when it starts again.
+	// ID identifies one incarnation of the engine: the time from one start to
+	// the next (see IncarnationID). State, requests and orders belong to an
+	// incarnation and become invalid when the engine restarts.
 	ID string
-	// Instance is the engine's name in the list and on the wire, the same
-	// after a restart; Born is when it started, in milliseconds since 1970.
+	// Instance is the engine's name in the list and on the wire. It stays the
+	// same after a restart. Born is the start time in Unix milliseconds, or
+	// zero if the engine does not report it.
 	Instance string
 	Born     int64
 	Service  string
@@ -111,13 +119,14 @@
 	Zone     string
 	Kind     string
 	Layers   Span
-	// Leaving: it finishes what it has and gets no new work.
+	// Leaving is true if the engine is draining: it finishes its running
+	// requests and gets no new ones.
 	Leaving bool
 	Slots   int
 }
 
-// IncarnationID returns the ID of one start of an engine; born is zero if the
-// engine does not tell when it started.
+// IncarnationID returns the ID of the engine's incarnation that started at born,
+// in Unix milliseconds. born is zero if the engine does not report its start.
 func IncarnationID(instance string, born int64) string {
 	if born == 0 {
 		return instance
@@ -125,8 +134,8 @@
 	return instance + "@" + strconv.FormatInt(born, 10)
 }
 
-// Reborn returns what is known of the engine's next start from the moment of
-// that start alone: it holds nothing and is not leaving.
+// Reborn returns the engine after a restart at born, in Unix milliseconds: a new
+// incarnation that holds no layers and is not leaving.
 func (e Engine) Reborn(born int64) Engine {
 	e.ID, e.Born = IncarnationID(e.Instance, born), born
 	e.Layers, e.Leaving = Span{}, false
--- a/citronupstream/ratelimit.go
+++ b/citronupstream/ratelimit.go
@@ -6,26 +6,26 @@
 	"strings"
 )
 
-// RateLimit is what an answer says of how many requests its upstream takes: one of
-// NoRateLimit, PerSecond and InvalidRateLimit.
+// RateLimit is the rate limit that a response declares for its upstream. It is
+// one of NoRateLimit, PerSecond and InvalidRateLimit.
 type RateLimit interface{ isRateLimit() }
 
-// NoRateLimit says that the answer names no limit.
+// NoRateLimit means that the response declares no limit.
 type NoRateLimit struct{}
 
-// PerSecond is how many requests a second the upstream takes from all nodes
-// together.
+// PerSecond is the number of requests per second that the upstream accepts from
+// all nodes together.
 type PerSecond float64
 
-// InvalidRateLimit is the text of a limit that cannot be read.
+// InvalidRateLimit is the text of a limit that cannot be parsed.
 type InvalidRateLimit string
 
 func (NoRateLimit) isRateLimit()      {}
 func (PerSecond) isRateLimit()        {}
 func (InvalidRateLimit) isRateLimit() {}
 
-// ParseRateLimit reads the values of an answer's header. There must be one decimal
-// number at most, zero or more.
+// ParseRateLimit parses the values of a response's rate limit header. The header
+// is either absent or has one finite, non-negative decimal number.
 func ParseRateLimit(values []string) RateLimit {
 	if len(values) == 0 {
 		return NoRateLimit{}
--- a/citronupstream/ratelimit_test.go
+++ b/citronupstream/ratelimit_test.go
@@ -40,7 +40,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		if l, ok := citronupstream.ParseRateLimit([]string{text}).(citronupstream.PerSecond); ok {
 			if n := float64(l); n < 0 || math.IsNaN(n) || math.IsInf(n, 0) {
-				t.Fatalf("%q is taken for %g", text, n)
+				t.Fatalf("%q was parsed as %g, want an invalid rate limit", text, n)
 			}
 		}
 	})
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -1,6 +1,7 @@
-// Package citronupstream is the contract between forwarding and whatever
-// speaks to engines: a caller's request, the calls that it leads to, what
-// engines answer, and what is certain about a call that failed.
+// Package citronupstream defines the interface between request forwarding and
+// the client that talks to engines: a caller's request, the calls made for it,
+// the engines' responses, and errors that tell whether a failed call may have
+// run.
 package citronupstream
 
 import (
@@ -15,27 +16,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Request is a caller's request.
+// Request is a request from a caller.
 type Request struct {
 	ID           string
 	Method, Host string
-	// Path is the path alone; Target is path and query as they were sent.
+	// Path is the URL path without the query. Target is the path and query as
+	// they were sent.
 	Path, Target string
 	Header       http.Header
 	Body         []byte
-	// Received is when the request was read, Wait how long the caller
-	// waits from then on; zero is unknown.
+	// Received is the time at which the request was read. Wait is the time that
+	// the caller waits from then on, or zero if that is unknown.
 	Received time.Time
 	Wait     time.Duration
-	Key      string
-	// ResumeAfter is the id of the last event that the caller has.
+	// Key is the caller's API key.
+	Key string
+	// ResumeAfter is the ID of the last event that the caller received.
 	ResumeAfter string
-	// PromptTokens and OutputTokens are the request's size, zero if it
-	// declares none; OutputHint is the caller's guess of its output.
+	// PromptTokens and OutputTokens are the declared size of the request, or
+	// zero if it declares none. OutputHint is the caller's estimate of the
+	// output tokens.
 	PromptTokens, OutputTokens, OutputHint int
 }
 
-// Tokens is the cache that the request is likely to need.
+// Tokens returns the number of cached tokens that the request is likely to need.
 func (r *Request) Tokens() int {
 	out := r.OutputTokens
 	if r.OutputHint > 0 && r.OutputHint < out {
@@ -44,77 +48,89 @@
 	return r.PromptTokens + out
 }
 
-// Call is a request on its way to one engine, or to the first of a path.
+// Call is a request that is sent to one engine, or to the first engine of a path.
 type Call struct {
 	*Request
 	Engine *citronpool.Engine
-	// Hops are the path of a model's request; empty for plain services.
+	// Hops is the path of a request to a model service. It is empty for plain
+	// services.
 	Hops     citronpath.Path
 	Customer string
-	// Left is the time that the engine may use.
+	// Left is the remaining time that the engine may use.
 	Left time.Duration
-	// After is the id of the last event that the caller has.
+	// After is the ID of the last event that the caller received.
 	After string
-	// Once: the call must not be repeated by the transport and must not
-	// share a connection with earlier calls.
+	// Once is true if the transport must not retry the call and must not reuse
+	// a connection of an earlier call.
 	Once bool
-	// Urgent calls go before others at the engine.
+	// Urgent is true if the engine should run the call before others.
 	Urgent bool
 }
 
-// Reply is an engine's answer up to its body.
+// Reply is the response of an engine. The body has not been read yet.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// NotRun: the engine says that it did not run the request.
+	// NotRun is true if the engine reports that it did not run the request.
 	NotRun bool
-	// Fault is the address of the engine of the path that is at fault.
+	// Fault is the address of the engine on the path that caused the failure, as
+	// named in the response.
 	Fault string
-	// Signed: the answer is an engine's own.
+	// Signed is true if the response carries the stamp of an engine, so that it
+	// was not produced by a proxy in between.
 	Signed bool
-	// RateLimit is how many requests the engine takes; nil: nothing is known.
+	// RateLimit is the rate limit that the response declares. It is nil if
+	// nothing is known about it.
 	RateLimit RateLimit
 }
 
-// Errors of Engines.Send. Any other error leaves it open whether the
-// request ran.
+// Errors returned by Engines.Send. After any other error, it is unknown whether
+// the request ran.
 var (
-	// ErrNotSent: no byte of the request left this node.
+	// ErrNotSent reports that no byte of the request left this node.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrForeign: the answer belongs to another request.
-	ErrForeign = errors.New("answer belongs to another request")
+	// ErrForeign reports that the response belongs to another request.
+	ErrForeign = errors.New("response belongs to another request")
 )
 
-// Report is an engine's state as it tells it.
+// Report is the state that an engine reports about itself.
 type Report struct {
-	// Stalled maps request ids to the address of the engine they wait for.
+	// Stalled maps the IDs of stalled requests to the address of the engine that
+	// they wait for.
 	Stalled map[string]string
-	// Slowdown is over 1 when the engine is slower than declared.
+	// Slowdown is greater than 1 if the engine is slower than declared.
 	Slowdown float64
-	// Born is when the engine started, in milliseconds since 1970; zero if
-	// it does not tell.
+	// Born is the engine's start time in Unix milliseconds, or zero if the
+	// engine does not report it.
 	Born int64
-	// Holds are its layers; nil if it does not tell.
+	// Holds is the layer range that the engine holds, or nil if the engine does
+	// not report it.
 	Holds *citronmodel.Span
-	// Accepted is how many orders it has accepted since it started.
+	// Accepted is the number of orders that the engine has accepted since it
+	// started.
 	Accepted int64
 }
 
-// Engines speaks to engines.
+// Engines sends calls and orders to engines.
 type Engines interface {
+	// Send sends a call and returns the response up to its body.
 	Send(context.Context, Call) (*Reply, error)
+	// Report asks the engine at addr for its state.
 	Report(ctx context.Context, addr string) (Report, error)
-	// Repath moves a running request to another path with the same first
-	// engine. ErrUnknownRequest and *PartError say why it did not.
+	// Repath moves the running request with this ID to another path with the
+	// same first engine. It returns ErrUnknownRequest or a *PartError if the
+	// engines decline the move.
 	Repath(ctx context.Context, first, id string, path citronpath.Path) error
 }
 
-// ErrUnknownRequest is the answer to an order for a request that the engine
+// ErrUnknownRequest reports that an order refers to a request that the engine
 // does not run.
 var ErrUnknownRequest = errors.New("engine does not run this request")
 
-// PartError names an engine that cannot take its part of a path.
+// PartError reports that the engine at Addr cannot take its hop of a path.
 type PartError struct{ Addr string }
 
-func (e *PartError) Error() string { return "no room or no such part at " + e.Addr }
+func (e *PartError) Error() string {
+	return "engine cannot take its hop, no free capacity or a different layer range: " + e.Addr
+}
