--- a/citronconfig/config.go
+++ b/citronconfig/config.go
@@ -44,15 +44,17 @@
 type Change struct {
 	// ID is unique to this change. It also distinguishes two changes to the
 	// same text by the same operator.
-	ID  string    `json:"id"`
+	ID string `json:"id"`
+	// Who is the operator who made the change, as given to Apply.
 	Who string    `json:"who"`
 	At  time.Time `json:"at"`
 	// Revision is the KV revision that this change created. Previous is the
 	// revision that it replaced, or zero if there was none.
 	Revision citronkv.Revision `json:"revision"`
 	Previous citronkv.Revision `json:"previous"`
-	Fleet    string            `json:"fleet"`
-	SHA256   string            `json:"sha256"`
+	// Fleet is the name of the fleet, SHA256 the hash of the fleet text.
+	Fleet  string `json:"fleet"`
+	SHA256 string `json:"sha256"`
 }
 
 // Errors returned by Apply.
--- a/citronconfig/section.go
+++ b/citronconfig/section.go
@@ -42,7 +42,7 @@
 
 func (h head) sections() []string { return append([]string{h.Customers}, h.Services...) }
 
-// section is one part of a fleet text, encoded as JSON under its hash.
+// section is one part of a fleet text: its JSON encoding and the hash of that.
 type section struct {
 	hash  string
 	value []byte
--- a/citrontable/table.go
+++ b/citrontable/table.go
@@ -47,9 +47,13 @@
 	Timeout, Target, MaxGap time.Duration
 	Priority                int
 	Services                []Weighted
-	MaxAttempts             int
-	Public                  bool
-	Resumable               bool
+	// MaxAttempts is the maximum number of runs of an idempotent request.
+	MaxAttempts int
+	// Public routes need no API key.
+	Public bool
+	// Resumable is true if another run of a stream can continue after the last
+	// event.
+	Resumable bool
 }
 
 // Idempotent reports whether a request may run more than once.
@@ -95,6 +99,7 @@
 
 // Limits holds the limits on what a caller may send.
 type Limits struct {
+	// MaxBodyBytes is the maximum size of a request body. Zero means no limit.
 	MaxBodyBytes int64
 }
 
