--- a/citronkv/client.go
+++ b/citronkv/client.go
@@ -10,13 +10,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// watchWait is how long the client lets a watch wait. A cut that swallows
-// packets leaves a waiting watch hanging with no error; an accepted change
-// must be in force within 4 s all the same, so the wait and its deadline
-// end before that and the watch is asked anew.
+// watchWait is the maximum time that the service may hold a watch of the client
+// open. A network partition that drops packets leaves a watch hanging without an
+// error. An accepted change must still take effect within 4 s, so the wait and
+// the deadline of the call (one second later) end before that, and the caller
+// sends the watch again.
 const watchWait = 2500 * time.Millisecond
 
-// Client is a Store that speaks to the stand-in over connect-go.
+// Client is a Store that calls the fake service over connect-go.
 type Client struct {
 	get                        *citronwire.Unary[keyRequest, itemResponse]
 	put, del                   *citronwire.Unary[putRequest, itemResponse]
@@ -32,7 +33,7 @@
 	callTimeout, watchDeadline time.Duration
 }
 
-// NewClient returns a client for the stand-in at base, such as
+// NewClient returns a client for the fake service at base, such as
 // http://127.0.0.1:7000.
 func NewClient(hc *http.Client, base string) *Client {
 	return &Client{
@@ -46,15 +47,15 @@
 		counts:        citronwire.NewUnary[keyRequest, Counts](hc, base, procCounts),
 		instSet:       citronwire.NewUnary[Instance, Instance](hc, base, procInstSet),
 		instList:      citronwire.NewUnary[keyRequest, instancesResponse](hc, base, procInstList),
-		instLag:       citronwire.NewUnary[lagRequest, lagRequest](hc, base, procInstLagOp),
+		instLag:       citronwire.NewUnary[lagRequest, lagRequest](hc, base, procInstLag),
 		base:          base,
 		callTimeout:   2 * time.Second,
 		watchDeadline: watchWait + time.Second,
 	}
 }
 
-// fromConnect maps wire errors back to the Store's errors, keeping the
-// step and the peer in the message.
+// fromConnect marks a connect error with the matching error of a Store. The
+// message keeps the procedure and the peer. Unknown codes map to ErrUnavailable.
 func fromConnect(err error) error {
 	if err == nil {
 		return nil
@@ -75,13 +76,14 @@
 	return errors.Mark(err, sentinel)
 }
 
-func (c *Client) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+// withCallTimeout returns ctx bounded by the timeout of a call other than a watch.
+func (c *Client) withCallTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, c.callTimeout)
 }
 
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, key string) (Item, error) {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withCallTimeout(ctx)
 	defer cancel()
 	r, err := c.get.Call(ctx, &keyRequest{Key: key})
 	if err != nil {
@@ -92,7 +94,7 @@
 
 // Range implements Store.
 func (c *Client) Range(ctx context.Context, prefix string) ([]Item, Revision, error) {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withCallTimeout(ctx)
 	defer cancel()
 	r, err := c.rangeAll.Call(ctx, &keyRequest{Key: prefix})
 	if err != nil {
@@ -103,7 +105,7 @@
 
 // Put implements Store.
 func (c *Client) Put(ctx context.Context, key string, value []byte, expect Revision, lease LeaseID) (Revision, error) {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withCallTimeout(ctx)
 	defer cancel()
 	r, err := c.put.Call(ctx, &putRequest{Key: key, Value: value, Expect: expect, Lease: lease})
 	if err != nil {
@@ -114,7 +116,7 @@
 
 // Delete implements Store.
 func (c *Client) Delete(ctx context.Context, key string, expect Revision) error {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withCallTimeout(ctx)
 	defer cancel()
 	_, err := c.del.Call(ctx, &putRequest{Key: key, Expect: expect})
 	return fromConnect(err)
@@ -133,7 +135,7 @@
 
 // Grant implements Store.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withCallTimeout(ctx)
 	defer cancel()
 	r, err := c.lease.Call(ctx, &leaseRequest{Op: "grant", TTL: ttl})
 	if err != nil {
@@ -144,7 +146,7 @@
 
 // KeepAlive implements Store.
 func (c *Client) KeepAlive(ctx context.Context, id LeaseID) error {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withCallTimeout(ctx)
 	defer cancel()
 	_, err := c.lease.Call(ctx, &leaseRequest{Op: "keepalive", ID: id})
 	return fromConnect(err)
@@ -152,19 +154,20 @@
 
 // Revoke implements Store.
 func (c *Client) Revoke(ctx context.Context, id LeaseID) error {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withCallTimeout(ctx)
 	defer cancel()
 	_, err := c.lease.Call(ctx, &leaseRequest{Op: "revoke", ID: id})
 	return fromConnect(err)
 }
 
-// SetFaults sets the stand-in's fault switches (tests and experiments).
+// SetFaults replaces the fault settings of the fake service and, if expire is not
+// zero, expires that lease.
 func (c *Client) SetFaults(ctx context.Context, f Faults, expire LeaseID) error {
 	_, err := c.faults.Call(ctx, &faultsRequest{Faults: f, ExpireLease: expire})
 	return err
 }
 
-// Counts returns the calls the stand-in has served.
+// Counts returns the number of calls that the fake service has received.
 func (c *Client) Counts(ctx context.Context) (Counts, error) {
 	r, err := c.counts.Call(ctx, &keyRequest{})
 	if err != nil {
@@ -175,15 +178,16 @@
 
 // SetInstance records an instance's state in the instance list.
 func (c *Client) SetInstance(ctx context.Context, in Instance) error {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withCallTimeout(ctx)
 	defer cancel()
 	_, err := c.instSet.Call(ctx, &in)
 	return err
 }
 
-// Instances returns the instance list as it stands, lag included.
+// Instances returns the visible rows of the instance list, which trails the
+// recorded states by its lag.
 func (c *Client) Instances(ctx context.Context) ([]Instance, error) {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withCallTimeout(ctx)
 	defer cancel()
 	r, err := c.instList.Call(ctx, &keyRequest{})
 	if err != nil {
@@ -192,7 +196,7 @@
 	return r.Instances, nil
 }
 
-// SetInstanceLag sets how far the instance list lags behind the truth.
+// SetInstanceLag sets the delay before later SetInstance calls become visible.
 func (c *Client) SetInstanceLag(ctx context.Context, lag time.Duration) error {
 	_, err := c.instLag.Call(ctx, &lagRequest{Lag: lag})
 	return err
--- a/citronkv/handlers.go
+++ b/citronkv/handlers.go
@@ -8,7 +8,8 @@
 	"connectrpc.com/connect"
 )
 
-// toConnect maps store errors to connect codes for the wire.
+// toConnect wraps a store error in the connect error code that fromConnect maps
+// back. Unknown errors become CodeUnavailable.
 func toConnect(err error) error {
 	switch {
 	case err == nil:
@@ -27,7 +28,7 @@
 	return connect.NewError(connect.CodeUnavailable, err)
 }
 
-// Mount puts the stand-in's procedures on mux.
+// Mount registers the procedures of the fake service on mux.
 func (s *Server) Mount(mux *http.ServeMux) {
 	citronwire.Handle(mux, procGet, func(ctx context.Context, r *keyRequest) (*itemResponse, error) {
 		it, err := s.Get(ctx, r.Key)
--- a/citronkv/instances.go
+++ b/citronkv/instances.go
@@ -1,8 +1,8 @@
 package citronkv
 
-// The instance list stand-in: the platform's lagging list of live and
-// leaving instances. An update becomes visible only after the lag, as the
-// real list trails the truth.
+// This file holds a fake of the platform's list of live and leaving instances.
+// An update becomes visible only after a lag, because the real list also trails
+// the actual state.
 
 import (
 	"context"
@@ -15,25 +15,26 @@
 	"citrondeck.dev/citrondeck/citronwire"
 )
 
-// InstanceState is live or leaving.
+// InstanceState is the state of an instance in the instance list.
 type InstanceState string
 
-// Instance states.
+// Instance states. A leaving instance is about to shut down.
 const (
 	Live    InstanceState = "live"
 	Leaving InstanceState = "leaving"
 )
 
-// Instance is one row of the instance list.
+// Instance is a row of the instance list.
 type Instance struct {
 	Name  string        `json:"name"`
 	Addr  string        `json:"addr"`
 	Zone  string        `json:"zone"`
 	State InstanceState `json:"state"`
-	// visibleAt is when the row shows in the list.
+	// VisibleAt is the time from which the list shows the row.
 	VisibleAt time.Time `json:"-"`
 }
 
+// instanceList keeps the rows of each instance in the order in which they were set.
 type instanceList struct {
 	clock citronclock.Clock
 	mu    sync.Mutex
@@ -52,6 +53,8 @@
 	l.rows[in.Name] = append(l.rows[in.Name], in)
 }
 
+// list returns the newest visible row of each instance, sorted by name, and drops the
+// older rows.
 func (l *instanceList) list() []Instance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +83,7 @@
 	citronwire.Handle(mux, procInstList, func(context.Context, *keyRequest) (*instancesResponse, error) {
 		return &instancesResponse{Instances: l.list()}, nil
 	})
-	citronwire.Handle(mux, procInstLagOp, func(_ context.Context, r *lagRequest) (*lagRequest, error) {
+	citronwire.Handle(mux, procInstLag, func(_ context.Context, r *lagRequest) (*lagRequest, error) {
 		l.mu.Lock()
 		l.lag = r.Lag
 		l.mu.Unlock()
--- a/citronkv/kv.go
+++ b/citronkv/kv.go
@@ -1,15 +1,15 @@
-// Package citronkv is citrondeck's view of the platform's key-value
-// service: the one place where anything that must last is kept. The
-// product sees it only through the Store interface; Client speaks to the
-// stand-in in this package (Server), and a client for the real service
-// replaces it without touching callers.
+// Package citronkv is the interface between citrondeck and the platform's
+// key-value service, which holds all durable state. Callers use only the Store
+// interface. Client talks to the fake service in this package (Server); a client
+// for the real service can replace it without changes to callers.
 //
 // The service offers compare-and-swap on a per-key revision, leases with a
-// time to live, and watches. It fails: it is down or slow for long
-// stretches, a write can take effect while its reply is lost, and a lease
-// can lapse while its holder is paused. Callers therefore treat every
-// Unavailable answer to a write as "maybe applied" and read the key back
-// (see ReadBack), never retry blind.
+// time to live, and watches. It is not always available: it can be down or slow
+// for a long time, a write can be applied although its reply is lost, and a lease
+// can expire while its holder is paused. The service can also be restored from an
+// older copy of its data, which starts a new era (see Revision). After a write
+// fails with ErrUnavailable, callers must assume that it may have been applied
+// and read the key back (see ReadBack) before they retry.
 package citronkv
 
 import (
@@ -19,10 +19,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// LeaseID names a lease; zero is no lease.
+// LeaseID identifies a lease. Zero means no lease.
 type LeaseID int64
 
-// Item is a key, its value and the revision of its last write.
+// Item holds a key, its value and the revision of its last write. In the result
+// of a watch, Deleted marks the removal of the key.
 type Item struct {
 	Key      string   `json:"key"`
 	Value    []byte   `json:"value,omitempty"`
@@ -31,7 +32,7 @@
 	Deleted  bool     `json:"deleted,omitempty"`
 }
 
-// Errors a Store returns; test with errors.Is.
+// Errors that a Store returns. Test for them with errors.Is.
 var (
 	ErrNotFound     = errors.New("key not found")
 	ErrConflict     = errors.New("revision does not match")
@@ -40,34 +41,38 @@
 	ErrCompacted    = errors.New("watch revision compacted")
 )
 
-// Store is what citrondeck needs of the key-value service.
+// Store is the set of key-value operations that citrondeck uses.
 type Store interface {
-	// Get returns the item at key or ErrNotFound.
+	// Get returns the item at key, or ErrNotFound.
 	Get(ctx context.Context, key string) (Item, error)
-	// Range returns the items under prefix and the store revision at
-	// which they were read.
+	// Range returns the items whose keys start with prefix, and the store
+	// revision at which they were read.
 	Range(ctx context.Context, prefix string) ([]Item, Revision, error)
-	// Put writes value if the key's revision equals expect (see
-	// AnyRevision, Absent) and returns the new revision, or ErrConflict.
+	// Put writes value if the key's revision equals expect and returns the
+	// new revision. Otherwise it returns ErrConflict. AnyRevision and Absent
+	// are special values of expect. If lease is not zero, the key is deleted
+	// when the lease ends; Put returns ErrLeaseExpired if it already has.
 	Put(ctx context.Context, key string, value []byte, expect Revision, lease LeaseID) (Revision, error)
-	// Delete removes key if its revision equals expect.
+	// Delete removes key if its revision equals expect. Otherwise it returns
+	// ErrConflict, or ErrNotFound if the key does not exist.
 	Delete(ctx context.Context, key string, expect Revision) error
-	// Watch waits until something under prefix changes after revision
-	// after, or until the wait ends, and returns the changes and the
-	// store revision. A waiting watch costs the service one call.
+	// Watch waits until a key that starts with prefix changes after revision
+	// after, or until the maximum wait passes. It returns the changes and the
+	// store revision, or ErrCompacted if the service no longer holds the
+	// changes since after. A waiting watch costs the service one call.
 	Watch(ctx context.Context, prefix string, after Revision) ([]Item, Revision, error)
-	// Grant creates a lease that lapses after ttl without KeepAlive.
+	// Grant creates a lease that expires after ttl unless KeepAlive renews it.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive renews a lease or returns ErrLeaseExpired.
+	// KeepAlive renews a lease, or returns ErrLeaseExpired.
 	KeepAlive(ctx context.Context, id LeaseID) error
 	// Revoke ends a lease and deletes its keys.
 	Revoke(ctx context.Context, id LeaseID) error
 }
 
-// ReadBack resolves a write whose reply was lost: it reads key and
-// reports whether the value there is want. A write that returned
-// ErrUnavailable may have been applied; retrying it blind could apply it
-// twice or overwrite a newer value, so the caller reads back first.
+// ReadBack resolves a write whose reply was lost. It reads key and reports
+// whether its value equals want. A write that returned ErrUnavailable may have
+// been applied; a retry without reading the key first could apply the write twice
+// or overwrite a newer value.
 func ReadBack(ctx context.Context, s Store, key string, want []byte) (Item, bool, error) {
 	it, err := s.Get(ctx, key)
 	if errors.Is(err, ErrNotFound) {
--- a/citronkv/wire.go
+++ b/citronkv/wire.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Procedures of the stand-in's protocol.
+// Procedures of the fake service's protocol.
 const (
-	procGet       = "/citron.kv.v1/Get"
-	procRange     = "/citron.kv.v1/Range"
-	procPut       = "/citron.kv.v1/Put"
-	procDelete    = "/citron.kv.v1/Delete"
-	procWatch     = "/citron.kv.v1/Watch"
-	procLease     = "/citron.kv.v1/Lease"
-	procFaults    = "/citron.kv.v1/Faults"
-	procCounts    = "/citron.kv.v1/Counts"
-	procInstSet   = "/citron.instances.v1/Set"
-	procInstList  = "/citron.instances.v1/List"
-	procInstLagOp = "/citron.instances.v1/Lag"
+	procGet      = "/citron.kv.v1/Get"
+	procRange    = "/citron.kv.v1/Range"
+	procPut      = "/citron.kv.v1/Put"
+	procDelete   = "/citron.kv.v1/Delete"
+	procWatch    = "/citron.kv.v1/Watch"
+	procLease    = "/citron.kv.v1/Lease"
+	procFaults   = "/citron.kv.v1/Faults"
+	procCounts   = "/citron.kv.v1/Counts"
+	procInstSet  = "/citron.instances.v1/Set"
+	procInstList = "/citron.instances.v1/List"
+	procInstLag  = "/citron.instances.v1/Lag"
 )
 
 type keyRequest struct {
@@ -40,16 +40,20 @@
 type watchRequest struct {
 	Prefix string   `json:"prefix"`
 	After  Revision `json:"after"`
-	// Wait is how long the answer may wait for a change.
+	// Wait is the maximum time that the service waits for a change.
 	Wait time.Duration `json:"wait"`
 }
 
+// leaseRequest names a lease operation: "grant" uses TTL, "keepalive" uses ID, and
+// any other operation revokes ID.
 type leaseRequest struct {
 	Op  string        `json:"op"`
 	ID  LeaseID       `json:"id,omitempty"`
 	TTL time.Duration `json:"ttl,omitempty"`
 }
 
+// faultsRequest replaces the fault settings and, if ExpireLease is not zero, expires
+// that lease.
 type faultsRequest struct {
 	Faults      Faults  `json:"faults"`
 	ExpireLease LeaseID `json:"expireLease,omitempty"`
