--- a/citronkv/revision.go
+++ b/citronkv/revision.go
@@ -10,50 +10,51 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Revision orders the writes of the store. It is the pair of an era, which rises
-// each time the store returns from an older copy of itself, and the store's own
-// count of writes, which goes back with that. A store that never does has one
-// era, zero. Revisions are compared by Compare and After; the zero Revision comes
-// before all others.
+// Revision orders the writes of the store. It consists of an era and a count. The
+// era is the number of times the store has been restored from an older copy; it is
+// the high part of a revision. The count is the store's own number of writes, which
+// a restore sets back. The era of a store that was never restored is zero. Compare
+// and After compare revisions; the zero Revision sorts before all writes.
 type Revision struct{ era, number int64 }
 
-// Expectations for Put and Delete.
+// Special expected revisions for Put and Delete.
 var (
-	// AnyRevision writes whatever the key holds.
+	// AnyRevision applies the operation regardless of the current revision.
 	AnyRevision = Revision{number: -1}
-	// Absent writes only if the key does not exist.
+	// Absent makes Put write only if the key does not exist.
 	Absent = Revision{}
 )
 
-// numberBits are the bits that hold the count where a revision is written as one
-// number: at 400 writes a second for eighty years.
+// numberBits is the number of low bits that hold the count of a packed revision.
+// They last for over eighty years at 400 writes a second.
 const numberBits = 40
 
-// LastEra and LastNumber are the highest era and count of a revision.
+// LastEra and LastNumber are the highest era and the highest count of a revision.
 const (
 	LastEra    = 1<<(63-numberBits) - 1
 	LastNumber = 1<<numberBits - 1
 )
 
-// next is the revision of the write that follows.
+// next returns the revision of the following write.
 func (r Revision) next() Revision { return Revision{r.era, r.number + 1} }
 
-// RevisionOf returns the revision of a count in an era.
+// RevisionOf returns the revision with the given era and count.
 func RevisionOf(era, number int64) Revision { return Revision{era, number} }
 
-// Era is the era of the revision.
+// Era returns the number of restores of the store before the write.
 func (r Revision) Era() int64 { return r.era }
 
-// Number is the store's own count of the revision.
+// Number returns the store's own count of writes.
 func (r Revision) Number() int64 { return r.number }
 
-// IsZero reports whether r is the revision of nothing.
+// IsZero reports whether r is the zero Revision, which belongs to no write.
 func (r Revision) IsZero() bool { return r == Revision{} }
 
-// isOne reports whether r is the revision of a write, and no other expectation.
-func (r Revision) isOne() bool { return r != AnyRevision && r != Absent }
+// isExact reports whether r names one write, and is neither AnyRevision nor Absent.
+func (r Revision) isExact() bool { return r != AnyRevision && r != Absent }
 
-// Compare orders revisions: by era, then by count.
+// Compare orders revisions by era, then by count. It returns -1, 0 or +1 like
+// cmp.Compare.
 func (r Revision) Compare(o Revision) int {
 	return cmp.Or(cmp.Compare(r.era, o.era), cmp.Compare(r.number, o.number))
 }
@@ -61,8 +62,8 @@
 // After reports whether r is later than o.
 func (r Revision) After(o Revision) bool { return r.Compare(o) > 0 }
 
-// String is the revision as logs show it: the count, after the era if there was
-// more than one.
+// String returns the form of the revision in logs: the count, preceded by the era
+// and a dot unless the era is zero.
 func (r Revision) String() string {
 	number := strconv.FormatInt(r.number, 10)
 	if r.era == 0 {
@@ -71,7 +72,7 @@
 	return strconv.FormatInt(r.era, 10) + "." + number
 }
 
-// UnmarshalText reads what String writes.
+// UnmarshalText parses the output of String.
 func (r *Revision) UnmarshalText(text []byte) error {
 	era, number, ok := strings.Cut(string(text), ".")
 	if !ok {
@@ -83,14 +84,14 @@
 		read.number, err = strconv.ParseInt(number, 10, 64)
 	}
 	if err != nil {
-		return errors.Wrapf(err, "revision %q", text)
+		return errors.Wrapf(err, "parse revision %q (want COUNT or ERA.COUNT)", text)
 	}
 	*r = read
 	return nil
 }
 
-// Packed is the revision as one number that rises with it; that of AnyRevision is
-// negative.
+// Packed returns the revision as one integer in the same order: the era in the high
+// bits and the count in the low numberBits bits. AnyRevision packs to -1.
 func (r Revision) Packed() int64 {
 	if r == AnyRevision {
 		return r.number
@@ -98,10 +99,10 @@
 	return r.era<<numberBits | r.number
 }
 
-// MarshalJSON writes the revision as Packed.
+// MarshalJSON encodes the packed revision.
 func (r Revision) MarshalJSON() ([]byte, error) { return json.Marshal(r.Packed()) }
 
-// UnmarshalJSON reads what MarshalJSON writes.
+// UnmarshalJSON decodes a packed revision.
 func (r *Revision) UnmarshalJSON(text []byte) error {
 	var packed int64
 	if err := json.Unmarshal(text, &packed); err != nil {
@@ -110,10 +111,10 @@
 	return r.unpack(packed)
 }
 
-// MarshalCBOR writes the revision as Packed.
+// MarshalCBOR encodes the packed revision.
 func (r Revision) MarshalCBOR() ([]byte, error) { return cbor.Marshal(r.Packed()) }
 
-// UnmarshalCBOR reads what MarshalCBOR writes.
+// UnmarshalCBOR decodes a packed revision.
 func (r *Revision) UnmarshalCBOR(data []byte) error {
 	var packed int64
 	if err := cbor.Unmarshal(data, &packed); err != nil {
--- a/citronkv/server.go
+++ b/citronkv/server.go
@@ -1,11 +1,11 @@
 package citronkv
 
-// The stand-in server. It keeps everything in memory behind one mutex, as
-// the real service is small and answers in milliseconds. A store-wide
-// revision counts writes; a bounded log of recent changes serves watches;
-// a broadcast channel, closed and replaced on each write, wakes waiting
-// watches. Fault switches (Faults) let tests make it down, slow, or lose
-// the replies of writes that it has applied.
+// This file holds the fake key-value service. It keeps all data in memory behind
+// one mutex, because the real service is small and answers in milliseconds. A
+// store-wide revision counts writes. Watches read a bounded log of recent changes;
+// each write closes and replaces a channel to wake the waiting ones. The fault
+// settings (Faults) make the service unavailable or slow, or lose the replies of
+// writes that it has applied.
 
 import (
 	"context"
@@ -19,39 +19,43 @@
 )
 
 const (
-	historySize   = 65536
-	watchWaitMax  = 10 * time.Second
-	leaseSweepGap = 100 * time.Millisecond
+	// maxHistory is the maximum number of changes kept for watches.
+	maxHistory         = 65536
+	maxWatchWait       = 10 * time.Second
+	leaseSweepInterval = 100 * time.Millisecond
 )
 
-// Faults are the stand-in's switches.
+// Faults are the failures that the fake service simulates.
 type Faults struct {
-	// Down makes every call fail with Unavailable.
+	// Down makes every store call fail with ErrUnavailable.
 	Down bool `json:"down"`
-	// Slow delays every answer.
+	// Slow delays every store call by this duration.
 	Slow time.Duration `json:"slow"`
-	// LoseReplies applies the next n writes and then answers each with
-	// Unavailable, as when a reply is lost on the way back.
+	// LoseReplies is the number of writes that are applied but answered with
+	// ErrUnavailable, as if the reply were lost.
 	LoseReplies int `json:"loseReplies"`
-	// DownAfterLoss makes the service go down with the first lost reply,
-	// so that the writer cannot read back what became of its write.
+	// DownAfterLoss sets Down with the first lost reply, so that the writer
+	// cannot read back whether its write was applied.
 	DownAfterLoss bool `json:"downAfterLoss"`
 }
 
-// Counts are the calls the stand-in has served, by kind.
+// Counts are the numbers of calls that the fake service has received, by kind,
+// including failed ones. Lease operations count as writes.
 type Counts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Watches int64 `json:"watches"`
 }
 
+// lease is an active lease and the keys to delete when it ends.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
 	keys    map[string]bool
 }
 
-// Server is the key-value stand-in.
+// Server is a fake of the key-value service that keeps all data in memory. It
+// implements Store.
 type Server struct {
 	clock citronclock.Clock
 
@@ -68,7 +72,8 @@
 	instances              *instanceList
 }
 
-// NewServer returns an empty store.
+// NewServer returns an empty store. Changes to its instance list become visible
+// after instanceLag.
 func NewServer(clock citronclock.Clock, instanceLag time.Duration) *Server {
 	return &Server{
 		clock:     clock,
@@ -79,42 +84,42 @@
 	}
 }
 
-// Counts returns the calls served so far.
+// Counts returns the number of calls received so far.
 func (s *Server) Counts() Counts {
 	return Counts{Reads: s.reads.Load(), Writes: s.writes.Load(), Watches: s.watches.Load()}
 }
 
-// Publish exposes the call counts through expvar.
+// Publish exports the call counts as the expvar variable kv.
 func (s *Server) Publish() {
 	expvar.Publish("kv", expvar.Func(func() any { return s.Counts() }))
 }
 
-// SetFaults replaces the fault switches.
+// SetFaults replaces the fault settings.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	s.faults = f
 	s.mu.Unlock()
 }
 
-// ExpireLease lapses a lease now, as when its holder was paused past its
-// time to live; the holder is not told.
+// ExpireLease expires a lease now, as if its holder had paused for longer than the
+// time to live. The holder is not notified.
 func (s *Server) ExpireLease(id LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLocked(id)
 }
 
-// Leases is the number of leases that live.
+// Leases returns the number of active leases.
 func (s *Server) Leases() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.leases)
 }
 
-// Run sweeps lapsed leases until ctx ends.
+// Run removes expired leases and their keys until ctx ends.
 func (s *Server) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if s.clock.Sleep(ctx, leaseSweepGap) != nil {
+		if s.clock.Sleep(ctx, leaseSweepInterval) != nil {
 			return
 		}
 		s.mu.Lock()
@@ -128,6 +133,7 @@
 	}
 }
 
+// expireLocked removes a lease and deletes its keys. The caller holds s.mu.
 func (s *Server) expireLocked(id LeaseID) {
 	l, ok := s.leases[id]
 	if !ok {
@@ -139,8 +145,8 @@
 	}
 }
 
-// gate applies the Down and Slow switches before a call.
-func (s *Server) gate(ctx context.Context) error {
+// applyFaults applies Slow and Down at the start of a call.
+func (s *Server) applyFaults(ctx context.Context) error {
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
@@ -155,7 +161,8 @@
 	return nil
 }
 
-// loseReply reports whether the reply of a write just applied is lost.
+// loseReplyLocked reports whether the reply of the write just applied is to be lost,
+// and updates the fault settings. The caller holds s.mu.
 func (s *Server) loseReplyLocked() bool {
 	if s.faults.LoseReplies > 0 {
 		s.faults.LoseReplies--
@@ -165,15 +172,19 @@
 	return false
 }
 
+// recordLocked appends a change to the history and wakes the waiting watches. A full
+// history is cut to its newer half. The caller holds s.mu.
 func (s *Server) recordLocked(it Item) {
 	s.history = append(s.history, it)
-	if len(s.history) > historySize {
-		s.history = s.history[len(s.history)-historySize/2:]
+	if len(s.history) > maxHistory {
+		s.history = s.history[len(s.history)-maxHistory/2:]
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
+// deleteLocked deletes a key, if it exists, as a write of its own. The caller holds
+// s.mu.
 func (s *Server) deleteLocked(key string) {
 	old, ok := s.items[key]
 	if !ok {
@@ -190,7 +201,7 @@
 // Get implements Store.
 func (s *Server) Get(ctx context.Context, key string) (Item, error) {
 	s.reads.Add(1)
-	if err := s.gate(ctx); err != nil {
+	if err := s.applyFaults(ctx); err != nil {
 		return Item{}, err
 	}
 	s.mu.Lock()
@@ -205,7 +216,7 @@
 // Range implements Store.
 func (s *Server) Range(ctx context.Context, prefix string) ([]Item, Revision, error) {
 	s.reads.Add(1)
-	if err := s.gate(ctx); err != nil {
+	if err := s.applyFaults(ctx); err != nil {
 		return nil, Revision{}, err
 	}
 	s.mu.Lock()
@@ -222,14 +233,14 @@
 // Put implements Store.
 func (s *Server) Put(ctx context.Context, key string, value []byte, expect Revision, id LeaseID) (Revision, error) {
 	s.writes.Add(1)
-	if err := s.gate(ctx); err != nil {
+	if err := s.applyFaults(ctx); err != nil {
 		return Revision{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old, exists := s.items[key]
 	switch {
-	case expect == Absent && exists, expect.isOne() && (!exists || old.Revision != expect):
+	case expect == Absent && exists, expect.isExact() && (!exists || old.Revision != expect):
 		return Revision{}, ErrConflict
 	}
 	var l *lease
@@ -257,7 +268,7 @@
 // Delete implements Store.
 func (s *Server) Delete(ctx context.Context, key string, expect Revision) error {
 	s.writes.Add(1)
-	if err := s.gate(ctx); err != nil {
+	if err := s.applyFaults(ctx); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -266,7 +277,7 @@
 	if !exists {
 		return ErrNotFound
 	}
-	if expect.isOne() && old.Revision != expect {
+	if expect.isExact() && old.Revision != expect {
 		return ErrConflict
 	}
 	s.deleteLocked(key)
@@ -278,15 +289,18 @@
 
 // Watch implements Store.
 func (s *Server) Watch(ctx context.Context, prefix string, after Revision) ([]Item, Revision, error) {
-	return s.watchFor(ctx, prefix, after, watchWaitMax)
+	return s.watchFor(ctx, prefix, after, maxWatchWait)
 }
 
+// watchFor implements Watch with a maximum wait, which maxWatchWait bounds. A revision
+// of another era is reported as compacted, because the history starts anew with each
+// era.
 func (s *Server) watchFor(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Item, Revision, error) {
 	s.watches.Add(1)
-	if err := s.gate(ctx); err != nil {
+	if err := s.applyFaults(ctx); err != nil {
 		return nil, Revision{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(wait, watchWaitMax))
+	ctx, cancel := context.WithTimeout(ctx, min(wait, maxWatchWait))
 	defer cancel()
 	for {
 		s.mu.Lock()
--- a/citronkv/servercopy.go
+++ b/citronkv/servercopy.go
@@ -2,29 +2,29 @@
 
 import "maps"
 
-// Copy is what the stand-in held at one moment.
+// Copy is a snapshot of the data of a Server.
 type Copy struct {
 	rev   Revision
 	items map[string]Item
 }
 
-// Copy returns what the stand-in holds.
+// Copy returns a snapshot of the current data.
 func (s *Server) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Copy{rev: s.rev, items: maps.Clone(s.items)}
 }
 
-// Era is how often the stand-in has come back from a copy.
+// Era returns the number of times the server has been restored from a snapshot.
 func (s *Server) Era() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rev.Era()
 }
 
-// Return has the stand-in come back from an older copy: what was written since is
-// gone, and so are all leases with their keys; revisions go back to those of the
-// copy, in the next era.
+// Return restores the server from an older snapshot. All later writes are lost, and
+// so are all leases with their keys. The counts of the revisions are set back to
+// those of the snapshot, and the era increases by one.
 func (s *Server) Return(c Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/citronkv/serverlease.go
+++ b/citronkv/serverlease.go
@@ -8,7 +8,7 @@
 // Grant implements Store.
 func (s *Server) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	s.writes.Add(1)
-	if err := s.gate(ctx); err != nil {
+	if err := s.applyFaults(ctx); err != nil {
 		return 0, err
 	}
 	s.mu.Lock()
@@ -21,7 +21,7 @@
 // KeepAlive implements Store.
 func (s *Server) KeepAlive(ctx context.Context, id LeaseID) error {
 	s.writes.Add(1)
-	if err := s.gate(ctx); err != nil {
+	if err := s.applyFaults(ctx); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -37,7 +37,7 @@
 // Revoke implements Store.
 func (s *Server) Revoke(ctx context.Context, id LeaseID) error {
 	s.writes.Add(1)
-	if err := s.gate(ctx); err != nil {
+	if err := s.applyFaults(ctx); err != nil {
 		return err
 	}
 	s.mu.Lock()
