--- a/citronkv/contract_test.go
+++ b/citronkv/contract_test.go
@@ -14,9 +14,9 @@
 	"pgregory.net/rapid"
 )
 
-// stores are the two ways to the service: in process, and over the wire.
-// Both must keep the same contract.
-func stores(t *testing.T, clock citronclock.Clock) map[string]func() (citronkv.Store, *citronkv.Server) {
+// storeConstructors returns a constructor for each way to reach the fake service, by
+// name: in process and over the wire. Both must satisfy the same contract.
+func storeConstructors(t *testing.T, clock citronclock.Clock) map[string]func() (citronkv.Store, *citronkv.Server) {
 	return map[string]func() (citronkv.Store, *citronkv.Server){
 		"in process": func() (citronkv.Store, *citronkv.Server) {
 			s := citronkv.NewServer(clock, 0)
@@ -33,13 +33,14 @@
 	}
 }
 
-// The contract of writes: each case starts from key k at a revision and
-// names the outcome a caller must be able to rely on.
+// TestStoreContract checks the outcome of writes, deletes and lease calls. Each case
+// starts with the value "old" at key k and states the error and the value of k that
+// callers rely on.
 func TestStoreContract(t *testing.T) {
 	type env struct {
 		st  citronkv.Store
 		sv  *citronkv.Server
-		rev citronkv.Revision // of key k, holding "old"
+		rev citronkv.Revision // the revision of key k with the value "old"
 	}
 	ctx := context.Background()
 	put := func(v env, key string, expect citronkv.Revision) error {
@@ -50,46 +51,46 @@
 		name string
 		do   func(v env) error
 		want error
-		// holds is what k holds afterwards; "" means it is absent.
+		// holds is the value of k after the call; "" means that k does not exist.
 		holds string
 	}{
-		{"put on the revision read", func(v env) error { return put(v, "k", v.rev) }, nil, "new"},
-		{"put on an older revision", func(v env) error {
+		{"put at the current revision", func(v env) error { return put(v, "k", v.rev) }, nil, "new"},
+		{"put at an older revision", func(v env) error {
 			_ = put(v, "k", v.rev)
 			_, err := v.st.Put(ctx, "k", []byte("late"), v.rev, 0)
 			return err
 		}, citronkv.ErrConflict, "new"},
-		{"create what exists", func(v env) error { return put(v, "k", citronkv.Absent) }, citronkv.ErrConflict, "old"},
-		{"put blind", func(v env) error { return put(v, "k", citronkv.AnyRevision) }, nil, "new"},
-		{"put under a lapsed lease", func(v env) error {
+		{"create an existing key", func(v env) error { return put(v, "k", citronkv.Absent) }, citronkv.ErrConflict, "old"},
+		{"put at any revision", func(v env) error { return put(v, "k", citronkv.AnyRevision) }, nil, "new"},
+		{"put with an expired lease", func(v env) error {
 			id, _ := v.st.Grant(ctx, time.Second)
 			v.sv.ExpireLease(id)
 			_, err := v.st.Put(ctx, "k", []byte("new"), v.rev, id)
 			return err
 		}, citronkv.ErrLeaseExpired, "old"},
-		{"renew a lapsed lease", func(v env) error {
+		{"renew an expired lease", func(v env) error {
 			id, _ := v.st.Grant(ctx, time.Second)
 			v.sv.ExpireLease(id)
 			return v.st.KeepAlive(ctx, id)
 		}, citronkv.ErrLeaseExpired, "old"},
-		{"a lapsed lease takes its key along", func(v env) error {
+		{"an expired lease deletes its key", func(v env) error {
 			id, _ := v.st.Grant(ctx, time.Second)
 			_, err := v.st.Put(ctx, "k", []byte("new"), v.rev, id)
 			v.sv.ExpireLease(id)
 			return err
 		}, nil, ""},
-		{"a key put anew leaves its old lease", func(v env) error {
+		{"an overwritten key is detached from its old lease", func(v env) error {
 			id, _ := v.st.Grant(ctx, time.Second)
 			_, _ = v.st.Put(ctx, "k", []byte("held"), v.rev, id)
 			err := put(v, "k", citronkv.AnyRevision)
 			v.sv.ExpireLease(id)
 			return err
 		}, nil, "new"},
-		{"delete on an older revision", func(v env) error {
+		{"delete at an older revision", func(v env) error {
 			_ = put(v, "k", v.rev)
 			return v.st.Delete(ctx, "k", v.rev)
 		}, citronkv.ErrConflict, "new"},
-		{"delete what is absent", func(v env) error { return v.st.Delete(ctx, "x", citronkv.Absent) }, citronkv.ErrNotFound, "old"},
+		{"delete an absent key", func(v env) error { return v.st.Delete(ctx, "x", citronkv.Absent) }, citronkv.ErrNotFound, "old"},
 		{"write while down", func(v env) error {
 			v.sv.SetFaults(citronkv.Faults{Down: true})
 			return put(v, "k", v.rev)
@@ -103,9 +104,9 @@
 			return v.st.Delete(ctx, "k", v.rev)
 		}, citronkv.ErrUnavailable, ""},
 	}
-	for way, open := range stores(t, citronclock.Real{}) {
+	for transport, open := range storeConstructors(t, citronclock.Real{}) {
 		for _, c := range cases {
-			t.Run(way+"/"+c.name, func(t *testing.T) {
+			t.Run(transport+"/"+c.name, func(t *testing.T) {
 				is := is.New(t)
 				st, sv := open()
 				rev, err := st.Put(ctx, "k", []byte("old"), citronkv.Absent, 0)
@@ -122,24 +123,24 @@
 	}
 }
 
-// Random writes by several writers, some losing their replies. Oracle: a
-// map of what each key must hold. A watcher that follows from the start
-// must see every key's last change, deletions too, however the changes
-// fall between its calls.
+// TestWatchMissesNoChange applies random puts and deletes, some with lost replies, and
+// compares a watcher that follows from the start with a map of the expected values.
+// The watcher must see the last change of every key, including deletions, however the
+// changes are spread over its calls.
 func TestWatchMissesNoChange(t *testing.T) {
 	ctx := context.Background()
 	rapid.Check(t, func(rt *rapid.T) {
 		s := citronkv.NewServer(citronclock.Real{}, 0)
-		oracle, seen := map[string]string{}, map[string]string{}
+		expected, seen := map[string]string{}, map[string]string{}
 		var after citronkv.Revision
-		follow := func() {
+		poll := func() {
 			items, rev, err := s.Watch(ctx, "p/", after)
 			if err != nil {
 				rt.Fatal(err)
 			}
 			for _, it := range items {
 				if !it.Revision.After(after) {
-					rt.Fatalf("revision %v came again after %v", it.Revision, after)
+					rt.Fatalf("watch after revision %[2]v returned a change at revision %[1]v", it.Revision, after)
 				}
 				if it.Deleted {
 					delete(seen, it.Key)
@@ -157,40 +158,40 @@
 				if rapid.Bool().Draw(rt, "lose") {
 					s.SetFaults(citronkv.Faults{LoseReplies: 1})
 				}
-				oracle[key] = string(rune('0' + i))
-				_, _ = s.Put(ctx, key, []byte(oracle[key]), citronkv.AnyRevision, 0)
+				expected[key] = string(rune('0' + i))
+				_, _ = s.Put(ctx, key, []byte(expected[key]), citronkv.AnyRevision, 0)
 				writes++
 			case 2:
-				if _, ok := oracle[key]; ok {
+				if _, ok := expected[key]; ok {
 					_ = s.Delete(ctx, key, citronkv.AnyRevision)
-					delete(oracle, key)
+					delete(expected, key)
 					writes++
 				}
 			default:
-				if writes > 0 { // a watch with nothing to tell would wait
-					follow()
+				if writes > 0 { // a watch without changes would block
+					poll()
 					writes = 0
 				}
 			}
 		}
 		if writes > 0 {
-			follow()
+			poll()
 		}
-		if len(seen) != len(oracle) {
-			rt.Fatalf("watcher holds %v, the store %v", seen, oracle)
+		if len(seen) != len(expected) {
+			rt.Fatalf("watcher has %v, want %v", seen, expected)
 		}
-		for k, v := range oracle {
+		for k, v := range expected {
 			if seen[k] != v {
-				rt.Fatalf("key %s: watcher holds %q, the store %q", k, seen[k], v)
+				rt.Fatalf("key %s: watcher has %q, want %q", k, seen[k], v)
 			}
 		}
 	})
 }
 
-// A watcher comes back with a revision older than the changes the service
-// still keeps. It must be told so, to read everything anew; silence would
-// leave it with state that never changes again.
-func TestWatchTellsWhenItsRevisionIsForgotten(t *testing.T) {
+// TestWatchReportsCompactedRevision checks that a watch after a revision older than the
+// kept changes fails with ErrCompacted, so that the watcher reads all keys again.
+// Without the error, it would miss the dropped changes and keep stale state.
+func TestWatchReportsCompactedRevision(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	s := citronkv.NewServer(citronclock.Real{}, 0)
@@ -201,8 +202,8 @@
 	is.True(errors.Is(err, citronkv.ErrCompacted))
 }
 
-// The instance list lags: a change shows only after the lag, and the row
-// before it shows until then.
+// TestInstanceListLags checks that a change of the instance list becomes visible only
+// after the lag and that the previous row stays visible until then.
 func TestInstanceListLags(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -215,8 +216,8 @@
 	c := citronkv.NewClient(hs.Client(), hs.URL)
 	steps := []struct {
 		advance time.Duration
-		set     citronkv.InstanceState // "" changes nothing
-		want    citronkv.InstanceState // "" is not listed
+		set     citronkv.InstanceState // "" sets nothing
+		want    citronkv.InstanceState // "" means not listed
 	}{
 		{0, citronkv.Live, ""},
 		{time.Second, "", ""},
--- a/citronkv/revision_test.go
+++ b/citronkv/revision_test.go
@@ -12,13 +12,15 @@
 	"pgregory.net/rapid"
 )
 
+// drawRevision draws a revision with any era and any count.
 func drawRevision(t *rapid.T, name string) citronkv.Revision {
 	return citronkv.RevisionOf(rapid.Int64Range(0, citronkv.LastEra).Draw(t, name+" era"), rapid.Int64Range(0, citronkv.LastNumber).Draw(t, name+" number"))
 }
 
-// Guards against a revision that nodes read otherwise than it was written, or order
-// otherwise once it is packed.
-func TestRevisionSurvivesItsEncodings(t *testing.T) {
+// TestRevisionEncodingRoundTrip checks that each encoding decodes to the same revision
+// and that packed revisions keep their order. Otherwise nodes would disagree about
+// which of two writes is newer.
+func TestRevisionEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		a, b := drawRevision(t, "a"), drawRevision(t, "b")
@@ -41,8 +43,9 @@
 	})
 }
 
-// Guards against a number that no revision packs to.
-func TestRevisionsThatCannotBe(t *testing.T) {
+// TestRevisionRejectsInvalidInput checks that input which encodes no revision is an
+// error and leaves the revision unchanged.
+func TestRevisionRejectsInvalidInput(t *testing.T) {
 	is := is.New(t)
 	var r citronkv.Revision
 	is.True(json.Unmarshal([]byte("-2"), &r) != nil)
--- a/citronkv/seed_test.go
+++ b/citronkv/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// CI gives the same verdict every time, so rapid's seed is fixed; try
-// others with -rapid.seed=N.
+// The seed of rapid is fixed so that runs in CI are reproducible. Use
+// -rapid.seed=N to run with another seed.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
