--- a/citronengine/batch.go
+++ b/citronengine/batch.go
@@ -9,13 +9,13 @@
 	"citrondeck.dev/citrondeck/citronclock"
 )
 
-// batchTick is the length of one batch: the engine takes up to its
-// capacity's worth of waiting steps each tick, highest priority first.
+// batchTick is the duration of a batch. In each tick, the engine runs queued steps up
+// to its capacity, highest priority first.
 const batchTick = 5 * time.Millisecond
 
-// batcher is the stand-in's continuous batching: waiting steps share the
-// declared capacity, ordered by priority and then arrival. Its goroutine
-// lives only while steps wait.
+// batcher imitates the continuous batching of an engine. Queued steps share the
+// capacity, ordered by priority and then by arrival. Its goroutine runs only while
+// steps are queued.
 type batcher struct {
 	clock    citronclock.Clock
 	capacity int
@@ -24,8 +24,8 @@
 	queue   stepQueue
 	seq     int64
 	running bool
-	// credit is the tokens this batch may still run; negative after a
-	// step that cost more than one batch.
+	// credit is the number of tokens that the current batch can still run. It is
+	// negative after a step that cost more than the remaining credit.
 	credit float64
 	last   time.Time
 }
@@ -34,13 +34,15 @@
 	return &batcher{clock: clock, capacity: capacity}
 }
 
+// waiting returns the number of queued steps.
 func (b *batcher) waiting() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.queue)
 }
 
-// wait returns once the step's batch has run.
+// wait blocks until a batch takes the step or ctx ends. Without a capacity limit, it
+// does not block.
 func (b *batcher) wait(ctx context.Context, cost, priority int) error {
 	if b.capacity <= 0 {
 		return ctx.Err()
@@ -53,7 +55,7 @@
 		return ctx.Err()
 	}
 	b.seq++
-	s := &queuedStep{cost: cost, priority: priority, seq: b.seq, run: make(chan struct{})}
+	s := &queuedStep{cost: cost, priority: priority, seq: b.seq, taken: make(chan struct{})}
 	heap.Push(&b.queue, s)
 	if !b.running {
 		b.running = true
@@ -61,7 +63,7 @@
 	}
 	b.mu.Unlock()
 	select {
-	case <-s.run:
+	case <-s.taken:
 		return nil
 	case <-ctx.Done():
 	}
@@ -73,8 +75,9 @@
 	return ctx.Err()
 }
 
-// refill adds the capacity of the time since the last refill, at most two
-// batches' worth: an idle engine cannot save up.
+// refill adds the capacity of the time since the last refill. The credit is limited to
+// two batches (at least one token), so that an idle engine does not accumulate more.
+// The caller holds b.mu.
 func (b *batcher) refill() {
 	now := b.clock.Now()
 	perTick := float64(b.capacity) * batchTick.Seconds()
@@ -85,6 +88,7 @@
 	b.last = now
 }
 
+// loop takes queued steps each batchTick until the queue is empty.
 func (b *batcher) loop() {
 	for {
 		_ = b.clock.Sleep(context.Background(), batchTick)
@@ -93,7 +97,7 @@
 		for len(b.queue) > 0 && b.credit > 0 {
 			s := heap.Pop(&b.queue).(*queuedStep)
 			b.credit -= float64(s.cost)
-			close(s.run)
+			close(s.taken)
 		}
 		if len(b.queue) == 0 {
 			b.running = false
@@ -104,13 +108,16 @@
 	}
 }
 
+// queuedStep is a step in the queue. index is its position there, or -1 after it was
+// removed.
 type queuedStep struct {
 	cost, priority int
 	seq            int64
 	index          int
-	run            chan struct{}
+	taken          chan struct{} // closed when a batch takes the step
 }
 
+// stepQueue implements heap.Interface: higher priorities first, then earlier arrivals.
 type stepQueue []*queuedStep
 
 func (q stepQueue) Len() int { return len(q) }
--- a/citronengine/contract_test.go
+++ b/citronengine/contract_test.go
@@ -13,7 +13,8 @@
 	"github.com/matryer/is"
 )
 
-func start(t *testing.T, s citronengine.Settings) (*citronengine.Engine, *citronengine.Client) {
+// startEngine starts an engine and returns it with a client.
+func startEngine(t *testing.T, s citronengine.Settings) (*citronengine.Engine, *citronengine.Client) {
 	t.Helper()
 	e := citronengine.New(s)
 	mux := http.NewServeMux()
@@ -23,12 +24,14 @@
 	return e, citronengine.NewClient(hs.Client(), hs.URL)
 }
 
-func holds(from, to int) citronengine.Settings {
+// layerRange returns the settings of an engine with the layers [from, to).
+func layerRange(from, to int) citronengine.Settings {
 	return citronengine.Settings{Name: "e", From: from, To: to}
 }
 
-// The contract between an entry and an engine: each case is a series of
-// steps of request r; all but the last succeed and the last ends as said.
+// TestStepContract checks the order of steps that an engine accepts from an entry. Each
+// case is a series of steps of request r. All but the last must succeed; the last must
+// return the given code.
 func TestStepContract(t *testing.T) {
 	step := func(attempt, pos, prefill int) citronengine.Step {
 		return citronengine.Step{Request: "r", Attempt: attempt, Pos: pos, Prefill: prefill}
@@ -37,23 +40,23 @@
 	cases := []struct {
 		name  string
 		steps []citronengine.Step
-		leave bool // before the last step
+		leave bool // set the engine leaving before the last step
 		want  connect.Code
 	}{
 		{"positions in order", []citronengine.Step{step(1, 0, 0), step(1, 1, 0), step(1, 2, 0)}, false, ok},
-		{"a position skipped", []citronengine.Step{step(1, 0, 0), step(1, 2, 0)}, false, connect.CodeFailedPrecondition},
-		{"a position repeated", []citronengine.Step{step(1, 0, 0), step(1, 1, 0), step(1, 1, 0)}, false, connect.CodeFailedPrecondition},
-		{"no cache of the request", []citronengine.Step{step(1, 3, 0)}, false, connect.CodeFailedPrecondition},
-		{"no cache, but recomputed", []citronengine.Step{step(2, 3, 3)}, false, ok},
-		{"a late step of a replaced attempt", []citronengine.Step{step(1, 0, 0), step(2, 1, 1), step(1, 1, 0)}, false, connect.CodeAborted},
-		{"new work while leaving", []citronengine.Step{step(1, 0, 0)}, true, connect.CodeUnavailable},
-		{"takeover while leaving", []citronengine.Step{step(2, 3, 3)}, true, connect.CodeUnavailable},
-		{"held work while leaving", []citronengine.Step{step(1, 0, 0), step(1, 1, 0)}, true, ok},
+		{"skipped position", []citronengine.Step{step(1, 0, 0), step(1, 2, 0)}, false, connect.CodeFailedPrecondition},
+		{"repeated position", []citronengine.Step{step(1, 0, 0), step(1, 1, 0), step(1, 1, 0)}, false, connect.CodeFailedPrecondition},
+		{"request not in the cache", []citronengine.Step{step(1, 3, 0)}, false, connect.CodeFailedPrecondition},
+		{"no cache, with prefill", []citronengine.Step{step(2, 3, 3)}, false, ok},
+		{"late step of a replaced attempt", []citronengine.Step{step(1, 0, 0), step(2, 1, 1), step(1, 1, 0)}, false, connect.CodeAborted},
+		{"new request while leaving", []citronengine.Step{step(1, 0, 0)}, true, connect.CodeUnavailable},
+		{"request taken over while leaving", []citronengine.Step{step(2, 3, 3)}, true, connect.CodeUnavailable},
+		{"request in the cache while leaving", []citronengine.Step{step(1, 0, 0), step(1, 1, 0)}, true, ok},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			e, cl := start(t, holds(0, 4))
+			e, cl := startEngine(t, layerRange(0, 4))
 			for i, s := range c.steps {
 				last := i == len(c.steps)-1
 				if last && c.leave {
@@ -70,15 +73,15 @@
 	}
 }
 
-// A request moves to another engine with its KV cache: the new engine goes
-// on at the next position without recomputing, and refuses a cache of
-// other layers, which would make wrong tokens.
+// TestMoveKVCache checks that an engine which imports the KV cache of a request
+// continues at the next position without recomputing. It also checks that an engine
+// rejects the cache of another layer range, which would produce wrong tokens.
 func TestMoveKVCache(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	_, from := start(t, holds(0, 4))
-	to, toClient := start(t, holds(0, 4))
-	_, other := start(t, holds(4, 8))
+	_, from := startEngine(t, layerRange(0, 4))
+	to, toClient := startEngine(t, layerRange(0, 4))
+	_, other := startEngine(t, layerRange(4, 8))
 	_, err := from.Run(ctx, citronengine.Step{Request: "r", Attempt: 1, Pos: 0})
 	is.NoErr(err)
 	next, err := from.Move(ctx, toClient, "r", 2)
@@ -93,40 +96,40 @@
 	is.Equal(citronwire.Code(err), connect.CodeNotFound)
 }
 
-// Orders under fencing numbers: an engine that checks refuses an old one
-// and stays as it was; one that does not check takes it.
-func TestOrdersAndFencing(t *testing.T) {
+// TestOrderFencing checks that an engine with FenceRefuse rejects an order with a stale
+// fencing number and does not change, and that one with FenceIgnore carries it out.
+func TestOrderFencing(t *testing.T) {
 	cases := []struct {
-		mode    citronengine.FenceMode
-		refused bool
+		mode     citronengine.FenceMode
+		rejected bool
 	}{{citronengine.FenceRefuse, true}, {citronengine.FenceIgnore, false}}
 	for _, c := range cases {
 		t.Run(string(c.mode), func(t *testing.T) {
 			is := is.New(t)
 			ctx := context.Background()
-			e, cl := start(t, citronengine.Settings{Name: "e", To: 4, Fence: c.mode})
+			e, cl := startEngine(t, citronengine.Settings{Name: "e", To: 4, Fence: c.mode})
 			is.NoErr(cl.Order(ctx, 7, citronengine.ActionLoad, "adapter-1"))
 			err := cl.Order(ctx, 6, citronengine.ActionLeave, "")
-			is.Equal(err != nil, c.refused)
+			is.Equal(err != nil, c.rejected)
 			st, err := cl.Status(ctx)
 			is.NoErr(err)
-			is.Equal(st.Leaving, !c.refused)
-			is.Equal(e.OldOrders.Load(), int64(1))
+			is.Equal(st.Leaving, !c.rejected)
+			is.Equal(e.StaleOrders.Load(), int64(1))
 			is.True(cl.Order(ctx, 8, "dance", "") != nil) // unknown action
 		})
 	}
 }
 
-// An engine short of capacity runs the waiting step of highest priority
-// first, whenever it arrived.
-func TestPriorityGoesFirst(t *testing.T) {
+// TestHigherPriorityRunsFirst checks that an engine without free capacity runs queued
+// steps by priority, regardless of their order of arrival.
+func TestHigherPriorityRunsFirst(t *testing.T) {
 	is := is.New(t)
-	// One token each quarter of a second: what the engine answers in turn also reaches
-	// callers in turn, on a busy machine too.
-	e, cl := start(t, citronengine.Settings{Name: "e", To: 4, Capacity: 4})
+	// At one token per 250 ms, the responses reach the callers in the order in which
+	// the engine sends them, even on a busy machine.
+	e, cl := startEngine(t, citronengine.Settings{Name: "e", To: 4, Capacity: 4})
 	ctx := context.Background()
-	// The first step takes what credit there is and more, so that the
-	// next two wait together.
+	// The first step overdraws the credit, so that the next two steps are queued at
+	// the same time.
 	_, err := cl.Run(ctx, citronengine.Step{Request: "big", Attempt: 1, Pos: 3, Prefill: 3})
 	is.NoErr(err)
 	order := make(chan string, 2)
@@ -153,11 +156,11 @@
 	is.Equal(e.Steps.Load(), int64(3))
 }
 
-// Cache events name the prefixes that enter and leave limited memory; the
-// numbers show the gap where one was lost.
+// TestCacheEventsHaveGaps checks that cache events report the prefixes that are added
+// and evicted, and that a lost event leaves a gap in the sequence numbers.
 func TestCacheEventsHaveGaps(t *testing.T) {
 	is := is.New(t)
-	_, cl := start(t, citronengine.Settings{Name: "e", To: 4, PrefixSlots: 2})
+	_, cl := startEngine(t, citronengine.Settings{Name: "e", To: 4, PrefixSlots: 2})
 	ctx := context.Background()
 	for i := range 60 {
 		prompt := make([]byte, 64)
@@ -171,6 +174,6 @@
 	events, err := cl.Events(ctx, 0)
 	is.NoErr(err)
 	last := events[len(events)-1].Seq
-	is.Equal(last, int64(60+58)) // 60 entered, 58 were pushed out
+	is.Equal(last, int64(60+58)) // 60 added, 58 evicted
 	is.Equal(len(events), 60+58-2)
 }
--- a/citronengine/engine.go
+++ b/citronengine/engine.go
@@ -12,28 +12,29 @@
 	"connectrpc.com/connect"
 )
 
-// FenceMode says what an engine does with an order carrying an old
-// fencing number.
+// FenceMode selects what an engine does with an order whose fencing number is lower
+// than the highest one seen.
 type FenceMode string
 
-// Fence modes, as deployments differ.
+// Fence modes. Both exist because engines of some deployments do not check fencing
+// numbers.
 const (
-	FenceRefuse FenceMode = "refuse"
-	FenceIgnore FenceMode = "ignore"
+	FenceRefuse FenceMode = "refuse" // reject the order
+	FenceIgnore FenceMode = "ignore" // carry out the order
 )
 
-// Settings configure a stand-in engine.
+// Settings configures a fake engine.
 type Settings struct {
 	Name     string
-	From, To int
-	// Capacity is tokens per second; zero is unbounded.
+	From, To int // layer range, To excluded
+	// Capacity is in tokens per second. Zero means unlimited.
 	Capacity int
-	// CacheSlots bounds the requests whose KV cache the engine holds.
+	// CacheSlots is the maximum number of requests in the KV cache.
 	CacheSlots int
-	// PrefixSlots bounds the prompt prefixes it caches.
+	// PrefixSlots is the maximum number of cached prompt prefixes.
 	PrefixSlots int
 	Fence       FenceMode
-	// LoadLag is how old the load report is that Status gives.
+	// LoadLag is the age of the load that Status reports.
 	LoadLag time.Duration
 }
 
@@ -42,31 +43,31 @@
 	defaultPrefixSlots = 256
 )
 
-// sequence is the engine's KV cache of one request: the positions before
-// next, written by attempt.
+// sequence is the KV cache of one request. It covers the positions before next;
+// attempt is the attempt that wrote it last.
 type sequence struct {
 	next    int
 	attempt int
 }
 
-// Engine is the stand-in model engine.
+// Engine is a fake model engine. Its counters are for tests and logs.
 type Engine struct {
-	set     Settings
-	batch   *batcher
-	leaving atomic.Bool
-	load    *laggedLoad
+	settings Settings
+	batch    *batcher
+	leaving  atomic.Bool
+	load     *laggedLoad
 
 	mu       sync.Mutex
 	cache    map[string]sequence
 	prefixes *prefixCache
 	events   *eventLog
-	fence    int64
-	loaded   map[string]bool // models, adapters and versions it was ordered to load
+	fence    int64           // highest fencing number seen
+	loaded   map[string]bool // models, adapters and versions loaded by orders
 
-	Steps, Prefills, Imports, Cancels, Refused, OldOrders atomic.Int64
+	Steps, Prefills, Imports, Cancels, Refused, StaleOrders atomic.Int64
 }
 
-// New returns an engine.
+// New returns an engine. Zero cache bounds select the defaults.
 func New(s Settings) *Engine {
 	if s.CacheSlots == 0 {
 		s.CacheSlots = defaultCacheSlots
@@ -76,7 +77,7 @@
 	}
 	ev := &eventLog{}
 	return &Engine{
-		set:      s,
+		settings: s,
 		batch:    newBatcher(citronclock.Real{}, s.Capacity),
 		load:     &laggedLoad{lag: s.LoadLag},
 		cache:    map[string]sequence{},
@@ -86,19 +87,20 @@
 	}
 }
 
-// SetLeaving makes the engine refuse new requests; steps of requests it
-// already holds go on.
+// SetLeaving makes the engine reject new requests. Steps of requests in its KV cache
+// continue.
 func (e *Engine) SetLeaving() { e.leaving.Store(true) }
 
-// InFlight is the number of requests whose cache the engine holds.
+// InFlight returns the number of requests in the KV cache.
 func (e *Engine) InFlight() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.cache)
 }
 
+// step runs the layers of the engine for one token position.
 func (e *Engine) step(ctx context.Context, r *stepRequest) (*stepResponse, error) {
-	cost, err := e.begin(r)
+	cost, err := e.admit(r)
 	if err != nil {
 		return nil, err
 	}
@@ -110,37 +112,37 @@
 		e.Prefills.Add(1)
 	}
 	if !e.commit(r) {
-		return nil, citronwire.Errorf(connect.CodeAborted, "engine %s: attempt %d of %s was replaced by a newer one", e.set.Name, r.Attempt, r.Request)
+		return nil, citronwire.Errorf(connect.CodeAborted, "engine %s: attempt %d of %s was replaced by a newer one", e.settings.Name, r.Attempt, r.Request)
 	}
-	return &stepResponse{State: Apply(r.State, e.set.From, e.set.To), From: e.set.From, To: e.set.To, Engine: e.set.Name}, nil
+	return &stepResponse{State: Apply(r.State, e.settings.From, e.settings.To), From: e.settings.From, To: e.settings.To, Engine: e.settings.Name}, nil
 }
 
-// begin checks a step and returns its cost in tokens. A late step of an
-// attempt that was replaced is refused: run, it would move the cache of
-// the newer attempt backwards, and a position would be computed from the
-// wrong state.
-func (e *Engine) begin(r *stepRequest) (int, error) {
+// admit validates a step and returns its cost in tokens. It rejects a late step of a
+// replaced attempt: such a step would set the cache of the newer attempt back, and a
+// later position would be computed from the wrong state.
+func (e *Engine) admit(r *stepRequest) (int, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	held, ok := e.cache[r.Request]
 	switch {
 	case ok && r.Attempt < held.attempt:
-		return 0, citronwire.Errorf(connect.CodeAborted, "engine %s: attempt %d of %s is older than %d", e.set.Name, r.Attempt, r.Request, held.attempt)
+		return 0, citronwire.Errorf(connect.CodeAborted, "engine %s: attempt %d of %s is older than %d", e.settings.Name, r.Attempt, r.Request, held.attempt)
 	case e.leaving.Load() && !ok:
 		e.Refused.Add(1)
-		return 0, citronwire.Leaving(e.set.Name)
+		return 0, citronwire.Leaving(e.settings.Name)
 	case r.Pos > 0 && r.Prefill == 0 && (!ok || held.next != r.Pos):
-		return 0, citronwire.Errorf(connect.CodeFailedPrecondition, "engine %s: kv cache lacks %s before position %d", e.set.Name, r.Request, r.Pos)
+		return 0, citronwire.Errorf(connect.CodeFailedPrecondition, "engine %s: kv cache lacks %s before position %d", e.settings.Name, r.Request, r.Pos)
 	}
 	cost := 1 + r.Prefill
 	if r.Prompt != "" {
-		cost += e.prefixes.miss(r.Prompt)
+		cost += e.prefixes.addMissing(r.Prompt)
 	}
 	return cost, nil
 }
 
-// commit stores the cache a step leaves behind; false when a newer
-// attempt took the request over while the step waited.
+// commit stores the KV cache after a step. It reports false if a newer attempt
+// replaced the request while the step waited. The last step of a request frees the
+// cache.
 func (e *Engine) commit(r *stepRequest) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -152,8 +154,8 @@
 		delete(e.cache, r.Request)
 		return true
 	}
-	if !ok && len(e.cache) >= e.set.CacheSlots {
-		for k := range e.cache { // evict one; the entry recovers by prefill
+	if !ok && len(e.cache) >= e.settings.CacheSlots {
+		for k := range e.cache { // evict any request; its entry recovers by prefill
 			delete(e.cache, k)
 			break
 		}
@@ -162,7 +164,7 @@
 	return true
 }
 
-// cancel frees the cache of a request that its entry has given up.
+// cancel frees the KV cache of a request that its entry has abandoned.
 func (e *Engine) cancel(_ context.Context, r *sequenceRequest) (*sequenceState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -174,44 +176,44 @@
 	return &sequenceState{Request: r.Request, Next: held.next, Attempt: held.attempt}, nil
 }
 
-// export gives the KV cache of a request to whoever takes it over.
-func (e *Engine) export(_ context.Context, r *sequenceRequest) (*sequenceState, error) {
+// exportCache returns the KV cache of a request for import into another engine.
+func (e *Engine) exportCache(_ context.Context, r *sequenceRequest) (*sequenceState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	held, ok := e.cache[r.Request]
 	if !ok {
-		return nil, citronwire.Errorf(connect.CodeNotFound, "engine %s holds no kv cache of %s", e.set.Name, r.Request)
+		return nil, citronwire.Errorf(connect.CodeNotFound, "engine %s holds no kv cache of %s", e.settings.Name, r.Request)
 	}
-	return &sequenceState{Request: r.Request, Next: held.next, Attempt: held.attempt, From: e.set.From, To: e.set.To}, nil
+	return &sequenceState{Request: r.Request, Next: held.next, Attempt: held.attempt, From: e.settings.From, To: e.settings.To}, nil
 }
 
-// imports takes a KV cache exported by an engine holding the same layers.
-func (e *Engine) imports(_ context.Context, r *sequenceState) (*sequenceState, error) {
-	if r.From != e.set.From || r.To != e.set.To {
-		return nil, citronwire.Errorf(connect.CodeInvalidArgument, "engine %s holds [%d,%d), the kv cache is of [%d,%d)", e.set.Name, e.set.From, e.set.To, r.From, r.To)
+// importCache stores a KV cache exported by an engine with the same layer range.
+func (e *Engine) importCache(_ context.Context, r *sequenceState) (*sequenceState, error) {
+	if r.From != e.settings.From || r.To != e.settings.To {
+		return nil, citronwire.Errorf(connect.CodeInvalidArgument, "engine %s holds [%d,%d), the kv cache is of [%d,%d)", e.settings.Name, e.settings.From, e.settings.To, r.From, r.To)
 	}
 	if e.leaving.Load() {
-		return nil, citronwire.Leaving(e.set.Name)
+		return nil, citronwire.Leaving(e.settings.Name)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if held, ok := e.cache[r.Request]; ok && held.attempt > r.Attempt {
-		return nil, citronwire.Errorf(connect.CodeAborted, "engine %s: attempt %d of %s is older than %d", e.set.Name, r.Attempt, r.Request, held.attempt)
+		return nil, citronwire.Errorf(connect.CodeAborted, "engine %s: attempt %d of %s is older than %d", e.settings.Name, r.Attempt, r.Request, held.attempt)
 	}
 	e.cache[r.Request] = sequence{next: r.Next, attempt: r.Attempt}
 	e.Imports.Add(1)
 	return r, nil
 }
 
-// order takes an operator's or the system's order. Its fencing number
-// must not be older than the newest seen, where the deployment checks.
+// order carries out an order of an operator or of citrondeck. With FenceRefuse, it
+// rejects an order whose fencing number is lower than the highest one seen.
 func (e *Engine) order(_ context.Context, r *orderRequest) (*orderResponse, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r.Fence < e.fence {
-		e.OldOrders.Add(1)
-		if e.set.Fence == FenceRefuse {
-			return nil, citronwire.Errorf(connect.CodeFailedPrecondition, "engine %s: fence %d is older than %d", e.set.Name, r.Fence, e.fence)
+		e.StaleOrders.Add(1)
+		if e.settings.Fence == FenceRefuse {
+			return nil, citronwire.Errorf(connect.CodeFailedPrecondition, "engine %s: fence %d is older than %d", e.settings.Name, r.Fence, e.fence)
 		}
 	}
 	e.fence = max(e.fence, r.Fence)
@@ -223,24 +225,24 @@
 	case ActionLeave:
 		e.leaving.Store(true)
 	default:
-		return nil, citronwire.Errorf(connect.CodeInvalidArgument, "engine %s: unknown order %q", e.set.Name, r.Action)
+		return nil, citronwire.Errorf(connect.CodeInvalidArgument, "engine %s: unknown order %q", e.settings.Name, r.Action)
 	}
 	return &orderResponse{Fence: e.fence}, nil
 }
 
-// status answers probes; it never queues behind steps.
+// status answers probes. It does not queue behind steps.
 func (e *Engine) status(context.Context, *statusRequest) (*statusResponse, error) {
 	now := time.Now()
-	e.load.note(now, e.batch.waiting())
-	return &statusResponse{From: e.set.From, To: e.set.To, Leaving: e.leaving.Load(), Waiting: e.load.at(now)}, nil
+	e.load.record(now, e.batch.waiting())
+	return &statusResponse{From: e.settings.From, To: e.settings.To, Leaving: e.leaving.Load(), Waiting: e.load.at(now)}, nil
 }
 
-// Mount puts the engine's procedures on mux.
+// Mount registers the procedures of the engine on mux.
 func (e *Engine) Mount(mux *http.ServeMux) {
 	citronwire.Handle(mux, procStep, e.step)
 	citronwire.Handle(mux, procCancel, e.cancel)
-	citronwire.Handle(mux, procExport, e.export)
-	citronwire.Handle(mux, procImport, e.imports)
+	citronwire.Handle(mux, procExport, e.exportCache)
+	citronwire.Handle(mux, procImport, e.importCache)
 	citronwire.Handle(mux, procOrder, e.order)
 	citronwire.Handle(mux, procStatus, e.status)
 	citronwire.Handle(mux, procEvents, func(_ context.Context, r *eventsRequest) (*eventsResponse, error) {
--- a/citronengine/model.go
+++ b/citronengine/model.go
@@ -1,13 +1,13 @@
-// Package citronengine is the stand-in model engine and the client the
-// entry uses to reach an engine. The stand-in holds a range of layers,
-// spends its declared capacity (tokens per second) on each step, keeps a
-// bounded per-request KV cache, refuses new work while leaving, and takes
-// orders carrying a fencing number.
+// Package citronengine contains a fake model engine and the client that the entry
+// uses to call an engine. The fake holds a range of layers, limits its steps to a
+// configured capacity (tokens per second), keeps a bounded KV cache of the
+// requests, rejects new requests while it is leaving, and accepts orders that carry
+// a fencing number.
 //
-// Its arithmetic is a stand-in for a model's: each layer mixes a 64-bit
-// state, so the token that leaves the last stage tells whether every layer
-// ran exactly once and in order. Oracle computes the same answer without
-// any engine, which is what the tests and the load tool compare against.
+// Its arithmetic replaces that of a model. Each layer mixes a 64-bit state, so the
+// token after the last layer shows whether every layer ran exactly once and in
+// order. Oracle computes the same tokens without an engine; tests and the load tool
+// compare the responses with them.
 package citronengine
 
 import (
@@ -15,15 +15,15 @@
 	"hash/fnv"
 )
 
-// Seed is the state that enters layer 0 for token position pos, given the
-// prompt and the token before it.
+// Seed returns the input state of layer 0 for token position pos, given the prompt
+// and the final state of the previous position.
 func Seed(prompt string, pos int, prev uint64) uint64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%s|%d|%d", prompt, pos, prev)
 	return h.Sum64()
 }
 
-// Apply runs layers [from, to) on state.
+// Apply returns state after layers [from, to).
 func Apply(state uint64, from, to int) uint64 {
 	for l := from; l < to; l++ {
 		state = mix(state ^ uint64(l+1)*0x9e3779b97f4a7c15)
@@ -31,19 +31,19 @@
 	return state
 }
 
-// mix is splitmix64's finaliser: any skipped, repeated or reordered layer
-// changes the result.
+// mix is the finalizer of splitmix64. A skipped, repeated or reordered layer changes
+// the result.
 func mix(z uint64) uint64 {
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
 	z = (z ^ (z >> 27)) * 0x94d049bb133111eb
 	return z ^ (z >> 31)
 }
 
-// Token renders a final state as the token a caller sees.
+// Token formats a final state as the token that callers receive.
 func Token(state uint64) string { return fmt.Sprintf("t%06x", state&0xffffff) }
 
-// Oracle returns the tokens a correct pipeline of layers layers produces
-// for prompt.
+// Oracle returns the tokens that a correct pipeline with the given number of layers
+// produces for prompt.
 func Oracle(prompt string, layers, tokens int) []string {
 	out := make([]string, tokens)
 	var prev uint64
--- a/citronengine/prefix.go
+++ b/citronengine/prefix.go
@@ -7,23 +7,25 @@
 )
 
 const (
-	// promptChunk is how many characters of a prompt one cached chunk
-	// holds; each chunk missing from the cache costs one token of work.
-	promptChunk = 64
-	eventsKept  = 1024
-	// eventGap: every eventGap-th cache event is lost, as real engines
-	// publish them with gaps; readers see it in the sequence numbers.
-	eventGap = 50
+	// promptChunkBytes is the length of a cached chunk of a prompt. Each chunk
+	// missing from the cache costs one token of work.
+	promptChunkBytes = 64
+	maxEvents        = 1024
+	// eventLossInterval makes every 50th cache event get lost, because real
+	// engines publish events with gaps. Readers detect a gap by its sequence
+	// numbers.
+	eventLossInterval = 50
 )
 
-// CacheEvent says that a prompt prefix entered or left an engine's cache.
+// CacheEvent reports that a prompt prefix was added to or evicted from the prefix
+// cache of an engine.
 type CacheEvent struct {
 	Seq    int64  `json:"seq"`
 	Prefix string `json:"prefix"`
 	Added  bool   `json:"added"`
 }
 
-// eventLog keeps the newest cache events; some are lost on purpose.
+// eventLog keeps the newest cache events, except those lost on purpose.
 type eventLog struct {
 	mu     sync.Mutex
 	seq    int64
@@ -34,15 +36,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seq++
-	if l.seq%eventGap == 0 {
+	if l.seq%eventLossInterval == 0 {
 		return
 	}
 	l.events = append(l.events, CacheEvent{Seq: l.seq, Prefix: prefix, Added: added})
-	if len(l.events) > eventsKept {
-		l.events = l.events[len(l.events)-eventsKept:]
+	if len(l.events) > maxEvents {
+		l.events = l.events[len(l.events)-maxEvents:]
 	}
 }
 
+// since returns the kept events with sequence numbers above after.
 func (l *eventLog) since(after int64) []CacheEvent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,34 +58,35 @@
 	return out
 }
 
-// prefixCache holds the newest prompt prefixes, one per chunk boundary,
-// in limited memory (least recently used out). The engine's lock guards it.
+// prefixCache is an LRU cache of prompt prefixes, one for each chunk boundary. The
+// mutex of the engine guards it.
 type prefixCache struct {
 	slots  int
-	order  *list.List
+	recent *list.List // most recently used first
 	byText map[string]*list.Element
 	events *eventLog
 }
 
 func newPrefixCache(slots int, ev *eventLog) *prefixCache {
-	return &prefixCache{slots: slots, order: list.New(), byText: map[string]*list.Element{}, events: ev}
+	return &prefixCache{slots: slots, recent: list.New(), byText: map[string]*list.Element{}, events: ev}
 }
 
-// miss returns how many whole chunks of prompt were not cached, and
-// caches them.
-func (c *prefixCache) miss(prompt string) int {
+// addMissing caches the prefixes of prompt that end at a chunk boundary and returns
+// the number of those that were not cached before. A partial chunk at the end is
+// ignored.
+func (c *prefixCache) addMissing(prompt string) int {
 	missed := 0
-	for end := promptChunk; end <= len(prompt); end += promptChunk {
+	for end := promptChunkBytes; end <= len(prompt); end += promptChunkBytes {
 		prefix := prompt[:end]
 		if el, ok := c.byText[prefix]; ok {
-			c.order.MoveToFront(el)
+			c.recent.MoveToFront(el)
 			continue
 		}
 		missed++
-		c.byText[prefix] = c.order.PushFront(prefix)
+		c.byText[prefix] = c.recent.PushFront(prefix)
 		c.events.add(prefix, true)
-		if c.order.Len() > c.slots {
-			old := c.order.Remove(c.order.Back()).(string)
+		if c.recent.Len() > c.slots {
+			old := c.recent.Remove(c.recent.Back()).(string)
 			delete(c.byText, old)
 			c.events.add(old, false)
 		}
@@ -90,7 +94,7 @@
 	return missed
 }
 
-// laggedLoad reports the load as it was some time ago.
+// laggedLoad reports the load with a delay.
 type laggedLoad struct {
 	lag time.Duration
 
@@ -103,7 +107,8 @@
 	waiting int
 }
 
-func (l *laggedLoad) note(now time.Time, waiting int) {
+// record adds a sample and drops the samples that at no longer needs.
+func (l *laggedLoad) record(now time.Time, waiting int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.samples = append(l.samples, loadSample{now, waiting})
@@ -112,6 +117,7 @@
 	}
 }
 
+// at returns the load of lag before now, or zero if no sample is that old.
 func (l *laggedLoad) at(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/citronengine/wire.go
+++ b/citronengine/wire.go
@@ -11,22 +11,23 @@
 	procEvents = "/citron.engine.v1/Events"
 )
 
-// stepRequest asks an engine to run its layers for one token position.
+// stepRequest asks an engine to run its layers for one token position of a request.
 type stepRequest struct {
 	Request string `json:"request"`
 	Attempt int    `json:"attempt"`
 	Pos     int    `json:"pos"`
 	State   uint64 `json:"state"`
-	// Prompt comes with position 0 only; the engine computes what its
-	// prefix cache lacks of it.
+	// Prompt is sent with position 0 only. The engine computes the part that its
+	// prefix cache lacks.
 	Prompt string `json:"prompt,omitempty"`
-	// Prefill is how many earlier positions the engine must recompute
-	// because its KV cache lacks them (after a stage was replaced).
+	// Prefill is the number of earlier positions that the engine must recompute
+	// because its KV cache lacks them, for example after a hop was replaced.
 	Prefill  int  `json:"prefill,omitempty"`
 	Priority int  `json:"priority,omitempty"`
 	Last     bool `json:"last,omitempty"`
 }
 
+// stepResponse returns the state after the layers [From, To) of the engine.
 type stepResponse struct {
 	State  uint64 `json:"state"`
 	From   int    `json:"from"`
@@ -38,7 +39,8 @@
 	Request string `json:"request"`
 }
 
-// sequenceState is an exported KV cache.
+// sequenceState is the exported KV cache of a request: the positions before Next, for
+// the layers [From, To).
 type sequenceState struct {
 	Request string `json:"request"`
 	Next    int    `json:"next"`
@@ -47,11 +49,11 @@
 	To      int    `json:"to"`
 }
 
-// Actions an order may name.
+// Actions of orders. Any other action is rejected.
 const (
-	ActionLoad   = "load"   // a model, adapter or version
-	ActionUnload = "unload" // the same
-	ActionLeave  = "leave"  // change role: take no new work
+	ActionLoad   = "load"   // load the target: a model, adapter or version
+	ActionUnload = "unload" // unload the target
+	ActionLeave  = "leave"  // accept no new requests
 )
 
 type orderRequest struct {
@@ -70,7 +72,7 @@
 	From    int  `json:"from"`
 	To      int  `json:"to"`
 	Leaving bool `json:"leaving"`
-	// Waiting is the number of steps that waited LoadLag ago.
+	// Waiting is the number of steps that were queued LoadLag ago.
 	Waiting int `json:"waiting"`
 }
 
