--- a/citronplain/plain.go
+++ b/citronplain/plain.go
@@ -1,9 +1,10 @@
-// Package citronplain is the stand-in plain service (the floor's
-// cut-release check and sheet-lock, the kitchens' checklist submission,
-// audit summaries, scorecards) and the client the entry uses to reach
-// one. The stand-in counts every execution by idempotency key, so a test
-// can see whether a non-idempotent call ran twice. Like many real
-// upstreams, it does not deduplicate: at-most-once is the router's job.
+// Package citronplain contains a fake plain service and the client that the entry
+// uses to call one. A plain service answers with one unary response and runs no
+// model; examples are the release check and sheet lock of the cutting floor, and the
+// checklist submission, audit summaries and scorecards of the kitchens. The fake
+// counts every execution by idempotency key, so that a test can detect a
+// non-idempotent call that ran twice. Like many real upstreams, it does not
+// deduplicate calls: the router is responsible for at-most-once execution.
 package citronplain
 
 import (
@@ -45,30 +46,32 @@
 type executionsRequest struct{}
 
 type executionsResponse struct {
-	// Runs counts executions by idempotency key (or request id).
+	// Runs is the number of executions by idempotency key, or by request id for
+	// calls without a key.
 	Runs map[string]int `json:"runs"`
 }
 
-// Server is the stand-in plain service.
+// Server is a fake plain service.
 type Server struct {
 	name    string
 	leaving atomic.Bool
 	mu      sync.Mutex
 	runs    map[string]int
-	// Hold, when set, is waited on before answering, whether or not the
-	// caller still waits (tests use it to keep a call running).
+	// Hold, if not nil, makes every call block until Hold is readable or closed,
+	// even if the caller has left. Tests use it to keep a call running.
 	Hold chan struct{}
 }
 
-// NewServer returns a plain service named name.
+// NewServer returns a fake plain service. Its responses carry name as the upstream.
 func NewServer(name string) *Server {
 	return &Server{name: name, runs: map[string]int{}}
 }
 
-// SetLeaving makes the server refuse new calls.
+// SetLeaving makes the server reject new calls.
 func (s *Server) SetLeaving() { s.leaving.Store(true) }
 
-// Runs returns how often each key ran.
+// Runs returns the number of executions by idempotency key, or by request id for calls
+// without a key.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,6 +82,7 @@
 	return out
 }
 
+// call counts the execution, blocks on Hold and returns the result.
 func (s *Server) call(_ context.Context, r *callRequest) (*callResponse, error) {
 	if s.leaving.Load() {
 		return nil, citronwire.Leaving(s.name)
@@ -96,12 +100,12 @@
 	return &callResponse{Result: Result(r.Service, r.Customer, r.Body), Upstream: s.name}, nil
 }
 
-// Result is the answer a plain service gives; the oracle uses it too.
+// Result returns the result of a call. The load tool compares responses with it.
 func Result(service, customer, body string) string {
 	return fmt.Sprintf("%s:%s:ok:%d", service, customer, len(body))
 }
 
-// Mount puts the procedures on mux.
+// Mount registers the procedures of the server on mux.
 func (s *Server) Mount(mux *http.ServeMux) {
 	citronwire.Handle(mux, procCall, s.call)
 	citronwire.Handle(mux, procStatus, func(context.Context, *statusRequest) (*statusResponse, error) {
@@ -112,7 +116,7 @@
 	})
 }
 
-// Client reaches one upstream.
+// Client calls one upstream.
 type Client struct {
 	call   *citronwire.Unary[callRequest, callResponse]
 	runs   *citronwire.Unary[executionsRequest, executionsResponse]
@@ -128,12 +132,13 @@
 	}
 }
 
-// Call is one request to a plain service.
+// Call is a request to a plain service. Key is the idempotency key, which may be empty;
+// Request is the request id.
 type Call struct {
 	Service, Customer, Key, Request, Body string
 }
 
-// Do sends c and returns the upstream's result.
+// Do sends c and returns the result of the upstream.
 func (cl *Client) Do(ctx context.Context, c Call) (string, error) {
 	r, err := cl.call.Call(ctx, &callRequest{Service: c.Service, Customer: c.Customer, Key: c.Key, Request: c.Request, Body: c.Body})
 	if err != nil {
@@ -151,7 +156,7 @@
 	return r.Leaving, nil
 }
 
-// Executions returns the upstream's execution counts.
+// Executions returns the execution counts of the upstream, keyed as in Server.Runs.
 func (cl *Client) Executions(ctx context.Context) (map[string]int, error) {
 	r, err := cl.runs.Call(ctx, &executionsRequest{})
 	if err != nil {
