--- a/citronport/port.go
+++ b/citronport/port.go
@@ -1,7 +1,8 @@
-// Package citronport holds loopback ports for tests. The port of a server that
-// has closed, or that has not started yet, goes to the next one that asks for
-// any port, in this test binary or another: a call that should be refused is
-// then answered by a stranger, or a process finds its port taken.
+// Package citronport reserves loopback ports for tests. Without a reservation, the
+// system can assign the port of a server that has closed or not started yet to any
+// other process that requests an ephemeral port, for example another test binary. A
+// connection that should be refused then reaches an unrelated server, or a process
+// fails to start because its port is in use.
 package citronport
 
 import (
@@ -11,21 +12,21 @@
 	"syscall"
 )
 
-// Reservation is a socket that is bound to a loopback port but does not
-// listen: nobody else is given the port, connections to it are refused, and
-// whoever names the port can listen there.
+// Reservation is a socket that is bound to a loopback port but does not listen. The
+// system does not assign the port to others, and it refuses connections to the port. A
+// process that names the port explicitly can still listen on it.
 type Reservation struct {
 	fd, port int
 	once     sync.Once
 }
 
-// Reserve holds a free port.
+// Reserve reserves a free port.
 func Reserve() (*Reservation, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
 	}
-	// Both sockets need it for the port to be shared.
+	// Both this socket and the listener need SO_REUSEADDR to share the port.
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return nil, err
 	}
@@ -39,16 +40,17 @@
 	return &Reservation{fd: fd, port: name.(*syscall.SockaddrInet4).Port}, nil
 }
 
-// Addr is the address of the port.
+// Addr returns the host and port of the reservation.
 func (r *Reservation) Addr() string { return fmt.Sprintf("127.0.0.1:%d", r.port) }
 
-// Listen listens on the port.
+// Listen listens on the reserved port.
 func (r *Reservation) Listen() (net.Listener, error) { return net.Listen("tcp", r.Addr()) }
 
-// Claim ends the sharing of the port once its server has closed.
+// Claim stops the sharing of the port, so that no process can listen on it. Call it
+// after the server on the port has closed.
 func (r *Reservation) Claim() {
 	_ = syscall.SetsockoptInt(r.fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 0)
 }
 
-// Release gives the port back.
+// Release closes the socket and frees the port. Repeated calls have no effect.
 func (r *Reservation) Release() { r.once.Do(func() { _ = syscall.Close(r.fd) }) }
