--- a/citronkv/contract_test.go
+++ b/citronkv/contract_test.go
@@ -51,8 +51,8 @@
 		name string
 		do   func(v env) error
 		want error
-		// holds is the value of k after the call; "" means that k does not exist.
-		holds string
+		// wantValue is the value of k after the call; "" means that k does not exist.
+		wantValue string
 	}{
 		{"put at the current revision", func(v env) error { return put(v, "k", v.rev) }, nil, "new"},
 		{"put at an older revision", func(v env) error {
@@ -116,8 +116,8 @@
 				is.True(errors.Is(err, c.want))
 				sv.SetFaults(citronkv.Faults{})
 				it, err := st.Get(ctx, "k")
-				is.Equal(errors.Is(err, citronkv.ErrNotFound), c.holds == "")
-				is.Equal(string(it.Value), c.holds)
+				is.Equal(errors.Is(err, citronkv.ErrNotFound), c.wantValue == "")
+				is.Equal(string(it.Value), c.wantValue)
 			})
 		}
 	}
--- a/citronkv/server.go
+++ b/citronkv/server.go
@@ -293,8 +293,7 @@
 }
 
 // watchFor implements Watch with a maximum wait, which maxWatchWait bounds. A revision
-// of another era is reported as compacted, because the history starts anew with each
-// era.
+// of another era is reported as compacted, because a restore clears the history.
 func (s *Server) watchFor(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Item, Revision, error) {
 	s.watches.Add(1)
 	if err := s.applyFaults(ctx); err != nil {
