--- a/citronengine/prefix.go
+++ b/citronengine/prefix.go
@@ -107,7 +107,7 @@
 	waiting int
 }
 
-// record adds a sample and drops the samples that at no longer needs.
+// record adds a sample and drops the samples that are no longer needed by at.
 func (l *laggedLoad) record(now time.Time, waiting int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/citronengine/wire.go
+++ b/citronengine/wire.go
@@ -53,7 +53,7 @@
 const (
 	ActionLoad   = "load"   // load the target: a model, adapter or version
 	ActionUnload = "unload" // unload the target
-	ActionLeave  = "leave"  // accept no new requests
+	ActionLeave  = "leave"  // change role: accept no new requests
 )
 
 type orderRequest struct {
