--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -1,21 +1,21 @@
-// Package citronhealth judges from a node's own calls to the store, and from
-// what other nodes tell of theirs, whether the store was away.
+// Package citronhealth detects outages of the store. It combines the results of a node's
+// own calls to the store with the status that other nodes report by gossip.
 //
-// An engine's entry goes in two cases. The engine leaves without having said
-// so: it serves on for a short while and must get no new work. Or an outage of
-// the store keeps a sound engine from renewing its entry, which is back within
-// two seconds of the store's return: until then callers are best served by the
-// engine. The entry looks the same in both, so the outage needs a proof of its
-// own, and without one the engine is taken to leave:
+// An engine's entry disappears from the store in two cases. Either the engine leaves
+// without announcing it: it serves for a short while longer and must get no new work. Or
+// an outage of the store keeps a healthy engine from renewing its entry: the entry is
+// back within two seconds after the outage, and until then sending work to the engine
+// remains the best choice. The missing entry looks the same in both cases, so an outage
+// has to be proved separately. Without proof, the engine is assumed to be leaving:
 //
 //	calls of this node -> Record -> Status --+
 //	                                         +-> Away
 //	other nodes, by gossip --------> Status -+
 //
-// A node's own failed call is no proof. The store may turn just this node away,
-// a connection may have hung, the node itself may have stood still; meanwhile
-// engines renew their entries, and one whose entry goes has left. So one node
-// that was served is enough against an outage.
+// A failed call of one node does not prove an outage. The store may reject only this
+// node, a connection may have hung, or the node itself may have been paused. Meanwhile
+// other engines renew their entries, and an engine whose entry disappears has left. A
+// single node that the store has served all along therefore disproves an outage.
 package citronhealth
 
 import (
@@ -24,51 +24,51 @@
 )
 
 const (
-	// LapseGrace is how long after an outage of the store its missing
-	// entries may still come back: those of live engines are back within two
-	// seconds. It is also how long a node has to have been served for that to
-	// count against an outage.
+	// LapseGrace is how long after an outage of the store missing entries may still come
+	// back; the entries of live engines are back within two seconds. It is also how long
+	// the store must have served a node before that node's status counts against an
+	// outage.
 	LapseGrace = 2500 * time.Millisecond
-	// lapseHeartbeats is how many heartbeats of an engine an outage has to
-	// swallow before entries lapse: they last for three, the first of which
-	// is partly over when the outage begins.
-	lapseHeartbeats = 2
-	// failedMemory is how long a failed call tells of an outage: a node that
-	// the store does not answer tries again within 2.7 s (storeTimeout of the
-	// platform's client and 1.5 x retryMost). One that leaves the asking to
-	// others knows no more than they do, and would else tell of one for ever.
-	failedMemory = 3 * time.Second
-	// usualHeartbeat stands for settings without a heartbeat.
-	usualHeartbeat = 1200 * time.Millisecond
+	// expiryHeartbeats is the number of heartbeats of an engine that an outage must
+	// suppress before entries expire. An entry lasts for three heartbeats, and the first
+	// of them is partly over when the outage begins.
+	expiryHeartbeats = 2
+	// failedCallMaxAge is how long a failed call counts as a sign of an outage. A node
+	// that gets no answer retries within 2.7 s (storeTimeout of the platform's client
+	// plus 1.5 x retryMost). A node that leaves the calls to other nodes knows no more
+	// than they do; without this limit it would report an outage forever.
+	failedCallMaxAge = 3 * time.Second
+	// defaultHeartbeat applies if the settings give no heartbeat.
+	defaultHeartbeat = 1200 * time.Millisecond
 )
 
-// Record is what a node's own calls tell of the store. It is safe for use by
-// many goroutines.
+// Record keeps what the results of a node's own calls show about the store. It is safe
+// for concurrent use.
 type Record struct {
 	mu sync.Mutex
-	// lapseAfter is the shortest outage in which entries lapse.
-	lapseAfter time.Duration
-	// answered is when the store last answered.
-	answered time.Time
-	// failed is the newest call that was begun since then and not answered.
-	failed *Call
-	// since is when the store began to serve this node: after an outage, or
-	// after a time in which the node did not ask.
-	since time.Time
-	// back: it was an outage.
-	back bool
+	// expireAfter is the duration of the shortest outage in which entries expire.
+	expireAfter time.Duration
+	// lastAnswer is when the store last answered.
+	lastAnswer time.Time
+	// lastFailed is the newest unanswered call that began after lastAnswer, or nil.
+	lastFailed *Call
+	// servedSince is when the store began to serve this node, after an outage or after a
+	// time in which the node made no calls.
+	servedSince time.Time
+	// afterOutage reports whether an outage preceded servedSince.
+	afterOutage bool
 }
 
-// NewRecord returns a record for engines that renew their entries every heartbeat;
-// zero: usualHeartbeat.
+// NewRecord returns a record for engines that renew their entries once per heartbeat. If
+// heartbeat is not positive, defaultHeartbeat applies.
 func NewRecord(heartbeat time.Duration) *Record {
 	if heartbeat <= 0 {
-		heartbeat = usualHeartbeat
+		heartbeat = defaultHeartbeat
 	}
-	return &Record{lapseAfter: lapseHeartbeats * heartbeat}
+	return &Record{expireAfter: expiryHeartbeats * heartbeat}
 }
 
-// Note takes a call that has ended.
+// Note adds a call that has ended to the record.
 func (h *Record) Note(c Call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,64 +76,69 @@
 	case c.GivenUp():
 	case c.Answered():
 		h.noteAnswer(c)
-	case c.Begun.Before(h.answered):
-		// Another call was answered since: what failed is this one's
-		// connection. The next call tells if the store is away by now.
+	case c.Begun.Before(h.lastAnswer):
+		// The store has answered another call since this one began, so only this call's
+		// connection failed. The next call shows whether the store is unreachable by
+		// now.
 	default:
-		h.failed = &c
+		h.lastFailed = &c
 	}
 }
 
+// noteAnswer adds an answered call to the record. It starts a new period of service if
+// the store had been unreachable, or the node had made no calls, for expireAfter.
 func (h *Record) noteAnswer(c Call) {
-	silent := c.Ended.Sub(h.answered) >= h.lapseAfter
-	unasked := c.Begun.Sub(h.answered) >= h.lapseAfter
-	if silent && (h.failed != nil || unasked) {
-		h.since, h.back = c.Ended, h.failed != nil
+	stalled := c.Ended.Sub(h.lastAnswer) >= h.expireAfter
+	unasked := c.Begun.Sub(h.lastAnswer) >= h.expireAfter
+	if stalled && (h.lastFailed != nil || unasked) {
+		h.servedSince, h.afterOutage = c.Ended, h.lastFailed != nil
 	}
-	if c.Ended.After(h.answered) {
-		h.answered = c.Ended
+	if c.Ended.After(h.lastAnswer) {
+		h.lastAnswer = c.Ended
 	}
-	h.failed = nil
+	h.lastFailed = nil
 }
 
-// Status is what a node tells others of the store.
+// Status is what one node reports to the other nodes about the store.
 type Status struct {
-	// Away: the store has not answered for so long that entries lapse.
+	// Away is true while the store has been unreachable for this node for long enough
+	// that entries expire.
 	Away bool `json:"away,omitempty"`
-	// Back: such an outage ended within LapseGrace.
+	// Back is true for LapseGrace after such an outage has ended.
 	Back bool `json:"back,omitempty"`
-	// Answered: the store answered lately.
+	// Answered is true if the store has answered this node recently.
 	Answered bool `json:"answered,omitempty"`
-	// Served: it has done so without such an outage for LapseGrace and more.
+	// Served is true if the store has been answering this node for at least LapseGrace
+	// without such an outage.
 	Served bool `json:"served,omitempty"`
 }
 
-// Status returns what the calls up to now tell.
+// Status returns what the calls recorded so far show at the given time.
 func (h *Record) Status(now time.Time) Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	silent := now.Sub(h.answered) >= h.lapseAfter
-	settled := now.Sub(h.since) >= LapseGrace
+	stalled := now.Sub(h.lastAnswer) >= h.expireAfter
+	stable := now.Sub(h.servedSince) >= LapseGrace
 	return Status{
-		Away:     silent && h.failed != nil && now.Sub(h.failed.Ended) < failedMemory,
-		Back:     h.back && !settled,
-		Answered: !silent,
-		Served:   !silent && settled,
+		Away:     stalled && h.lastFailed != nil && now.Sub(h.lastFailed.Ended) < failedCallMaxAge,
+		Back:     h.afterOutage && !stable,
+		Answered: !stalled,
+		Served:   !stalled && stable,
 	}
 }
 
-// Failed is the newest call without an answer since the last answer, nil if there
-// is none.
+// Failed returns the newest unanswered call since the store last answered, or nil if
+// there is none.
 func (h *Record) Failed() *Call {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.failed
+	return h.lastFailed
 }
 
-// Away reports, from the status of all nodes that are heard, whether the store
-// was away for all of them within the last seconds. One that was served all the
-// while is proof against it. While it is away for some, one that it answers
-// shows that it turns just those away.
+// Away reports whether the store was unreachable for all nodes within the last seconds.
+// The statuses are those of all nodes that are currently heard. A node that the store
+// has served all along disproves an outage. While some nodes cannot reach the store, a
+// single answered node shows that the store rejects only those nodes.
 func Away(statuses ...Status) bool {
 	var all Status
 	for _, s := range statuses {
--- a/citronhealth/health_test.go
+++ b/citronhealth/health_test.go
@@ -30,30 +30,30 @@
 // What calls prove of the store. An outage counts only if it was long enough for
 // entries to lapse, 2.4 s, and it counts for 2.5 s after its end: entries that
 // are missing then have gone for good.
-func TestWhatCallsProveOfTheStore(t *testing.T) {
+func TestStatusFromCalls(t *testing.T) {
 	call := func(begun, ended float64, err error) Call {
 		return Call{Begun: at(begun), Ended: at(ended), Err: err}
 	}
-	well := slices.Clip(answeredCalls(6)) // the last answer is at 6.0
-	type seen struct {
+	answeredUntil6 := slices.Clip(answeredCalls(6)) // the last answer is at 6.0
+	type observation struct {
 		at             float64
 		outage, served bool
 	}
 	cases := []struct {
 		name  string
 		calls []Call
-		want  []seen
+		want  []observation
 	}{
-		{"nothing asked yet", nil, []seen{{1, false, false}}},
-		{"answered since the start", answeredCalls(2.4), []seen{{2.4, false, false}, {2.6, false, true}}},
-		{"the node stood still and its lease has run out", append(well, call(6.6, 12.1, citronkv.ErrLeaseExpired)), []seen{{12.2, false, true}}},
-		{"a call is turned away", append(well, call(6.6, 6.6, citronkv.ErrUnavailable)), []seen{{6.7, false, true}, {8.3, false, true}, {8.5, true, false}}},
-		{"turned away, and not asked again", append(well, call(6.6, 6.6, citronkv.ErrUnavailable), call(8.6, 8.6, citronkv.ErrUnavailable)), []seen{{8.7, true, false}, {11.5, true, false}, {11.7, false, false}}},
-		{"cut, and answered again at once", append(well, call(6.6, 8.1, citronkv.ErrUnavailable), call(8.2, 8.2, nil)), []seen{{8.1, false, true}, {8.3, false, true}}},
-		{"long silence", append(well, call(6.6, 8.1, citronkv.ErrUnavailable), call(8.2, 9.7, citronkv.ErrUnavailable), call(10, 10, nil), call(11, 11, nil), call(12, 12, nil)), []seen{{8.3, false, true}, {8.5, true, false}, {10.1, true, false}, {12.4, true, false}, {12.6, false, true}}},
-		{"hung while others are answered", append(well, call(4, 9, citronkv.ErrUnavailable)), []seen{{9, false, false}}},
-		{"not asked for long", append(well, call(20, 20, nil), call(22, 22, nil)), []seen{{20.1, false, false}, {22.4, false, false}, {22.6, false, true}}},
-		{"given up by the node", append(well, call(6.6, 9, errors.Wrap(context.Canceled, "stop"))), []seen{{9, false, false}}},
+		{"nothing asked yet", nil, []observation{{1, false, false}}},
+		{"answered since the start", answeredCalls(2.4), []observation{{2.4, false, false}, {2.6, false, true}}},
+		{"the node stood still and its lease has run out", append(answeredUntil6, call(6.6, 12.1, citronkv.ErrLeaseExpired)), []observation{{12.2, false, true}}},
+		{"a call is turned away", append(answeredUntil6, call(6.6, 6.6, citronkv.ErrUnavailable)), []observation{{6.7, false, true}, {8.3, false, true}, {8.5, true, false}}},
+		{"turned away, and not asked again", append(answeredUntil6, call(6.6, 6.6, citronkv.ErrUnavailable), call(8.6, 8.6, citronkv.ErrUnavailable)), []observation{{8.7, true, false}, {11.5, true, false}, {11.7, false, false}}},
+		{"cut, and answered again at once", append(answeredUntil6, call(6.6, 8.1, citronkv.ErrUnavailable), call(8.2, 8.2, nil)), []observation{{8.1, false, true}, {8.3, false, true}}},
+		{"long silence", append(answeredUntil6, call(6.6, 8.1, citronkv.ErrUnavailable), call(8.2, 9.7, citronkv.ErrUnavailable), call(10, 10, nil), call(11, 11, nil), call(12, 12, nil)), []observation{{8.3, false, true}, {8.5, true, false}, {10.1, true, false}, {12.4, true, false}, {12.6, false, true}}},
+		{"hung while others are answered", append(answeredUntil6, call(4, 9, citronkv.ErrUnavailable)), []observation{{9, false, false}}},
+		{"not asked for long", append(answeredUntil6, call(20, 20, nil), call(22, 22, nil)), []observation{{20.1, false, false}, {22.4, false, false}, {22.6, false, true}}},
+		{"given up by the node", append(answeredUntil6, call(6.6, 9, errors.Wrap(context.Canceled, "stop"))), []observation{{9, false, false}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -75,9 +75,9 @@
 
 // One node that was served is enough against an outage, and one that is answered
 // is enough while the others are not; nodes that do not ask say nothing.
-func TestOutageNeedsAllNodes(t *testing.T) {
+func TestOutageNeedsAgreementOfAllNodes(t *testing.T) {
 	away, back := Status{Away: true}, Status{Back: true, Answered: true}
-	served, fresh, quiet := Status{Answered: true, Served: true}, Status{Answered: true}, Status{}
+	served, restarted, idle := Status{Answered: true, Served: true}, Status{Answered: true}, Status{}
 	cases := []struct {
 		name  string
 		nodes []Status
@@ -85,17 +85,17 @@
 	}{
 		{"alone and well", []Status{served}, false},
 		{"alone, and the store does not answer", []Status{away}, true},
-		{"one node turned away", []Status{away, served, quiet}, false},
-		{"another node turned away", []Status{served, away, quiet}, false},
-		{"one node turned away, the others have just started", []Status{away, fresh, quiet}, false},
+		{"one node turned away", []Status{away, served, idle}, false},
+		{"another node turned away", []Status{served, away, idle}, false},
+		{"one node turned away, the others have just started", []Status{away, restarted, idle}, false},
 		{"all turned away", []Status{away, away, away}, true},
-		{"the others do not ask", []Status{away, quiet, quiet}, true},
-		{"does not ask, hears of an outage only", []Status{quiet, away, quiet}, true},
-		{"does not ask, hears of both", []Status{quiet, away, served}, false},
+		{"the others do not ask", []Status{away, idle, idle}, true},
+		{"does not ask, hears of an outage only", []Status{idle, away, idle}, true},
+		{"does not ask, hears of both", []Status{idle, away, served}, false},
 		{"the store is back for one", []Status{away, back, away}, true},
-		{"the store is back for one, and another has just started", []Status{back, fresh}, true},
+		{"the store is back for one, and another has just started", []Status{back, restarted}, true},
 		{"back for one that was turned away alone", []Status{back, served}, false},
-		{"just started, nobody knows", []Status{quiet, quiet}, false},
+		{"just started, nobody knows", []Status{idle, idle}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(Away(c.nodes...), c.want) })
--- a/citronhealth/observe.go
+++ b/citronhealth/observe.go
@@ -9,44 +9,46 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Call is a call to a store that has ended.
+// Call describes a finished call to a store.
 type Call struct {
-	// Name is the method's, with a small first letter.
+	// Name is the name of the method, with a lowercase first letter.
 	Name string
-	// Key is the key or prefix that the call was about, if any.
+	// Key is the key or prefix that the call addressed; empty if the method takes none.
 	Key string
-	// Begun and Ended are when the call was made and when it ended.
+	// Begun and Ended are the times at which the call started and returned.
 	Begun, Ended time.Time
-	Err          error
+	// Err is the error that the call returned.
+	Err error
 }
 
-// Answered reports whether the store itself answered, be it with a refusal. A
-// key that is not there or a lease that has run out is news from a store that
-// is well.
+// Answered reports whether the store itself answered, even if it refused the call. A
+// missing key or an expired lease is the answer of a healthy store.
 func (c Call) Answered() bool {
 	return c.Err == nil || errors.IsAny(c.Err, citronkv.ErrNotFound, citronkv.ErrConflict, citronkv.ErrLeaseExpired, citronkv.ErrCompacted)
 }
 
-// GivenUp reports whether the caller ended the call, which proves nothing of
+// GivenUp reports whether the caller canceled the call. Such a call shows nothing about
 // the store.
 func (c Call) GivenUp() bool { return !c.Answered() && errors.Is(c.Err, context.Canceled) }
 
-// Observe returns a store that tells of each of its calls when it has ended.
-func Observe(s citronkv.Store, clock citronclock.Clock, tell func(Call)) citronkv.Store {
-	return observedStore{Store: s, clock: clock, tell: tell}
+// Observe returns a store that forwards each call to s and passes its outcome to report
+// when the call has ended.
+func Observe(s citronkv.Store, clock citronclock.Clock, report func(Call)) citronkv.Store {
+	return observedStore{Store: s, clock: clock, report: report}
 }
 
+// observedStore wraps a store and reports every call.
 type observedStore struct {
 	citronkv.Store
-	clock citronclock.Clock
-	tell  func(Call)
+	clock  citronclock.Clock
+	report func(Call)
 }
 
-// begin returns what ends a call.
+// begin notes the start of a call and returns the function that reports its end.
 func (o observedStore) begin(name, key string) func(error) {
 	begun := o.clock.Now()
 	return func(err error) {
-		o.tell(Call{Name: name, Key: key, Begun: begun, Ended: o.clock.Now(), Err: err})
+		o.report(Call{Name: name, Key: key, Begun: begun, Ended: o.clock.Now(), Err: err})
 	}
 }
 
--- a/citronhealth/observe_test.go
+++ b/citronhealth/observe_test.go
@@ -15,7 +15,7 @@
 // An answer that says no comes from a store that is well; silence, a refusal
 // to serve and a lost connection do not; a call that its caller gave up proves
 // neither.
-func TestWhatACallProves(t *testing.T) {
+func TestCallClassification(t *testing.T) {
 	cases := []struct {
 		name              string
 		err               error
@@ -42,7 +42,7 @@
 }
 
 // Every call is told of once, with its key and its times.
-func TestObserve(t *testing.T) {
+func TestObserveReportsEachCallOnce(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clock := citronclock.NewManual(time.Unix(100, 0))
--- a/citronlist/era.go
+++ b/citronlist/era.go
@@ -1,11 +1,15 @@
 package citronlist
 
-// What is believed when the store returns from an older copy. The list of the new
-// era is taken whole, but what the copy still says of an engine is old where this
-// node has seen later entries of it: an engine that is known to be leaving stays
-// leaving, and one that is known to be gone is not used again, until it writes its
-// entry anew. Engines that are missing in the copy have a moment to write theirs, as
-// after an outage in which entries lapse.
+// Handling of a store that is restored from an older copy. The era is the number of
+// times this has happened; it is the high part of a revision, so that a list of a later
+// era counts as newer although its lower part is smaller.
+//
+// The first list of a new era is applied as a full list. Where this node has seen later
+// entries of an engine than the restored copy holds, the restored entry is outdated: an
+// engine that is known to be leaving stays leaving, and an engine that is known to be
+// gone is not used, until it writes its entry again. Engines that are missing in the
+// restored copy get LapseGrace to write their entries again, as after an outage in which
+// entries expire.
 
 import (
 	"context"
@@ -19,68 +23,72 @@
 )
 
 const (
-	// mostPast bounds the older entries of an engine that are remembered, and
-	// pastMemory for how long they are.
-	mostPast   = 16
-	pastMemory = time.Minute
+	// maxSuperseded is the maximum number of superseded entries remembered per engine;
+	// supersededMaxAge is how long they are remembered.
+	maxSuperseded    = 16
+	supersededMaxAge = time.Minute
 )
 
-// past is an entry that was overtaken by a later one, or by its removal.
-type past struct {
-	print uint64
-	at    time.Time
+// supersededEntry identifies a version of an entry that was replaced by a later version
+// or removed.
+type supersededEntry struct {
+	fingerprint uint64
+	at          time.Time
 }
 
-// printOf identifies a write of an entry, in whatever era it is read.
-func printOf(it citronkv.Item) uint64 {
+// fingerprintOf identifies one write of an entry. The result does not depend on the era
+// in which the entry is read.
+func fingerprintOf(it citronkv.Item) uint64 {
 	h := xxhash.New()
-	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(it.Revision.Number()))) // a hash takes all bytes
+	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(it.Revision.Number()))) // writing to a hash never fails
 	_, _ = h.Write(it.Value)
 	return h.Sum64()
 }
 
-// overtake remembers that an entry was overtaken.
-func (l *List) overtake(it citronkv.Item) {
+// rememberSuperseded remembers that an entry was replaced or removed.
+func (l *List) rememberSuperseded(it citronkv.Item) {
 	now := l.set.Clock.Now()
-	all := slices.DeleteFunc(l.overtaken[it.Key], func(p past) bool { return now.Sub(p.at) > pastMemory })
-	all = append(all, past{printOf(it), now})
-	l.overtaken[it.Key] = all[max(0, len(all)-mostPast):]
+	all := slices.DeleteFunc(l.superseded[it.Key], func(p supersededEntry) bool { return now.Sub(p.at) > supersededMaxAge })
+	all = append(all, supersededEntry{fingerprintOf(it), now})
+	l.superseded[it.Key] = all[max(0, len(all)-maxSuperseded):]
 }
 
-// isOvertaken reports whether an entry was overtaken in an earlier era. What was
-// written after the first list of this one is not of the copy.
-func (l *List) isOvertaken(it citronkv.Item) bool {
-	if it.Revision.Era() == 0 || it.Revision.After(l.eraBegan) {
+// isSuperseded reports whether an entry was replaced or removed in an earlier era. An
+// entry that was written after the first list of the current era does not come from the
+// restored copy and is never superseded.
+func (l *List) isSuperseded(it citronkv.Item) bool {
+	if it.Revision.Era() == 0 || it.Revision.After(l.eraStart) {
 		return false
 	}
-	wanted := printOf(it)
-	return slices.ContainsFunc(l.overtaken[it.Key], func(p past) bool { return p.print == wanted })
+	fingerprint := fingerprintOf(it)
+	return slices.ContainsFunc(l.superseded[it.Key], func(p supersededEntry) bool { return p.fingerprint == fingerprint })
 }
 
-// forgetOvertaken drops what is too old for any copy.
-func (l *List) forgetOvertaken(now time.Time) {
-	for key, all := range l.overtaken {
-		if now.Sub(all[len(all)-1].at) > pastMemory {
-			delete(l.overtaken, key)
+// forgetSuperseded drops the superseded entries that are older than supersededMaxAge.
+func (l *List) forgetSuperseded(now time.Time) {
+	for key, all := range l.superseded {
+		if now.Sub(all[len(all)-1].at) > supersededMaxAge {
+			delete(l.superseded, key)
 		}
 	}
 }
 
-// beginEra notes if a list of a later era is taken.
+// beginEra checks whether a list belongs to a new era and, if so, records the restore of
+// the store. It reports whether the list is the first of an era.
 func (l *List) beginEra(ctx context.Context, items []citronkv.Item, revision citronkv.Revision) bool {
 	if l.revision.IsZero() || revision.Era() == l.revision.Era() {
 		return false
 	}
-	l.eraBegan = revision
+	l.eraStart = revision
 	old := 0
 	for _, it := range items {
-		if l.isOvertaken(it) {
+		if l.isSuperseded(it) {
 			old++
 		}
 	}
-	l.returned = l.set.Clock.Now()
-	// Removals of another era mean nothing in this one: whoever has an older
-	// list gets it whole.
+	l.restoredAt = l.set.Clock.Now()
+	// Removals of an earlier era are meaningless in this one. Nodes that have a list of
+	// an earlier era get the full list.
 	l.removed, l.removedSince = nil, revision
 	citronevent.Log(ctx, l.set.Log, citronevent.StoreReturned, "revision", revision.String(), "was", l.revision.String(), "entries", len(items), "engines", len(l.entries), "overtaken", old)
 	return true
--- a/citronlist/era_test.go
+++ b/citronlist/era_test.go
@@ -15,7 +15,7 @@
 )
 
 // written is an entry as it was written with a count of the store.
-func written(i int, number int64, change func(*citronmodel.Engine)) citronkv.Item {
+func entryItem(i int, number int64, change func(*citronmodel.Engine)) citronkv.Item {
 	e := citronmodel.Engine{ID: fmt.Sprint(i), Addr: fmt.Sprintf("a%d:1", i)}
 	if change != nil {
 		change(&e)
@@ -37,7 +37,7 @@
 func leaving(e *citronmodel.Engine) { e.Leaving = true }
 
 // used are the engines that get new work.
-func (l *List) used() map[string]bool {
+func (l *List) usedIDs() map[string]bool {
 	out := map[string]bool{}
 	for _, e := range l.Engines(nil) {
 		if !e.Leaving {
@@ -49,67 +49,67 @@
 
 // Guards against a list that stands still after the store came back from an older
 // copy, because its revisions are lower than those seen before.
-func TestListOfALaterEraIsTaken(t *testing.T) {
+func TestListOfLaterEraReplacesHigherRevisions(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
-	l := listOf(t, clock, 10, 2*time.Second)
-	items := inEra(1, written(0, 1, nil), written(1, 2, leaving))
+	l := listWithEngines(t, clock, 10, 2*time.Second)
+	items := inEra(1, entryItem(0, 1, nil), entryItem(1, 2, leaving))
 	is.True(l.TakeWhole(t.Context(), items, citronkv.RevisionOf(1, 4), true))
-	is.True(!l.used()["1"])
+	is.True(!l.usedIDs()["1"])
 	// Changes of the old era mean nothing in the new one.
-	is.True(!l.TakeChanges(t.Context(), []citronkv.Item{written(0, 11, leaving)}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 11), false))
-	is.True(l.used()["0"])
+	is.True(!l.TakeChanges(t.Context(), []citronkv.Item{entryItem(0, 11, leaving)}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 11), false))
+	is.True(l.usedIDs()["0"])
 	// Counts that were given out again are other writes.
-	is.True(l.TakeChanges(t.Context(), inEra(1, written(0, 5, leaving)), citronkv.RevisionOf(1, 4), citronkv.RevisionOf(1, 5), true))
-	is.True(!l.used()["0"])
+	is.True(l.TakeChanges(t.Context(), inEra(1, entryItem(0, 5, leaving)), citronkv.RevisionOf(1, 4), citronkv.RevisionOf(1, 5), true))
+	is.True(!l.usedIDs()["0"])
 }
 
 // Guards against work for engines that were seen to leave, or to go, after the copy
 // was made: the copy says that they are ready.
-func TestCopyDoesNotBringBackWhatHasLeft(t *testing.T) {
+func TestRestoredStoreDoesNotReviveEngines(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
-	l := listOf(t, clock, 10, 2*time.Second)
+	l := listWithEngines(t, clock, 10, 2*time.Second)
 	copied := make([]citronkv.Item, 10)
 	for i := range copied {
-		copied[i] = written(i, int64(i+1), nil)
+		copied[i] = entryItem(i, int64(i+1), nil)
 	}
-	is.True(l.TakeChanges(t.Context(), []citronkv.Item{written(0, 11, leaving), {Key: key(1), Revision: citronkv.RevisionOf(0, 12), Deleted: true}}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 12), true))
+	is.True(l.TakeChanges(t.Context(), []citronkv.Item{entryItem(0, 11, leaving), {Key: key(1), Revision: citronkv.RevisionOf(0, 12), Deleted: true}}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 12), true))
 	clock.Advance(3 * time.Second)
 	l.Tick(t.Context(), false)
 	is.True(l.TakeWhole(t.Context(), inEra(1, copied...), citronkv.RevisionOf(1, 10), true))
-	is.True(!l.used()["0"])
-	is.True(!l.used()["1"])
-	is.Equal(len(l.used()), 8)
+	is.True(!l.usedIDs()["0"])
+	is.True(!l.usedIDs()["1"])
+	is.Equal(len(l.usedIDs()), 8)
 	// The second wrote its entry again: it is there after all.
-	is.True(l.TakeChanges(t.Context(), inEra(1, written(1, 11, nil)), citronkv.RevisionOf(1, 10), citronkv.RevisionOf(1, 11), true))
-	is.True(l.used()["1"])
+	is.True(l.TakeChanges(t.Context(), inEra(1, entryItem(1, 11, nil)), citronkv.RevisionOf(1, 10), citronkv.RevisionOf(1, 11), true))
+	is.True(l.usedIDs()["1"])
 }
 
 // Guards against taking engines for gone that came after the copy was made, before
 // they could write their entries again, and against using them on if they do not.
-func TestEnginesMissingInACopyHaveAMoment(t *testing.T) {
+func TestEnginesMissingAfterRestoreAreRetainedForGrace(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
-	l := listOf(t, clock, 3, 2*time.Second)
-	is.True(l.TakeChanges(t.Context(), []citronkv.Item{written(3, 11, nil), written(4, 12, nil)}, citronkv.RevisionOf(0, 3), citronkv.RevisionOf(0, 12), true))
-	is.True(l.TakeWhole(t.Context(), inEra(1, written(0, 1, nil), written(1, 2, nil), written(2, 3, nil)), citronkv.RevisionOf(1, 3), true))
-	is.Equal(len(l.used()), 5)
+	l := listWithEngines(t, clock, 3, 2*time.Second)
+	is.True(l.TakeChanges(t.Context(), []citronkv.Item{entryItem(3, 11, nil), entryItem(4, 12, nil)}, citronkv.RevisionOf(0, 3), citronkv.RevisionOf(0, 12), true))
+	is.True(l.TakeWhole(t.Context(), inEra(1, entryItem(0, 1, nil), entryItem(1, 2, nil), entryItem(2, 3, nil)), citronkv.RevisionOf(1, 3), true))
+	is.Equal(len(l.usedIDs()), 5)
 	clock.Advance(citronhealth.LapseGrace / 2)
-	is.True(l.TakeChanges(t.Context(), inEra(1, written(3, 4, nil)), citronkv.RevisionOf(1, 3), citronkv.RevisionOf(1, 4), true))
+	is.True(l.TakeChanges(t.Context(), inEra(1, entryItem(3, 4, nil)), citronkv.RevisionOf(1, 3), citronkv.RevisionOf(1, 4), true))
 	clock.Advance(citronhealth.LapseGrace)
 	l.Tick(t.Context(), false)
-	is.True(l.used()["3"])
-	is.True(!l.used()["4"])
+	is.True(l.usedIDs()["3"])
+	is.True(!l.usedIDs()["4"])
 }
 
 // Guards against a node that passes changes on as if the other had the list of the
 // same era.
-func TestOlderEraGetsTheListWhole(t *testing.T) {
+func TestNodeOfOlderEraGetsFullList(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
-	l := listOf(t, clock, 3, 2*time.Second)
-	is.True(l.TakeWhole(t.Context(), inEra(1, written(0, 1, nil)), citronkv.RevisionOf(1, 1), true))
+	l := listWithEngines(t, clock, 3, 2*time.Second)
+	is.True(l.TakeWhole(t.Context(), inEra(1, entryItem(0, 1, nil)), citronkv.RevisionOf(1, 1), true))
 	doc, err := l.Passed().After(citronkv.RevisionOf(0, 3))
 	is.NoErr(err)
 	is.True(doc.Base.IsZero())
@@ -119,14 +119,14 @@
 // Whatever engines write and however often the store returns from a copy, a list
 // that follows it never uses an engine that was seen to leave or to go and has not
 // written its entry since, and agrees with the store once all have written.
-func TestListFollowsAStoreThatReturns(t *testing.T) {
+func TestListFollowsRestoredStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(0, 0))
 		kv := citronkv.NewServer(clock, 0)
 		l := newList(clock, 2*time.Second)
 		gone := map[int]bool{}
 		write := func(i int, change func(*citronmodel.Engine)) {
-			it := written(i, 0, change)
+			it := entryItem(i, 0, change)
 			if _, err := kv.Put(t.Context(), it.Key, it.Value, citronkv.AnyRevision, 0); err != nil {
 				t.Fatal(err)
 			}
@@ -145,7 +145,7 @@
 			write(i, nil)
 		}
 		read()
-		made := kv.Copy()
+		backup := kv.Copy()
 		t.Repeat(map[string]func(*rapid.T){
 			"write": func(t *rapid.T) { write(engine.Draw(t, "engine"), nil); read() },
 			"leave": func(t *rapid.T) { write(engine.Draw(t, "engine"), leaving); read() },
@@ -156,9 +156,9 @@
 				}
 				read()
 			},
-			"copy": func(*rapid.T) { made = kv.Copy() },
+			"copy": func(*rapid.T) { backup = kv.Copy() },
 			"return": func(*rapid.T) {
-				kv.Return(made)
+				kv.Return(backup)
 				read()
 			},
 			"wait": func(t *rapid.T) {
@@ -167,7 +167,7 @@
 			},
 			"": func(t *rapid.T) {
 				for i, left := range gone {
-					if left && l.used()[fmt.Sprint(i)] && l.Revision().Era() > 0 {
+					if left && l.usedIDs()[fmt.Sprint(i)] && l.Revision().Era() > 0 {
 						t.Fatalf("engine %d is used though it has left", i)
 					}
 				}
@@ -177,7 +177,7 @@
 			write(i, nil)
 		}
 		read()
-		if n := len(l.used()); n != engines {
+		if n := len(l.usedIDs()); n != engines {
 			t.Fatalf("%d engines are used of %d that wrote", n, engines)
 		}
 	})
--- a/citronlist/index.go
+++ b/citronlist/index.go
@@ -1,8 +1,8 @@
 package citronlist
 
-// What of the list has changed, and which of its entries are due for something. Nodes
-// look at it ten times a second, and engines of a large fleet come and go all the time:
-// neither may cost by the length of the list.
+// Tracks which entries of the list have changed and which need attention. Each node
+// checks this ten times a second, and in a large fleet engines join and leave all the
+// time, so neither operation may cost time proportional to the length of the list.
 
 import (
 	"cmp"
@@ -13,69 +13,78 @@
 	"citrondeck.dev/citrondeck/citrontable"
 )
 
-// index holds the keys of entries by what is to be done with them.
+// index holds the keys of entries that need attention, and the results built from the
+// list.
 type index struct {
-	// lapsed are missing, reborn started later than their entries tell.
-	lapsed, reborn map[string]bool
-	// changed are those that built does not have as they are now.
-	changed map[string]bool
-	// built is what Engines returned last, by engine id, ids the ids in it by key, and
-	// builtFor the services for which it was made.
-	built    []citronmodel.Engine
-	ids      map[string]string
-	builtFor map[string]citrontable.Service
-	// items are the entries that are passed on, at where each is by key, and unpassed
-	// the keys that items does not have as they are now.
-	items    []citronkv.Item
-	at       map[string]int
-	unpassed map[string]bool
+	// missing holds the keys whose entries are missing from the store; restarted holds
+	// the keys of engines that started later than their entries say.
+	missing, restarted map[string]bool
+	// staleEngines holds the keys whose current state is not yet in engines.
+	staleEngines map[string]bool
+	// engines is the latest result of List.Engines, sorted by engine ID. idByKey maps
+	// entry keys to the engine IDs in it. engineServices are the services it was built
+	// for.
+	engines        []citronmodel.Engine
+	idByKey        map[string]string
+	engineServices map[string]citrontable.Service
+	// sharedItems are the entries sent to other nodes, and itemIndex gives the position
+	// of each by key. staleItems holds the keys whose current state is not yet in
+	// sharedItems.
+	sharedItems []citronkv.Item
+	itemIndex   map[string]int
+	staleItems  map[string]bool
 }
 
+// newIndex returns an empty index.
 func newIndex() index {
-	return index{lapsed: map[string]bool{}, reborn: map[string]bool{}, changed: map[string]bool{}, ids: map[string]string{}, at: map[string]int{}, unpassed: map[string]bool{}}
+	return index{missing: map[string]bool{}, restarted: map[string]bool{}, staleEngines: map[string]bool{}, idByKey: map[string]string{}, itemIndex: map[string]int{}, staleItems: map[string]bool{}}
 }
 
-// store puts an entry in the list.
-func (l *List) store(key string, e entry) {
+// setEntry adds or replaces an entry and updates the index.
+func (l *List) setEntry(key string, e entry) {
 	l.entries[key] = e
-	l.index.changed[key], l.index.unpassed[key] = true, true
-	mark(l.index.lapsed, key, !e.lapsed.IsZero())
-	mark(l.index.reborn, key, e.engine.Born > e.entryBorn)
+	l.index.staleEngines[key], l.index.staleItems[key] = true, true
+	setMember(l.index.missing, key, !e.missingSince.IsZero())
+	setMember(l.index.restarted, key, e.engine.Born > e.listedBorn)
 }
 
-// discard takes an entry out of the list.
-func (l *List) discard(key string) {
+// deleteEntry removes an entry from the list and from the index.
+func (l *List) deleteEntry(key string) {
 	delete(l.entries, key)
-	l.index.changed[key], l.index.unpassed[key] = true, true
-	delete(l.index.lapsed, key)
-	delete(l.index.reborn, key)
+	l.index.staleEngines[key], l.index.staleItems[key] = true, true
+	delete(l.index.missing, key)
+	delete(l.index.restarted, key)
 }
 
-func mark(keys map[string]bool, key string, is bool) {
-	if is {
+// setMember adds key to keys if member is true, and removes it otherwise.
+func setMember(keys map[string]bool, key string, member bool) {
+	if member {
 		keys[key] = true
 	} else {
 		delete(keys, key)
 	}
 }
 
-// mostPatched is the part of the list up to which changes are put into what was built
-// before.
-const mostPatched = 8
+// rebuildDivisor limits patching of the previous result: if more than 1/rebuildDivisor
+// of the entries have changed, the engines are rebuilt from scratch.
+const rebuildDivisor = 8
 
-// Engines returns the engines of the services that are configured, by id; without a
-// configuration all of them. It returns the same slice as before if nothing has changed.
+// Engines returns the engines of the configured services, sorted by ID. If services is
+// nil, there is no configuration and all engines are returned. The result is the same
+// slice as before if nothing has changed, and must not be modified.
 func (l *List) Engines(services map[string]citrontable.Service) []citronmodel.Engine {
 	x := &l.index
-	if x.built == nil || !sameServices(x.builtFor, services) || len(x.changed) > len(l.entries)/mostPatched {
-		l.build(services)
+	if x.engines == nil || !sameServices(x.engineServices, services) || len(x.staleEngines) > len(l.entries)/rebuildDivisor {
+		l.rebuildEngines(services)
 	} else {
-		l.patch()
+		l.patchEngines()
 	}
-	clear(x.changed)
-	return x.built
+	clear(x.staleEngines)
+	return x.engines
 }
 
+// sameServices reports whether a and b name the same services. It distinguishes nil, for
+// no configuration, from an empty map.
 func sameServices(a, b map[string]citrontable.Service) bool {
 	if (a == nil) != (b == nil) || len(a) != len(b) {
 		return false
@@ -88,95 +97,99 @@
 	return true
 }
 
-// inUse is an entry's engine as it may be used. It reports whether the engine's service
-// is configured; it is not while the entry is of another writer.
-func (e entry) inUse(services map[string]citrontable.Service) (citronmodel.Engine, bool) {
+// usableEngine returns the engine of an entry as other parts of the node see it: an
+// engine whose entry was overwritten, or is missing and not retained, is marked as
+// leaving. The second result reports whether the engine's service is configured.
+func (e entry) usableEngine(services map[string]citrontable.Service) (citronmodel.Engine, bool) {
 	out := e.engine
-	out.Leaving = out.Leaving || e.spoiled || !e.lapsed.IsZero() && !e.kept
-	_, known := services[out.Service]
-	return out, known || services == nil
+	out.Leaving = out.Leaving || e.overwritten || !e.missingSince.IsZero() && !e.retained
+	_, configured := services[out.Service]
+	return out, configured || services == nil
 }
 
-func (l *List) build(services map[string]citrontable.Service) {
+// rebuildEngines builds the result of Engines from all entries.
+func (l *List) rebuildEngines(services map[string]citrontable.Service) {
 	x := &l.index
-	x.builtFor = services
-	clear(x.ids)
-	x.built = make([]citronmodel.Engine, 0, len(l.entries))
+	x.engineServices = services
+	clear(x.idByKey)
+	x.engines = make([]citronmodel.Engine, 0, len(l.entries))
 	for key, listed := range l.entries {
-		if e, ok := listed.inUse(services); ok {
-			x.built = append(x.built, e)
-			x.ids[key] = e.ID
+		if e, ok := listed.usableEngine(services); ok {
+			x.engines = append(x.engines, e)
+			x.idByKey[key] = e.ID
 		}
 	}
-	slices.SortFunc(x.built, func(a, b citronmodel.Engine) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(x.engines, func(a, b citronmodel.Engine) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// patch puts what has changed into a copy of what was built before.
-func (l *List) patch() {
+// patchEngines applies the changed entries to a copy of the previous result.
+func (l *List) patchEngines() {
 	x := &l.index
-	copied := false
-	own := func() {
-		if !copied {
-			x.built, copied = slices.Clone(x.built), true
+	cloned := false
+	cloneOnce := func() {
+		if !cloned {
+			x.engines, cloned = slices.Clone(x.engines), true
 		}
 	}
-	for key := range x.changed {
+	for key := range x.staleEngines {
 		listed, ok := l.entries[key]
 		var e citronmodel.Engine
 		if ok {
-			e, ok = listed.inUse(x.builtFor)
+			e, ok = listed.usableEngine(x.engineServices)
 		}
-		if id, had := x.ids[key]; had {
-			at, _ := findEngine(x.built, id)
+		if id, had := x.idByKey[key]; had {
+			at, _ := findEngine(x.engines, id)
 			if ok && id == e.ID {
-				if x.built[at] != e {
-					own()
-					x.built[at] = e
+				if x.engines[at] != e {
+					cloneOnce()
+					x.engines[at] = e
 				}
 				continue
 			}
-			own()
-			x.built = slices.Delete(x.built, at, at+1)
-			delete(x.ids, key)
+			cloneOnce()
+			x.engines = slices.Delete(x.engines, at, at+1)
+			delete(x.idByKey, key)
 		}
 		if ok {
-			own()
-			at, _ := findEngine(x.built, e.ID)
-			x.built = slices.Insert(x.built, at, e)
-			x.ids[key] = e.ID
+			cloneOnce()
+			at, _ := findEngine(x.engines, e.ID)
+			x.engines = slices.Insert(x.engines, at, e)
+			x.idByKey[key] = e.ID
 		}
 	}
 }
 
+// findEngine returns the position of the engine with the given ID in engines, which are
+// sorted by ID, and whether it is there.
 func findEngine(engines []citronmodel.Engine, id string) (int, bool) {
 	return slices.BinarySearchFunc(engines, id, func(e citronmodel.Engine, id string) int { return cmp.Compare(e.ID, id) })
 }
 
-// passedItems are the entries that are there, in no order. What readers have of them
-// stays as it is.
-func (l *List) passedItems() []citronkv.Item {
+// snapshotItems returns the entries present in the store, in no particular order. It
+// never modifies a slice that it has returned before.
+func (l *List) snapshotItems() []citronkv.Item {
 	x := &l.index
-	if len(x.unpassed) == 0 {
-		return x.items
+	if len(x.staleItems) == 0 {
+		return x.sharedItems
 	}
-	x.items = append(make([]citronkv.Item, 0, len(x.items)+len(x.unpassed)), x.items...)
-	for key := range x.unpassed {
+	x.sharedItems = append(make([]citronkv.Item, 0, len(x.sharedItems)+len(x.staleItems)), x.sharedItems...)
+	for key := range x.staleItems {
 		e, ok := l.entries[key]
-		at, had := x.at[key]
-		switch there := ok && e.lapsed.IsZero(); {
-		case there && had:
-			x.items[at] = e.item
-		case there:
-			x.at[key] = len(x.items)
-			x.items = append(x.items, e.item)
+		at, had := x.itemIndex[key]
+		switch present := ok && e.missingSince.IsZero(); {
+		case present && had:
+			x.sharedItems[at] = e.item
+		case present:
+			x.itemIndex[key] = len(x.sharedItems)
+			x.sharedItems = append(x.sharedItems, e.item)
 		case had:
-			last := len(x.items) - 1
-			x.items[at] = x.items[last]
-			x.at[x.items[at].Key] = at
-			x.items = x.items[:last]
-			delete(x.at, key)
+			last := len(x.sharedItems) - 1
+			x.sharedItems[at] = x.sharedItems[last]
+			x.itemIndex[x.sharedItems[at].Key] = at
+			x.sharedItems = x.sharedItems[:last]
+			delete(x.itemIndex, key)
 		}
 	}
-	clear(x.unpassed)
-	return x.items
+	clear(x.staleItems)
+	return x.sharedItems
 }
--- a/citronlist/index_test.go
+++ b/citronlist/index_test.go
@@ -19,7 +19,7 @@
 
 // Guards against engines that are used as they were before a change: whatever comes and
 // goes, the engines that are patched equal those that are built from nothing.
-func TestPatchedEnginesEqualThoseBuiltAnew(t *testing.T) {
+func TestPatchedEnginesEqualRebuiltEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(1000, 0))
 		services := []map[string]citrontable.Service{nil, {"a": {}}, {"a": {}, "b": {}}}
@@ -69,11 +69,11 @@
 				t.Fatalf("patched\n%v\nbuilt anew\n%v", got, want)
 			}
 			for key, e := range l.entries {
-				if l.index.lapsed[key] == e.lapsed.IsZero() || l.index.reborn[key] != (e.engine.Born > e.entryBorn) {
-					t.Fatalf("entry %s is indexed as lapsed %t, reborn %t", key, l.index.lapsed[key], l.index.reborn[key])
+				if l.index.missing[key] == e.missingSince.IsZero() || l.index.restarted[key] != (e.engine.Born > e.listedBorn) {
+					t.Fatalf("entry %s is indexed as lapsed %t, reborn %t", key, l.index.missing[key], l.index.restarted[key])
 				}
 			}
-			if got, want := passed(l), present(l); got != want {
+			if got, want := sharedItemsOf(l), presentItemsOf(l); got != want {
 				t.Fatalf("passed on\n%s\nin the list\n%s", got, want)
 			}
 			prev = got
@@ -85,7 +85,7 @@
 }
 
 // passed are the entries that are passed on, present those that are there.
-func passed(l *List) string {
+func sharedItemsOf(l *List) string {
 	var out []string
 	for _, it := range l.Passed().items {
 		out = append(out, fmt.Sprint(it))
@@ -94,10 +94,10 @@
 	return fmt.Sprint(out)
 }
 
-func present(l *List) string {
+func presentItemsOf(l *List) string {
 	var out []string
 	for _, e := range l.entries {
-		if e.lapsed.IsZero() {
+		if e.missingSince.IsZero() {
 			out = append(out, fmt.Sprint(e.item))
 		}
 	}
@@ -105,7 +105,7 @@
 	return fmt.Sprint(out)
 }
 
-func TestReadersKeepTheEnginesThatTheyHave(t *testing.T) {
+func TestPatchLeavesReturnedSliceUnchanged(t *testing.T) {
 	is := is.New(t)
 	l := New(Settings{
 		Prefix: "e/", Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Ended: func(citronmodel.Engine) {},
--- a/citronlist/lapse.go
+++ b/citronlist/lapse.go
@@ -1,8 +1,8 @@
 package citronlist
 
-// Which engines stay in use although their entries are missing. An entry that
-// goes means that its engine leaves, unless an outage of the store kept the
-// engine from renewing it (citronhealth).
+// Decides which engines stay in use although their entries are missing from the store. A
+// missing entry means that the engine is leaving, unless an outage of the store kept the
+// engine from renewing its entry (see package citronhealth).
 
 import (
 	"context"
@@ -14,99 +14,103 @@
 )
 
 const (
-	// lapseFewest and lapsePart say how many entries that go within
-	// LapseGrace are too many for a coincidence.
-	lapseFewest = 4
-	lapsePart   = 6
-	// usualDrain stands for settings without DrainWithin.
-	usualDrain = 2 * time.Second
-	// doubtShare is the part of DrainWithin for which engines whose entries
-	// went at once stay in use without a proof of an outage. Half of a fleet
-	// may indeed leave at once; the rest of the time is for the news to reach
-	// all nodes, and for requests on their way.
-	doubtShare = 0.6
+	// massRemovalMin and massRemovalDivisor define a mass removal: if at least
+	// massRemovalMin entries and at least 1/massRemovalDivisor of the list disappear
+	// within LapseGrace, that is too many for a coincidence.
+	massRemovalMin     = 4
+	massRemovalDivisor = 6
+	// defaultDrain applies if the settings give no DrainWithin.
+	defaultDrain = 2 * time.Second
+	// unprovenRetainShare is the fraction of DrainWithin for which engines stay in use
+	// after a mass removal without proof of an outage. Half of a fleet may really leave
+	// at once; the rest of DrainWithin is for the update to reach all nodes and for
+	// requests in flight.
+	unprovenRetainShare = 0.6
 )
 
-// lapseCause says why engines whose entries are missing stay in use.
-type lapseCause string
+// retainReason says why engines whose entries are missing stay in use. The value is
+// logged.
+type retainReason string
 
 const (
-	lapseNot    lapseCause = ""
-	lapseOutage lapseCause = "the store was away"
-	lapseMany   lapseCause = "many entries went at once"
-	lapseCopy   lapseCause = "the store returned from an older copy"
+	retainNone        retainReason = ""
+	retainOutage      retainReason = "the store was away"
+	retainMassRemoval retainReason = "many entries went at once"
+	retainRestore     retainReason = "the store returned from an older copy"
 )
 
-// Tick does what is due by time. Away: the store was away for all nodes within
-// the last seconds.
-func (l *List) Tick(ctx context.Context, away bool) {
-	l.away = away
+// Tick performs the work that is due at the current time: it deletes engines whose
+// entries have been missing for longer than LapseGrace and reviews the others. outage
+// reports whether the store was unreachable for all nodes within the last seconds.
+func (l *List) Tick(ctx context.Context, outage bool) {
+	l.outage = outage
 	now := l.set.Clock.Now()
-	l.forgetOvertaken(now)
-	for key := range l.index.lapsed {
-		if e := l.entries[key]; now.Sub(e.lapsed) > citronhealth.LapseGrace {
-			l.discard(key)
+	l.forgetSuperseded(now)
+	for key := range l.index.missing {
+		if e := l.entries[key]; now.Sub(e.missingSince) > citronhealth.LapseGrace {
+			l.deleteEntry(key)
 			if l.byAddr[e.engine.Addr] == key {
 				delete(l.byAddr, e.engine.Addr)
 			}
-			l.changed()
-			citronevent.Log(ctx, l.set.Log, citronevent.EnginesChanged, "engine", e.engine.ID, "peer", e.engine.Addr, "gone", true, "lapsed", now.Sub(e.lapsed))
+			l.invalidate()
+			citronevent.Log(ctx, l.set.Log, citronevent.EnginesChanged, "engine", e.engine.ID, "peer", e.engine.Addr, "gone", true, "lapsed", now.Sub(e.missingSince))
 		}
 	}
-	l.reviewLapsed(ctx)
+	l.reviewMissing(ctx)
 }
 
-// whyKept returns why engines whose entries are missing stay in use, if they do.
-func (l *List) whyKept(now time.Time) lapseCause {
-	l.vanished = slices.DeleteFunc(l.vanished, func(t time.Time) bool { return now.Sub(t) > citronhealth.LapseGrace })
+// currentRetainReason returns why engines whose entries are missing stay in use, or
+// retainNone if they do not.
+func (l *List) currentRetainReason(now time.Time) retainReason {
+	l.removalTimes = slices.DeleteFunc(l.removalTimes, func(t time.Time) bool { return now.Sub(t) > citronhealth.LapseGrace })
 	switch {
-	case l.away:
-		return lapseOutage
-	case !l.returned.IsZero() && now.Sub(l.returned) < citronhealth.LapseGrace:
-		return lapseCopy
-	case len(l.vanished) >= max(lapseFewest, len(l.entries)/lapsePart):
-		return lapseMany
+	case l.outage:
+		return retainOutage
+	case !l.restoredAt.IsZero() && now.Sub(l.restoredAt) < citronhealth.LapseGrace:
+		return retainRestore
+	case len(l.removalTimes) >= max(massRemovalMin, len(l.entries)/massRemovalDivisor):
+		return retainMassRemoval
 	}
-	return lapseNot
+	return retainNone
 }
 
-// keeps reports whether an engine whose entry is missing stays in use.
-func (l *List) keeps(e entry, now time.Time) bool {
-	switch l.cause {
-	case lapseOutage:
+// shouldRetain reports whether an engine whose entry is missing stays in use.
+func (l *List) shouldRetain(e entry, now time.Time) bool {
+	switch l.reason {
+	case retainOutage:
 		return true
-	case lapseCopy:
-		return e.uncopied
-	case lapseMany:
-		return now.Sub(e.lapsed) < time.Duration(doubtShare*float64(l.set.DrainWithin))
+	case retainRestore:
+		return e.missingInRestore
+	case retainMassRemoval:
+		return now.Sub(e.missingSince) < time.Duration(unprovenRetainShare*float64(l.set.DrainWithin))
 	}
 	return false
 }
 
-// reviewLapsed decides anew which engines stay in use although their entries are
-// missing, and logs what changed and on what that rests: an engine that stays by
-// mistake gets work that it no longer takes.
-func (l *List) reviewLapsed(ctx context.Context) {
+// reviewMissing decides again which engines stay in use although their entries are
+// missing. It logs each change with the reason, because an engine that is retained by
+// mistake is sent work that it no longer accepts.
+func (l *List) reviewMissing(ctx context.Context) {
 	now := l.set.Clock.Now()
-	l.cause = l.whyKept(now)
-	turned := []string{}
-	l.kept = 0
-	for key := range l.index.lapsed {
+	l.reason = l.currentRetainReason(now)
+	changedIDs := []string{}
+	l.retained = 0
+	for key := range l.index.missing {
 		e := l.entries[key]
-		if e.spoiled {
+		if e.overwritten {
 			continue
 		}
-		if keep := l.keeps(e, now); keep != e.kept {
-			e.kept = keep
-			l.store(key, e)
-			l.changed()
-			turned = append(turned, e.engine.ID)
+		if retain := l.shouldRetain(e, now); retain != e.retained {
+			e.retained = retain
+			l.setEntry(key, e)
+			l.invalidate()
+			changedIDs = append(changedIDs, e.engine.ID)
 		}
-		if e.kept {
-			l.kept++
+		if e.retained {
+			l.retained++
 		}
 	}
-	if len(turned) > 0 {
-		citronevent.Log(ctx, l.set.Log, citronevent.EntriesKept, "kept", l.kept, "changed", len(turned), "engines", names(turned), "reason", string(l.cause), "vanished", len(l.vanished))
+	if len(changedIDs) > 0 {
+		citronevent.Log(ctx, l.set.Log, citronevent.EntriesKept, "kept", l.retained, "changed", len(changedIDs), "engines", firstIDs(changedIDs), "reason", string(l.reason), "vanished", len(l.removalTimes))
 	}
 }
--- a/citronlist/lapse_test.go
+++ b/citronlist/lapse_test.go
@@ -28,7 +28,7 @@
 }
 
 // listOf returns a list with so many engines.
-func listOf(t *testing.T, clock citronclock.Clock, n int, drain time.Duration) *List {
+func listWithEngines(t *testing.T, clock citronclock.Clock, n int, drain time.Duration) *List {
 	t.Helper()
 	l := newList(clock, drain)
 	items := make([]citronkv.Item, n)
@@ -46,7 +46,7 @@
 func key(i int) string { return fmt.Sprintf("engines/%d", i) }
 
 // remove takes the first n entries.
-func (l *List) remove(ctx context.Context, n int) bool {
+func (l *List) removeEntries(ctx context.Context, n int) bool {
 	items := make([]citronkv.Item, n)
 	for i := range items {
 		items[i] = citronkv.Item{Key: key(i), Revision: citronkv.RevisionOf(0, l.Revision().Number()+int64(i)+1), Deleted: true}
@@ -54,7 +54,7 @@
 	return l.TakeChanges(ctx, items, l.Revision(), citronkv.RevisionOf(0, l.Revision().Number()+int64(n)), true)
 }
 
-func (l *List) inUse() int {
+func (l *List) countInUse() int {
 	n := 0
 	for _, e := range l.Engines(nil) {
 		if !e.Leaving {
@@ -68,7 +68,7 @@
 // if one goes alone, three fifths of the promised time if many go without a
 // proof of an outage, and while the store is known to have been away, but not
 // longer than entries take to come back.
-func TestHowLongMissingEnginesStayInUse(t *testing.T) {
+func TestMissingEnginesAreRetainedForLimitedTime(t *testing.T) {
 	const always = time.Hour
 	cases := []struct {
 		name  string
@@ -90,16 +90,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			clock := citronclock.NewManual(time.Unix(1000, 0))
-			l := listOf(t, clock, 12, c.drain)
+			l := listWithEngines(t, clock, 12, c.drain)
 			l.Tick(t.Context(), c.away > 0)
-			is.True(l.remove(t.Context(), c.gone))
+			is.True(l.removeEntries(t.Context(), c.gone))
 			const step = 50 * time.Millisecond
 			for since := time.Duration(0); since < 3*time.Second; since += step {
 				want := 12 - c.gone
 				if since < c.until || since == c.until && c.until == citronhealth.LapseGrace {
 					want = 12
 				}
-				if got := l.inUse(); got != want {
+				if got := l.countInUse(); got != want {
 					t.Fatalf("%v after they went, %d engines are in use", since, got)
 				}
 				is.Equal(l.Kept(), want-12+c.gone)
--- a/citronlist/passed.go
+++ b/citronlist/passed.go
@@ -9,30 +9,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Passed is the list as it is passed on to other nodes. It is immutable.
+// Passed is an immutable snapshot of the list, as sent to other nodes.
 type Passed struct {
-	// Revision is that of the list.
+	// Revision is the revision of the list.
 	Revision citronkv.Revision
 	items    []citronkv.Item
-	// removed are removals, all of those after the revision since.
-	removed []citronkv.Item
-	since   citronkv.Revision
+	// removed holds all removals after the revision removedSince.
+	removed      []citronkv.Item
+	removedSince citronkv.Revision
 }
 
-// After is what a node that has the list of another revision lacks. Engines
-// come and go one at a time, and the whole list is a hundred times as long
-// as one change.
+// After returns what a node with the list of the given revision lacks. It returns only
+// the changes where possible: engines join and leave one at a time, and the full list is
+// a hundred times as long as one change.
 func (p Passed) After(revision citronkv.Revision) (citronpeer.ListDocument, error) {
 	doc := citronpeer.ListDocument{Revision: p.Revision}
 	if !p.Revision.After(revision) {
 		return doc, nil
 	}
 	items := p.items
-	if !revision.IsZero() && !p.since.After(revision) {
+	if !revision.IsZero() && !p.removedSince.After(revision) {
 		doc.Base = revision
 		items = nil
-		items = append(laterThan(revision, p.items), laterThan(revision, p.removed)...)
-		// An entry that lapsed and came back stands in both.
+		items = append(itemsAfter(revision, p.items), itemsAfter(revision, p.removed)...)
+		// An entry that expired and came back is in both lists.
 		slices.SortFunc(items, func(a, b citronkv.Item) int { return a.Revision.Compare(b.Revision) })
 	}
 	var err error
@@ -40,7 +40,8 @@
 	return doc, errors.Wrap(err, "encode the list")
 }
 
-func laterThan(revision citronkv.Revision, items []citronkv.Item) []citronkv.Item {
+// itemsAfter returns the items that are later than the given revision.
+func itemsAfter(revision citronkv.Revision, items []citronkv.Item) []citronkv.Item {
 	var later []citronkv.Item
 	for i := range items {
 		if items[i].Revision.After(revision) {
@@ -50,22 +51,22 @@
 	return later
 }
 
-// Passed returns the list as it is passed on.
+// Passed returns the current snapshot of the list.
 func (l *List) Passed() Passed {
-	if l.passed == nil {
-		l.passed = &Passed{Revision: l.revision, items: l.passedItems(), removed: l.removed, since: l.removedSince}
+	if l.snapshot == nil {
+		l.snapshot = &Passed{Revision: l.revision, items: l.snapshotItems(), removed: l.removed, removedSince: l.removedSince}
 	}
-	return *l.passed
+	return *l.snapshot
 }
 
-// mostRemoved bounds the removals that are remembered; a node that has not
-// heard of so many gets the whole list.
-const mostRemoved = 200
+// maxRemoved is the maximum number of removals that are remembered. A node that lags
+// behind by more gets the full list.
+const maxRemoved = 200
 
-// note remembers a removal for nodes that have an older list.
-func (l *List) note(it citronkv.Item) {
-	l.removed = append(slices.Clip(l.removed), it) // snapshots share the old one
-	if len(l.removed) > mostRemoved {
+// rememberRemoval remembers a removal for nodes that have an older list.
+func (l *List) rememberRemoval(it citronkv.Item) {
+	l.removed = append(slices.Clip(l.removed), it) // earlier snapshots share the old array
+	if len(l.removed) > maxRemoved {
 		l.removedSince = l.removed[0].Revision
 		l.removed = l.removed[1:]
 	}
--- a/citronlist/passed_test.go
+++ b/citronlist/passed_test.go
@@ -12,7 +12,7 @@
 // the changes since then, in their order: an entry that lapsed and came back
 // must end as present. Where removals are no longer known it gets the whole
 // list, or it would keep engines that are gone.
-func TestListIsPassedOnAsChanges(t *testing.T) {
+func TestSnapshotSendsOnlyChanges(t *testing.T) {
 	put := func(key string, revision int64) citronkv.Item {
 		return citronkv.Item{Key: key, Revision: citronkv.RevisionOf(0, revision)}
 	}
@@ -21,7 +21,7 @@
 	}
 	list := Passed{
 		Revision: citronkv.RevisionOf(0, 20), items: []citronkv.Item{put("a", 3), put("b", 18), put("c", 12)},
-		removed: []citronkv.Item{gone("x", 11), gone("b", 16)}, since: citronkv.RevisionOf(0, 10),
+		removed: []citronkv.Item{gone("x", 11), gone("b", 16)}, removedSince: citronkv.RevisionOf(0, 10),
 	}
 	cases := []struct {
 		name  string
--- a/citronlist/starts.go
+++ b/citronlist/starts.go
@@ -4,8 +4,8 @@
 	"context"
 )
 
-// StartedAnew takes an engine's own word that it started anew; its entry still
-// tells of the start before.
+// StartedAnew records that an engine has reported a restart that its entry does not show
+// yet.
 func (l *List) StartedAnew(ctx context.Context, instance string, born int64) {
 	key := l.set.Prefix + instance
 	e, ok := l.entries[key]
@@ -14,16 +14,16 @@
 	}
 	old := e.engine
 	e.engine = old.Reborn(born)
-	l.store(key, e)
+	l.setEntry(key, e)
 	l.version++
-	l.end(ctx, old, e.engine.ID)
+	l.reportEnded(ctx, old, e.engine.ID)
 }
 
-// Starts are the engines, by their name in the list, that are known to have
-// started later than their entries tell.
+// Starts returns the start times of the engines that are known to have started later
+// than their entries say, by instance name.
 func (l *List) Starts() map[string]int64 {
 	starts := map[string]int64{}
-	for key := range l.index.reborn {
+	for key := range l.index.restarted {
 		e := l.entries[key].engine
 		starts[e.Instance] = e.Born
 	}
