--- a/citronhealth/observe_test.go
+++ b/citronhealth/observe_test.go
@@ -12,9 +12,9 @@
 	"github.com/matryer/is"
 )
 
-// An answer that says no comes from a store that is well; silence, a refusal
-// to serve and a lost connection do not; a call that its caller gave up proves
-// neither.
+// Tests which results count as an answer. A refusal such as a missing key comes from a
+// healthy store. A timeout, an unavailable store and a lost connection are no answer. A
+// call that its caller canceled shows nothing about the store.
 func TestCallClassification(t *testing.T) {
 	cases := []struct {
 		name              string
@@ -24,12 +24,12 @@
 		{"answer", nil, true, false},
 		{"no such key", errors.Wrap(citronkv.ErrNotFound, "get"), true, false},
 		{"another revision", citronkv.ErrConflict, true, false},
-		{"lease has run out", errors.Mark(errors.New("status 404"), citronkv.ErrLeaseExpired), true, false},
-		{"history dropped", citronkv.ErrCompacted, true, false},
-		{"not served", citronkv.ErrUnavailable, false, false},
+		{"lease has expired", errors.Mark(errors.New("status 404"), citronkv.ErrLeaseExpired), true, false},
+		{"history compacted", citronkv.ErrCompacted, true, false},
+		{"unavailable", citronkv.ErrUnavailable, false, false},
 		{"no answer in time", errors.Mark(context.DeadlineExceeded, citronkv.ErrUnavailable), false, false},
-		{"given up", errors.Mark(errors.Wrap(context.Canceled, "watch"), citronkv.ErrUnavailable), false, true},
-		{"unknown", errors.New("?"), false, false},
+		{"canceled", errors.Mark(errors.Wrap(context.Canceled, "watch"), citronkv.ErrUnavailable), false, true},
+		{"unknown error", errors.New("?"), false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// Every call is told of once, with its key and its times.
+// Tests that Observe reports every call once, with its name, key and times.
 func TestObserveReportsEachCallOnce(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
--- a/citronlist/era_test.go
+++ b/citronlist/era_test.go
@@ -14,17 +14,17 @@
 	"pgregory.net/rapid"
 )
 
-// written is an entry as it was written with a count of the store.
+// entryItem returns the entry of engine i, written at the given number in era 0.
 func entryItem(i int, number int64, change func(*citronmodel.Engine)) citronkv.Item {
 	e := citronmodel.Engine{ID: fmt.Sprint(i), Addr: fmt.Sprintf("a%d:1", i)}
 	if change != nil {
 		change(&e)
 	}
-	text, _ := json.Marshal(e) // of plain values
+	text, _ := json.Marshal(e) // a struct of plain values always encodes
 	return citronkv.Item{Key: key(i), Value: text, Revision: citronkv.RevisionOf(0, number)}
 }
 
-// inEra is what a store says of items in an era.
+// inEra returns copies of the items as a store in the given era returns them.
 func inEra(era int64, items ...citronkv.Item) []citronkv.Item {
 	out := make([]citronkv.Item, len(items))
 	for i, it := range items {
@@ -34,9 +34,10 @@
 	return out
 }
 
+// leaving marks an engine as leaving.
 func leaving(e *citronmodel.Engine) { e.Leaving = true }
 
-// used are the engines that get new work.
+// usedIDs returns the IDs of the engines that get new work.
 func (l *List) usedIDs() map[string]bool {
 	out := map[string]bool{}
 	for _, e := range l.Engines(nil) {
@@ -47,8 +48,8 @@
 	return out
 }
 
-// Guards against a list that stands still after the store came back from an older
-// copy, because its revisions are lower than those seen before.
+// Guards against a list that is no longer updated after the store was restored from an
+// older copy, because the revisions in that copy are lower than those seen before.
 func TestListOfLaterEraReplacesHigherRevisions(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
@@ -56,16 +57,16 @@
 	items := inEra(1, entryItem(0, 1, nil), entryItem(1, 2, leaving))
 	is.True(l.TakeWhole(t.Context(), items, citronkv.RevisionOf(1, 4), true))
 	is.True(!l.usedIDs()["1"])
-	// Changes of the old era mean nothing in the new one.
+	// Changes of the earlier era are ignored in the new one.
 	is.True(!l.TakeChanges(t.Context(), []citronkv.Item{entryItem(0, 11, leaving)}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 11), false))
 	is.True(l.usedIDs()["0"])
-	// Counts that were given out again are other writes.
+	// Numbers that are assigned again in the new era stand for other writes.
 	is.True(l.TakeChanges(t.Context(), inEra(1, entryItem(0, 5, leaving)), citronkv.RevisionOf(1, 4), citronkv.RevisionOf(1, 5), true))
 	is.True(!l.usedIDs()["0"])
 }
 
-// Guards against work for engines that were seen to leave, or to go, after the copy
-// was made: the copy says that they are ready.
+// Guards against sending work to engines that left or disappeared after the copy was
+// made: the restored copy still lists them as ready.
 func TestRestoredStoreDoesNotReviveEngines(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
@@ -81,13 +82,13 @@
 	is.True(!l.usedIDs()["0"])
 	is.True(!l.usedIDs()["1"])
 	is.Equal(len(l.usedIDs()), 8)
-	// The second wrote its entry again: it is there after all.
+	// Engine 1 writes its entry again, so it is present after all.
 	is.True(l.TakeChanges(t.Context(), inEra(1, entryItem(1, 11, nil)), citronkv.RevisionOf(1, 10), citronkv.RevisionOf(1, 11), true))
 	is.True(l.usedIDs()["1"])
 }
 
-// Guards against taking engines for gone that came after the copy was made, before
-// they could write their entries again, and against using them on if they do not.
+// Guards against dropping engines that joined after the copy was made before they can
+// write their entries again, and against using them longer if they do not.
 func TestEnginesMissingAfterRestoreAreRetainedForGrace(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
@@ -103,8 +104,8 @@
 	is.True(!l.usedIDs()["4"])
 }
 
-// Guards against a node that passes changes on as if the other had the list of the
-// same era.
+// Guards against a node that sends only changes to a node whose list is of an earlier
+// era.
 func TestNodeOfOlderEraGetsFullList(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
@@ -116,9 +117,9 @@
 	is.Equal(doc.Revision, citronkv.RevisionOf(1, 1))
 }
 
-// Whatever engines write and however often the store returns from a copy, a list
-// that follows it never uses an engine that was seen to leave or to go and has not
-// written its entry since, and agrees with the store once all have written.
+// Tests that a list follows a store through any sequence of writes and restores. It
+// never uses an engine that was seen to leave or disappear and has not written its entry
+// since, and it agrees with the store once all engines have written.
 func TestListFollowsRestoredStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(0, 0))
@@ -139,7 +140,7 @@
 			}
 			l.TakeWhole(t.Context(), items, rev, true)
 		}
-		const engines = 100 // few of them change, so that no outage is suspected
+		const engines = 100 // only few of them change, so that no mass removal is detected
 		engine := rapid.IntRange(0, 4)
 		for i := range engines {
 			write(i, nil)
@@ -152,7 +153,7 @@
 			"go": func(t *rapid.T) {
 				i := engine.Draw(t, "engine")
 				if kv.Delete(t.Context(), key(i), citronkv.AnyRevision) == nil {
-					gone[i] = true // else nobody is told
+					gone[i] = true // without an entry there is no removal to see
 				}
 				read()
 			},
@@ -168,7 +169,7 @@
 			"": func(t *rapid.T) {
 				for i, left := range gone {
 					if left && l.usedIDs()[fmt.Sprint(i)] && l.Revision().Era() > 0 {
-						t.Fatalf("engine %d is used though it has left", i)
+						t.Fatalf("engine %d is in use although it has left", i)
 					}
 				}
 			},
@@ -178,7 +179,7 @@
 		}
 		read()
 		if n := len(l.usedIDs()); n != engines {
-			t.Fatalf("%d engines are used of %d that wrote", n, engines)
+			t.Fatalf("%d engines are in use, want all %d that wrote their entries", n, engines)
 		}
 	})
 }
--- a/citronlist/index_test.go
+++ b/citronlist/index_test.go
@@ -17,8 +17,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against engines that are used as they were before a change: whatever comes and
-// goes, the engines that are patched equal those that are built from nothing.
+// Guards against engines that are returned in an outdated state: after any sequence of
+// changes, the patched result equals one that is rebuilt from scratch.
 func TestPatchedEnginesEqualRebuiltEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(1000, 0))
@@ -27,7 +27,7 @@
 			Prefix: "e/", Clock: clock, Log: slog.New(slog.DiscardHandler), Ended: func(citronmodel.Engine) {},
 			Decode: func(key string, text []byte) (citronmodel.Engine, error) {
 				if text[0] == '!' {
-					return citronmodel.Engine{}, errors.New("of another writer")
+					return citronmodel.Engine{}, errors.New("entry of another writer")
 				}
 				id, v := key[2:], int(text[1]-'0')
 				return citronmodel.Engine{ID: fmt.Sprintf("%s@%d", id, v/4), Instance: id, Born: int64(v / 4), Service: string(text[0]), Addr: fmt.Sprint(v % 3), Slots: v}, nil
@@ -66,25 +66,25 @@
 			fresh.index = newIndex()
 			want := fresh.Engines(used)
 			if fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Fatalf("patched\n%v\nbuilt anew\n%v", got, want)
+				t.Fatalf("patched:\n%v\nrebuilt:\n%v", got, want)
 			}
 			for key, e := range l.entries {
 				if l.index.missing[key] == e.missingSince.IsZero() || l.index.restarted[key] != (e.engine.Born > e.listedBorn) {
-					t.Fatalf("entry %s is indexed as lapsed %t, reborn %t", key, l.index.missing[key], l.index.restarted[key])
+					t.Fatalf("entry %s is wrongly indexed: missing %t, restarted %t", key, l.index.missing[key], l.index.restarted[key])
 				}
 			}
 			if got, want := sharedItemsOf(l), presentItemsOf(l); got != want {
-				t.Fatalf("passed on\n%s\nin the list\n%s", got, want)
+				t.Fatalf("sent to other nodes:\n%s\npresent in the list:\n%s", got, want)
 			}
 			prev = got
 		}
 		if again := l.Engines(used); len(again) > 0 && &again[0] != &prev[0] {
-			t.Fatal("nothing has changed, and there is another slice")
+			t.Fatal("Engines returned a new slice although nothing has changed")
 		}
 	})
 }
 
-// passed are the entries that are passed on, present those that are there.
+// sharedItemsOf formats the entries that are sent to other nodes.
 func sharedItemsOf(l *List) string {
 	var out []string
 	for _, it := range l.Passed().items {
@@ -94,6 +94,7 @@
 	return fmt.Sprint(out)
 }
 
+// presentItemsOf formats the entries that are present in the list.
 func presentItemsOf(l *List) string {
 	var out []string
 	for _, e := range l.entries {
@@ -105,6 +106,7 @@
 	return fmt.Sprint(out)
 }
 
+// Guards against patching that modifies a slice which callers of Engines still use.
 func TestPatchLeavesReturnedSliceUnchanged(t *testing.T) {
 	is := is.New(t)
 	l := New(Settings{
--- a/citronlist/lapse_test.go
+++ b/citronlist/lapse_test.go
@@ -16,7 +16,7 @@
 	"github.com/matryer/is"
 )
 
-// newList returns an empty list.
+// newList returns an empty list of JSON entries.
 func newList(clock citronclock.Clock, drain time.Duration) *List {
 	return New(Settings{
 		Prefix: "engines/", DrainWithin: drain, Clock: clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Ended: func(citronmodel.Engine) {},
@@ -27,7 +27,7 @@
 	})
 }
 
-// listOf returns a list with so many engines.
+// listWithEngines returns a list of n engines.
 func listWithEngines(t *testing.T, clock citronclock.Clock, n int, drain time.Duration) *List {
 	t.Helper()
 	l := newList(clock, drain)
@@ -43,9 +43,10 @@
 	return l
 }
 
+// key returns the key of the entry of engine i.
 func key(i int) string { return fmt.Sprintf("engines/%d", i) }
 
-// remove takes the first n entries.
+// removeEntries applies the removal of the first n entries.
 func (l *List) removeEntries(ctx context.Context, n int) bool {
 	items := make([]citronkv.Item, n)
 	for i := range items {
@@ -54,6 +55,7 @@
 	return l.TakeChanges(ctx, items, l.Revision(), citronkv.RevisionOf(0, l.Revision().Number()+int64(n)), true)
 }
 
+// countInUse returns the number of engines that get new work.
 func (l *List) countInUse() int {
 	n := 0
 	for _, e := range l.Engines(nil) {
@@ -64,27 +66,27 @@
 	return n
 }
 
-// Engines whose entries go stay in use only as long as that is right: not at all
-// if one goes alone, three fifths of the promised time if many go without a
-// proof of an outage, and while the store is known to have been away, but not
-// longer than entries take to come back.
+// Tests how long engines with missing entries stay in use: not at all if a single entry
+// disappears; three fifths of DrainWithin if many disappear without proof of an outage;
+// during an outage as long as it lasts, but at most for LapseGrace, within which live
+// entries come back.
 func TestMissingEnginesAreRetainedForLimitedTime(t *testing.T) {
 	const always = time.Hour
 	cases := []struct {
 		name  string
 		drain time.Duration
-		// away is how long after they went the store counts as away.
+		// away is how long the outage lasts after the entries disappeared.
 		away time.Duration
 		gone int
-		// until is how long they stay in use.
+		// until is how long the engines stay in use.
 		until time.Duration
 	}{
-		{"one goes", 0, 0, 1, 0},
-		{"many go", 0, 0, 6, 1200 * time.Millisecond},
-		{"many go where engines that leave serve on for longer", 3 * time.Second, 0, 6, 1800 * time.Millisecond},
-		{"one goes in an outage", 0, always, 1, citronhealth.LapseGrace},
-		{"all go in an outage", 0, always, 12, citronhealth.LapseGrace},
-		{"one goes, and another node was served", 0, 300 * time.Millisecond, 1, 300 * time.Millisecond},
+		{"one is removed", 0, 0, 1, 0},
+		{"many are removed", 0, 0, 6, 1200 * time.Millisecond},
+		{"many are removed, with a longer drain time", 3 * time.Second, 0, 6, 1800 * time.Millisecond},
+		{"one is removed in an outage", 0, always, 1, citronhealth.LapseGrace},
+		{"all are removed in an outage", 0, always, 12, citronhealth.LapseGrace},
+		{"one is removed, and the outage is disproved after 300 ms", 0, 300 * time.Millisecond, 1, 300 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -100,7 +102,7 @@
 					want = 12
 				}
 				if got := l.countInUse(); got != want {
-					t.Fatalf("%v after they went, %d engines are in use", since, got)
+					t.Fatalf("%v after the removal, %d engines are in use, want %d", since, got, want)
 				}
 				is.Equal(l.Kept(), want-12+c.gone)
 				clock.Advance(step)
--- a/citronlist/passed_test.go
+++ b/citronlist/passed_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// A node asks for the list of engines from the revision that it has. It gets
-// the changes since then, in their order: an entry that lapsed and came back
-// must end as present. Where removals are no longer known it gets the whole
-// list, or it would keep engines that are gone.
+// Tests what a node gets that asks for the list since its revision. It gets the changes
+// in order, so that an entry which expired and came back ends as present. If the
+// removals since then are no longer known, it gets the full list; otherwise it would
+// keep engines that are gone.
 func TestSnapshotSendsOnlyChanges(t *testing.T) {
 	put := func(key string, revision int64) citronkv.Item {
 		return citronkv.Item{Key: key, Revision: citronkv.RevisionOf(0, revision)}
@@ -29,12 +29,12 @@
 		base  int64
 		want  []citronkv.Item
 	}{
-		{"the same", 20, 0, nil},
-		{"newer", 25, 0, nil},
-		{"changes", 15, 15, []citronkv.Item{gone("b", 16), put("b", 18)}},
+		{"same revision", 20, 0, nil},
+		{"newer revision", 25, 0, nil},
+		{"only changes", 15, 15, []citronkv.Item{gone("b", 16), put("b", 18)}},
 		{"from the oldest known removal", 10, 10, []citronkv.Item{gone("x", 11), put("c", 12), gone("b", 16), put("b", 18)}},
-		{"too old", 9, 0, list.items},
-		{"none yet", 0, 0, list.items},
+		{"older than the oldest known removal", 9, 0, list.items},
+		{"no list yet", 0, 0, list.items},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
