--- a/citronlist/era.go
+++ b/citronlist/era.go
@@ -1,8 +1,8 @@
 package citronlist
 
-// Handling of a store that is restored from an older copy. The era is the number of
-// times this has happened; it is the high part of a revision, so that a list of a later
-// era counts as newer although its lower part is smaller.
+// This file handles a store that is restored from an older copy. The era is the number
+// of times this has happened; it is the high part of a revision, so that a list of a
+// later era counts as newer although its lower part is smaller.
 //
 // The first list of a new era is applied as a full list. Where this node has seen later
 // entries of an engine than the restored copy holds, the restored entry is outdated: an
--- a/citronlist/index.go
+++ b/citronlist/index.go
@@ -1,8 +1,9 @@
 package citronlist
 
-// Tracks which entries of the list have changed and which need attention. Each node
-// checks this ten times a second, and in a large fleet engines join and leave all the
-// time, so neither operation may cost time proportional to the length of the list.
+// This file tracks which entries of the list have changed and which need attention. Each
+// node checks this ten times a second, and in a large fleet engines join and leave all
+// the time, so neither a check nor a change may take time proportional to the length of
+// the list.
 
 import (
 	"cmp"
--- a/citronlist/lapse.go
+++ b/citronlist/lapse.go
@@ -1,8 +1,8 @@
 package citronlist
 
-// Decides which engines stay in use although their entries are missing from the store. A
-// missing entry means that the engine is leaving, unless an outage of the store kept the
-// engine from renewing its entry (see package citronhealth).
+// This file decides which engines stay in use although their entries are missing from
+// the store. A missing entry means that the engine is leaving, unless an outage of the
+// store kept the engine from renewing its entry (see package citronhealth).
 
 import (
 	"context"
