--- a/citronentry/metrics.go
+++ b/citronentry/metrics.go
@@ -7,7 +7,9 @@
 	"citrondeck.dev/citrondeck/citronroute"
 )
 
+// metrics holds the entry's expvar counters and gauges.
 type metrics struct {
+	// all exports the variables under their public names.
 	all                                    *expvar.Map
 	revision, kvUp, draining               *expvar.Int
 	served, replayed, notRun, unknown      *expvar.Int
@@ -35,7 +37,8 @@
 	return m
 }
 
-// publishState adds what is read off the entry's state when asked for.
+// publishState adds the variables that are computed from e's state on each
+// read.
 func (m *metrics) publishState(e *Entry) {
 	m.all.Set("inflight", expvar.Func(func() any { return e.work.count() }))
 	m.all.Set("avoided", expvar.Func(func() any {
--- a/citronentry/settings.go
+++ b/citronentry/settings.go
@@ -6,36 +6,47 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Settings configure an entry.
+// Settings is the configuration of an entry. Name, Listen and Zone are
+// required; WithDefaults fills the other fields.
 type Settings struct {
-	Name      string `yaml:"name"`
-	Listen    string `yaml:"listen"`
+	// Name identifies the entry and is unique in the fleet.
+	Name string `yaml:"name"`
+	// Listen is the address to listen on for callers (host:port).
+	Listen string `yaml:"listen"`
+	// Advertise is the address that discovery returns for this entry. It
+	// defaults to Listen.
 	Advertise string `yaml:"advertise"`
-	Zone      string `yaml:"zone"`
-	// DiscoveryTTL is how long callers may keep the entry list.
+	// Zone is the availability zone the entry runs in.
+	Zone string `yaml:"zone"`
+	// DiscoveryTTL is how long callers may cache the entry list.
 	DiscoveryTTL time.Duration `yaml:"discoveryTTL"`
-	// LeaseTTL is the life of the entry's discovery lease.
+	// LeaseTTL is the lifetime of the entry's discovery lease. In large
+	// fleets the entry uses a longer one.
 	LeaseTTL time.Duration `yaml:"leaseTTL"`
-	// DrainGrace is how long a stopping entry still takes new requests
-	// after leaving discovery, for callers whose list is a little old.
+	// DrainGrace is how long a stopping entry accepts new requests after
+	// leaving discovery, for callers with a slightly outdated list.
 	DrainGrace time.Duration `yaml:"drainGrace"`
-	// MaxBody bounds a request body, in bytes.
+	// MaxBody is the maximum size of a request body, in bytes.
 	MaxBody int64 `yaml:"maxBody"`
-	// StallAfter is how long a back end may be silent with calls in
-	// flight before it is probed.
+	// StallAfter is how long a back end with calls in flight may send
+	// nothing before it is probed.
 	StallAfter time.Duration `yaml:"stallAfter"`
-	// ProbeTimeout bounds a probe; two missed in a row mean frozen.
+	// ProbeTimeout is the timeout of a probe. A back end that misses two
+	// probes in a row is considered frozen.
 	ProbeTimeout time.Duration `yaml:"probeTimeout"`
-	// TokenGap is the time between tokens to aim for; with the engines'
-	// declared capacity it sets how many requests are sent on at once.
+	// TokenGap is the target time between two tokens of a response. With the
+	// engines' declared capacity it determines how many requests of a
+	// service the entry has in flight at once.
 	TokenGap time.Duration `yaml:"tokenGap"`
-	// MaxInflight is that number for services without declared capacity.
+	// MaxInflight is the number of requests in flight at once for a service
+	// whose engines declare no capacity.
 	MaxInflight int `yaml:"maxInflight"`
-	// MaxQueue bounds the requests that wait for their turn, per service.
+	// MaxQueue is the maximum number of requests that wait in the queue of a
+	// service.
 	MaxQueue int `yaml:"maxQueue"`
 }
 
-// DefaultSettings are the values of fields left out.
+// DefaultSettings holds the default values of the optional fields.
 var DefaultSettings = Settings{
 	DiscoveryTTL: 10 * time.Second,
 	LeaseTTL:     3 * time.Second,
@@ -48,30 +59,33 @@
 	MaxQueue:     4096,
 }
 
-func orDefault[T comparable](v *T, def T) {
+// setDefault sets *v to def if *v is the zero value.
+func setDefault[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
 		*v = def
 	}
 }
 
-// WithDefaults fills the zero fields.
+// WithDefaults returns a copy of s with its zero fields set to their
+// defaults.
 func (s Settings) WithDefaults() Settings {
 	d := DefaultSettings
-	orDefault(&s.Advertise, s.Listen)
-	orDefault(&s.DiscoveryTTL, d.DiscoveryTTL)
-	orDefault(&s.LeaseTTL, d.LeaseTTL)
-	orDefault(&s.DrainGrace, d.DrainGrace)
-	orDefault(&s.MaxBody, d.MaxBody)
-	orDefault(&s.StallAfter, d.StallAfter)
-	orDefault(&s.ProbeTimeout, d.ProbeTimeout)
-	orDefault(&s.TokenGap, d.TokenGap)
-	orDefault(&s.MaxInflight, d.MaxInflight)
-	orDefault(&s.MaxQueue, d.MaxQueue)
+	setDefault(&s.Advertise, s.Listen)
+	setDefault(&s.DiscoveryTTL, d.DiscoveryTTL)
+	setDefault(&s.LeaseTTL, d.LeaseTTL)
+	setDefault(&s.DrainGrace, d.DrainGrace)
+	setDefault(&s.MaxBody, d.MaxBody)
+	setDefault(&s.StallAfter, d.StallAfter)
+	setDefault(&s.ProbeTimeout, d.ProbeTimeout)
+	setDefault(&s.TokenGap, d.TokenGap)
+	setDefault(&s.MaxInflight, d.MaxInflight)
+	setDefault(&s.MaxQueue, d.MaxQueue)
 	return s
 }
 
-// Check says what is wrong with the settings.
+// Check returns an error if a required field is missing or a value is
+// negative.
 func (s Settings) Check() error {
 	switch {
 	case s.Name == "":
