--- a/citronentry/control.go
+++ b/citronentry/control.go
@@ -1,12 +1,12 @@
 package citronentry
 
-// The control loop. It alone changes control state: the fleet text in
-// force, the entry list, the instance list and what is known of back ends
-// in trouble. It learns of new fleet revisions by one long-poll watch on
-// the "deck/" prefix (one waiting call per entry against the KV budget).
-// Whatever may block (the watch, the instance list, probes) runs in
-// goroutines of its own that hand their results to the loop, so a slow
-// platform service cannot hold up a configuration change.
+// The control loop owns all control state: the active fleet configuration,
+// the entry list, the instance list and the state of unhealthy back ends.
+// It receives new fleet revisions through a single long-poll watch on the
+// "deck/" prefix, which costs the KV service one pending call per entry.
+// Operations that may block (the watch, polling the instance list, probes)
+// run in their own goroutines and send their results to the loop, so that
+// a slow platform service cannot delay a configuration change.
 
 import (
 	"context"
@@ -23,94 +23,104 @@
 
 // Keys in the KV service.
 const (
-	// EntriesPrefix holds one key per entry, each under that entry's lease.
+	// EntriesPrefix is the prefix of the discovery keys: one key per entry,
+	// attached to that entry's lease.
 	EntriesPrefix = "deck/entries/"
-	// watchPrefix covers it and the configuration (citronconfig.Key).
+	// watchPrefix covers EntriesPrefix and the configuration
+	// (citronconfig.Key).
 	watchPrefix = "deck/"
 )
 
 const (
-	// instancePoll is the time between two polls of the instance list, and
-	// instancePollRow what each row of it adds: the list comes whole every
-	// time, and its bytes and decoding must stay within what an entry may
-	// spend on control. Engines say themselves that they are leaving, so
-	// the list may be later the longer it is.
-	instancePoll    = 500 * time.Millisecond
-	instancePollRow = 1500 * time.Microsecond
-	controlTick     = 100 * time.Millisecond
-	reportCapacity  = 1024
+	// instancePollInterval is the minimum interval between polls of the instance
+	// list. The interval is at least instancePollPerRow per row of the list:
+	// each poll returns the whole list, and its transfer and decoding must
+	// stay within an entry's control traffic budget. Polling a long list
+	// less often is safe because engines also announce their departure
+	// themselves.
+	instancePollInterval = 500 * time.Millisecond
+	instancePollPerRow   = 1500 * time.Microsecond
+	// controlTickInterval is the interval at which the control loop removes expired
+	// members and starts due probes.
+	controlTickInterval = 100 * time.Millisecond
+	// reportCapacity is the size of the report buffer. Reports that do not
+	// fit are dropped; the next failure of the back end sends another.
+	reportCapacity = 1024
 )
 
-// report is what traffic tells the control goroutine about a back end.
+// report tells the control loop that a request or the watchdog found a back
+// end failing, frozen or leaving.
 type report struct {
 	backend string
 	reason  citronroute.Reason
 }
 
+// control is the state of the control loop.
 type control struct {
 	e       *Entry
 	fleet   citronfleet.Fleet
 	members members
-	// leaving is the instance list's word.
+	// leaving holds the names of the instances that the instance list marks
+	// as leaving.
 	leaving  map[string]bool
 	trouble  troubles
 	kvUp     bool
 	watchRev citronkv.Revision
-	// loader belongs to the watch goroutine once that runs.
+	// loader is used only by the watch goroutine once that has started.
 	loader *citronconfig.Loader
-	// dirty: what is published is out of date.
+	// dirty reports whether the published snapshot is out of date.
 	dirty bool
 
-	watched   chan watchResult
-	instances chan []citronkv.Instance
-	probed    chan probeResult
+	watchResults chan watchResult
+	instances    chan []citronkv.Instance
+	probed       chan probeResult
 }
 
 func newControl(e *Entry) *control {
 	return &control{
 		e: e, loader: &citronconfig.Loader{KV: e.kv}, members: members{}, leaving: map[string]bool{}, trouble: troubles{},
-		watched: make(chan watchResult, 1), instances: make(chan []citronkv.Instance, 1), probed: make(chan probeResult, 16),
+		watchResults: make(chan watchResult, 1), instances: make(chan []citronkv.Instance, 1), probed: make(chan probeResult, 16),
 	}
 }
 
-// loadFirst reads the configuration at start, waiting out a KV outage;
-// false if ctx ended first.
-func (c *control) loadFirst(ctx context.Context) bool {
+// loadInitial reads the configuration at startup and retries until the KV
+// service is available. It returns false if ctx ends first.
+func (c *control) loadInitial(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		w, rev := c.readAll(ctx)
 		if w.err == nil {
 			c.watchRev = rev
-			c.takeWatch(ctx, w)
+			c.handleWatch(ctx, w)
 			c.publish()
 			return true
 		}
 		citronevent.Log(ctx, c.e.log, citronevent.ConfigKVDown, "step", "initial load", "err", w.err)
-		_ = c.e.clock.Sleep(ctx, kvBackoffFirst)
+		_ = c.e.clock.Sleep(ctx, initialKVBackoff)
 	}
 	return false
 }
 
-// run is the control loop; it returns when ctx ends.
+// run executes the control loop until ctx ends.
 func (c *control) run(ctx context.Context) {
 	go c.watch(ctx)
 	go c.pollInstances(ctx)
-	tick := time.NewTicker(controlTick)
+	tick := time.NewTicker(controlTickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-c.watched:
-			c.takeWatch(ctx, w)
+		case w := <-c.watchResults:
+			c.handleWatch(ctx, w)
 		case list := <-c.instances:
-			c.takeInstances(ctx, list)
+			c.handleInstances(ctx, list)
 		case r := <-c.e.reports:
 			c.takeReport(ctx, r)
 		case p := <-c.probed:
 			c.takeProbe(ctx, p)
 		case <-tick.C:
 			now := c.e.clock.Now()
-			c.dirty = c.members.sweep(now) || c.dirty
+			c.dirty = c.members.removeExpired(now) || c.dirty
 			c.probeDue(ctx, now)
 		}
 		if c.dirty {
@@ -119,14 +129,15 @@
 	}
 }
 
-// publish builds the snapshot that traffic reads from now on.
+// publish builds a snapshot from the control state, makes it available to
+// request handling and resizes the admission gates to match it.
 func (c *control) publish() {
 	c.dirty = false
 	avoid := c.trouble.avoid()
 	for name := range c.leaving {
 		avoid[name] = citronroute.Leaving
 	}
-	s := c.e.pool.Build(c.fleet, avoid, c.members.list(), c.kvUp)
+	s := c.e.pool.Build(c.fleet, avoid, c.members.addrs(), c.kvUp)
 	c.e.snap.Store(s)
 	c.e.gates.Range(func(name, _ any) bool {
 		if svc, ok := s.Service(name.(string)); ok {
@@ -138,7 +149,9 @@
 	c.e.metrics.kvUp.Set(map[bool]int64{true: 1}[c.kvUp])
 }
 
-func (c *control) takeWatch(ctx context.Context, w watchResult) {
+// handleWatch updates the entry list, the configuration and the KV
+// availability from a watch result.
+func (c *control) handleWatch(ctx context.Context, w watchResult) {
 	if w.err != nil {
 		if c.kvUp {
 			citronevent.Log(ctx, c.e.log, citronevent.ConfigKVDown, "err", w.err, "in_force", c.fleet.Revision.String())
@@ -151,7 +164,7 @@
 	c.kvUp = true
 	linger := c.e.lingerUntil(c.e.clock.Now())
 	if w.full {
-		c.members.replace(w.items, linger)
+		c.members.markMissing(w.items, linger)
 		c.dirty = true
 	}
 	for _, it := range w.items {
@@ -168,10 +181,10 @@
 	}
 }
 
-// applyFleet puts a fleet in force unless it is older than the one in
-// force. A revision never goes back: a watch may replay an old event after
-// a reconnect, and a KV replica may answer from behind; applying it would
-// revert an accepted configuration.
+// applyFleet activates f if its revision is newer than the active one. A
+// watch may replay an old event after a reconnect, and a lagging KV
+// replica may return stale data; applying it would revert an accepted
+// configuration.
 func (c *control) applyFleet(ctx context.Context, f citronfleet.Fleet) {
 	if !f.Revision.After(c.fleet.Revision) {
 		if c.fleet.Revision.After(f.Revision) {
@@ -184,14 +197,14 @@
 	citronevent.Log(ctx, c.e.log, citronevent.ConfigApplied, "revision", f.Revision.String(), "services", len(f.Services))
 }
 
-// pollInstances reads the platform's instance list again and again.
+// pollInstances polls the platform's instance list until ctx ends.
 func (c *control) pollInstances(ctx context.Context) {
-	wait := instancePoll
+	wait := instancePollInterval
 	for ctx.Err() == nil {
 		list, err := c.e.instances(ctx)
 		c.e.metrics.instancePolls.Add(1)
-		if err == nil { // on an error the last list read stays in force
-			wait = max(instancePoll, time.Duration(len(list))*instancePollRow)
+		if err == nil { // on an error the last list stays in effect
+			wait = max(instancePollInterval, time.Duration(len(list))*instancePollPerRow)
 			select {
 			case c.instances <- list:
 			case <-ctx.Done():
@@ -202,7 +215,9 @@
 	}
 }
 
-func (c *control) takeInstances(ctx context.Context, list []citronkv.Instance) {
+// handleInstances updates the set of leaving instances from the instance
+// list.
+func (c *control) handleInstances(ctx context.Context, list []citronkv.Instance) {
 	next := map[string]bool{}
 	for _, in := range list {
 		if in.State == citronkv.Leaving {
--- a/citronentry/discovery.go
+++ b/citronentry/discovery.go
@@ -1,16 +1,17 @@
 package citronentry
 
-// Discovery: which entries callers may use. Each entry holds one key in
-// the KV service under a lease. The keys can vanish while the entries are
-// well: a KV outage longer than the lease, or a paused holder, lapses
-// leases. Were a vanished key taken for a departed entry, an outage would
-// empty every entry's list at once, and callers asking then would be sent
-// nowhere. So a key that vanishes while this entry's own renewals fail, or
-// shortly after, stays listed for lingerFor more; by the time any lease can
-// lapse in an outage, each entry has missed a renewal of its own. While the
-// KV service is well a vanished key means an entry that is frozen or dead,
-// and it is dropped at once. An entry that stops marks its key as leaving,
-// and an entry always lists itself until it stops.
+// Discovery tells callers which entries they may use. Each entry registers
+// one key in the KV service under a lease. A key can disappear while its
+// entry is healthy: leases expire in a KV outage longer than the lease
+// time, or while their holder is paused. If a missing key always removed
+// the entry, an outage would empty the list of every entry at once and
+// callers would find no entry at all. Therefore an entry whose key
+// disappears while the local entry's own lease renewals fail, or shortly
+// after, stays listed for lingerTime. By the time any lease can expire in an
+// outage, every entry has failed to renew its own lease at least once.
+// While the KV service is healthy, a missing key means that the entry is
+// frozen or dead, and the entry is removed at once. A stopping entry marks
+// its key as leaving. An entry always lists itself until it stops.
 
 import (
 	"cmp"
@@ -29,44 +30,48 @@
 )
 
 const (
-	// lingerFor is how long an entry stays listed after its lease lapsed in
-	// or shortly after an outage of the KV service. A caller sent to one that is truly gone is refused the connection
-	// and takes the next on its list.
-	lingerFor     = 15 * time.Second
-	leaveDeadline = time.Second
-	// keepaliveBudget is how many lease renewals a second all entries
-	// together may cost the KV service; with many entries each renews less
-	// often, and its lease lives longer.
-	keepaliveBudget = 100
-	// discoveryMax bounds the answer to a caller. It is a random choice,
-	// the caller's zone first, so that callers spread over the entries.
-	discoveryMax = 12
+	// lingerTime is how long an entry stays listed after its lease expired
+	// during or shortly after a KV outage. If the entry is really gone, a
+	// caller's connection to it is refused and the caller tries the next
+	// entry on its list.
+	lingerTime = 15 * time.Second
+	// deregisterTimeout bounds the KV calls that remove a stopping entry from
+	// discovery.
+	deregisterTimeout = time.Second
+	// maxRenewalsPerSecond bounds the lease renewals per second of all entries
+	// together, to limit the load on the KV service. With many entries, each
+	// one uses a longer lease and renews it less often.
+	maxRenewalsPerSecond = 100
+	// maxDiscovered is the maximum number of entries in a discovery
+	// response. They are chosen at random, the caller's zone first, so that
+	// callers spread over the entries.
+	maxDiscovered = 12
 )
 
-// registration is the value of an entry's discovery key.
+// registration is the JSON value of an entry's discovery key.
 type registration struct {
 	citronroute.EntryAddr
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// member is one entry as this entry knows it.
+// member is an entry in the local entry list.
 type member struct {
 	addr citronroute.EntryAddr
-	// until is when a member whose key vanished is dropped; zero while
-	// its key is there.
-	until time.Time
+	// removeAt is the time at which a member whose key is missing is removed.
+	// It is zero while the key exists.
+	removeAt time.Time
 }
 
-// members is the entry list; the control goroutine owns it.
+// members is the entry list by entry name. The control loop owns it.
 type members map[string]member
 
-// apply takes one changed discovery key. A key that vanished is listed
-// until lingerUntil.
+// apply updates the list from one changed discovery key. An entry whose key
+// was deleted stays listed until lingerUntil.
 func (m members) apply(it citronkv.Item, lingerUntil time.Time) {
 	name := strings.TrimPrefix(it.Key, EntriesPrefix)
 	if it.Deleted {
-		if old, ok := m[name]; ok && old.until.IsZero() {
-			old.until = lingerUntil
+		if old, ok := m[name]; ok && old.removeAt.IsZero() {
+			old.removeAt = lingerUntil
 			m[name] = old
 		}
 		return
@@ -82,8 +87,9 @@
 	m[name] = member{addr: r.EntryAddr}
 }
 
-// replace takes the whole list, as after a compacted watch.
-func (m members) replace(items []citronkv.Item, lingerUntil time.Time) {
+// markMissing marks the entries whose keys are not in items, a complete listing
+// of the keys, as missing. It is used after the watch was compacted.
+func (m members) markMissing(items []citronkv.Item, lingerUntil time.Time) {
 	present := map[string]bool{}
 	for _, it := range items {
 		if strings.HasPrefix(it.Key, EntriesPrefix) {
@@ -97,11 +103,12 @@
 	}
 }
 
-// sweep drops members whose time has come; true if any was.
-func (m members) sweep(now time.Time) bool {
+// removeExpired removes the members whose linger time has passed and reports
+// whether it removed any.
+func (m members) removeExpired(now time.Time) bool {
 	dropped := false
 	for name, mb := range m {
-		if !mb.until.IsZero() && now.After(mb.until) {
+		if !mb.removeAt.IsZero() && now.After(mb.removeAt) {
 			delete(m, name)
 			dropped = true
 		}
@@ -109,7 +116,8 @@
 	return dropped
 }
 
-func (m members) list() []citronroute.EntryAddr {
+// addrs returns the addresses of the members, sorted by name.
+func (m members) addrs() []citronroute.EntryAddr {
 	out := make([]citronroute.EntryAddr, 0, len(m))
 	for _, mb := range m {
 		out = append(out, mb.addr)
@@ -118,12 +126,13 @@
 	return out
 }
 
-func (e *Entry) self() citronroute.EntryAddr {
+// selfAddr returns the discovery address of this entry.
+func (e *Entry) selfAddr() citronroute.EntryAddr {
 	return citronroute.EntryAddr{Name: e.set.Name, Addr: e.set.Advertise, Zone: e.set.Zone, Incarnation: e.incarnation}
 }
 
-// listed is what discovery answers: the known entries, with this one
-// unless it is stopping.
+// listed returns the entries that discovery may return: the other entries of
+// the snapshot, and this one unless it is stopping.
 func (e *Entry) listed(s *citronroute.Snapshot) []citronroute.EntryAddr {
 	var out []citronroute.EntryAddr
 	for _, en := range s.Entries {
@@ -132,62 +141,69 @@
 		}
 	}
 	if !e.leaving.Load() {
-		out = append(out, e.self())
+		out = append(out, e.selfAddr())
 	}
 	return out
 }
 
-// lingerUntil is how long a member whose key vanishes now stays listed.
+// lingerUntil returns the time until which a member whose key disappears at
+// now stays listed. It is now itself unless a renewal of this entry's own
+// lease has failed within the last lingerTime.
 func (e *Entry) lingerUntil(now time.Time) time.Time {
-	if now.Sub(time.Unix(0, e.renewalFailed.Load())) < lingerFor {
-		return now.Add(lingerFor)
+	if now.Sub(time.Unix(0, e.lastRenewalFailure.Load())) < lingerTime {
+		return now.Add(lingerTime)
 	}
 	return now
 }
 
-// leaseTTL is how long the entry's discovery lease lives.
+// leaseTTL returns the lifetime of the entry's discovery lease. It grows
+// with the number of entries, to keep their renewals within
+// maxRenewalsPerSecond.
 func (e *Entry) leaseTTL() time.Duration {
-	const renewals = 3 // a lease is renewed thrice in its life
+	const renewals = 3 // renewals per lease lifetime
 	n := len(e.snap.Load().Entries)
-	return max(e.set.LeaseTTL, renewals*time.Duration(n)*time.Second/keepaliveBudget)
+	return max(e.set.LeaseTTL, renewals*time.Duration(n)*time.Second/maxRenewalsPerSecond)
 }
 
-// choose picks the entries a caller in zone gets to know.
+// choose returns up to maxDiscovered random entries for a caller in zone,
+// those in that zone first.
 func choose(all []citronroute.EntryAddr, zone string) []citronroute.EntryAddr {
 	out := slices.Clone(all)
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	slices.SortStableFunc(out, func(a, b citronroute.EntryAddr) int {
-		return cmp.Compare(btoi(b.Zone == zone), btoi(a.Zone == zone))
+		return cmp.Compare(boolToInt(b.Zone == zone), boolToInt(a.Zone == zone))
 	})
-	return out[:min(len(out), discoveryMax)]
+	return out[:min(len(out), maxDiscovered)]
 }
 
-func btoi(b bool) int {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// register holds the entry's key under a lease, renewing it and putting
-// the key back after a lapse. When ctx ends it marks the key as leaving
-// and revokes the lease, so the entry leaves discovery at once.
+// register keeps the entry's discovery key in the KV service: it renews the
+// lease and registers again after the lease has expired. When ctx ends, it
+// marks the key as leaving and revokes the lease, so that the entry leaves
+// discovery at once.
 func (e *Entry) register(ctx context.Context) {
 	key := EntriesPrefix + e.set.Name
-	val, _ := json.Marshal(registration{EntryAddr: e.self()})
+	val, _ := json.Marshal(registration{EntryAddr: e.selfAddr()})
 	var id citronkv.LeaseID
 	var ttl time.Duration
 	for {
-		// The fleet of entries grew: a lease of the old length would lapse
-		// between renewals this far apart.
+		// More entries mean a longer renewal interval, in which a lease
+		// granted with the old TTL could expire. Take a new lease.
 		if want := e.leaseTTL(); id == 0 || want > ttl {
 			ttl = want
-			id = e.enlist(ctx, key, val, ttl)
+			id = e.registerKey(ctx, key, val, ttl)
 		} else if err := e.kv.KeepAlive(ctx, id); errors.Is(err, citronkv.ErrLeaseExpired) {
 			id = 0
 			continue
 		} else if err != nil {
-			e.renewalFailed.Store(e.clock.Now().UnixNano())
+			e.lastRenewalFailure.Store(e.clock.Now().UnixNano())
 		}
 		if e.clock.Sleep(ctx, ttl/3) != nil {
 			break
@@ -196,23 +212,24 @@
 	if id == 0 {
 		return
 	}
-	lctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveDeadline)
+	lctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
 	defer cancel()
-	gone, _ := json.Marshal(registration{EntryAddr: e.self(), Leaving: true})
-	_, _ = e.kv.Put(lctx, key, gone, citronkv.AnyRevision, id)
+	leavingVal, _ := json.Marshal(registration{EntryAddr: e.selfAddr(), Leaving: true})
+	_, _ = e.kv.Put(lctx, key, leavingVal, citronkv.AnyRevision, id)
 	_ = e.kv.Revoke(lctx, id)
 }
 
-// enlist takes a lease and puts the key under it; 0 if that failed.
-func (e *Entry) enlist(ctx context.Context, key string, val []byte, ttl time.Duration) citronkv.LeaseID {
+// registerKey requests a lease and writes the discovery key under it. It returns
+// 0 if either call fails.
+func (e *Entry) registerKey(ctx context.Context, key string, val []byte, ttl time.Duration) citronkv.LeaseID {
 	id, err := e.kv.Grant(ctx, ttl)
 	if err != nil {
-		e.renewalFailed.Store(e.clock.Now().UnixNano())
+		e.lastRenewalFailure.Store(e.clock.Now().UnixNano())
 		return 0
 	}
 	if _, err := e.kv.Put(ctx, key, val, citronkv.AnyRevision, id); err != nil {
-		e.renewalFailed.Store(e.clock.Now().UnixNano())
-		return 0 // the reply may be lost; the next try puts it under a new lease
+		e.lastRenewalFailure.Store(e.clock.Now().UnixNano())
+		return 0 // the write may have succeeded; the next attempt uses a new lease
 	}
 	citronevent.Log(ctx, e.log, citronevent.DiscoveryRegistered, "lease", int64(id))
 	return id
--- a/citronentry/entry.go
+++ b/citronentry/entry.go
@@ -1,15 +1,17 @@
-// Package citronentry is the entry instance: it serves the caller API,
-// tells callers which entries to use, routes each request to a chain of
-// engines or to a plain upstream, keeps non-idempotent requests to at
-// most one run, and drains without cutting off work in flight.
+// Package citronentry implements the entry, the server that accepts
+// callers' requests. It serves the caller API, tells callers which entries
+// to use, routes each request to a chain of engines or to a plain upstream,
+// executes non-idempotent requests at most once, and drains on shutdown
+// without interrupting requests in flight.
 //
-// An entry is symmetric with its peers: none is set aside for control.
-// What must outlive an entry (the fleet text, the entry list, the
-// at-most-once ledger) lives in the platform's KV service.
+// All entries are equal; there is no dedicated control node. State that
+// must outlive an entry (the fleet configuration, the entry list, the
+// at-most-once ledger) is stored in the platform's KV service.
 //
-// One goroutine, the control loop (control.go), owns all control state and
-// publishes it as an immutable citronroute.Snapshot; traffic reads the
-// newest snapshot and reports what it sees of back ends over a channel.
+// A single goroutine, the control loop (control.go), owns all control state
+// and publishes it as an immutable citronroute.Snapshot. Request handlers
+// read the latest snapshot and report back end failures to the control loop
+// over a channel.
 package citronentry
 
 import (
@@ -37,11 +39,14 @@
 )
 
 const (
+	// readHeaderTimeout bounds reading the headers of a caller's request.
 	readHeaderTimeout = 5 * time.Second
-	shutdownTimeout   = 5 * time.Second
+	// shutdownTimeout bounds closing the HTTP server after the drain.
+	shutdownTimeout = 5 * time.Second
 )
 
-// Entry is one entry instance.
+// Entry is a server that accepts callers' requests and routes them to back
+// ends. Create one with New and serve with Run.
 type Entry struct {
 	set   Settings
 	clock citronclock.Clock
@@ -49,8 +54,9 @@
 	kv    citronkv.Store
 	// instances reads the platform's instance list.
 	instances func(context.Context) ([]citronkv.Instance, error)
-	// incarnation tells this process's request ids from those of an
-	// earlier process with the same name, which engines may still hold.
+	// incarnation is unique to this process. It keeps the request IDs of
+	// this process distinct from those of an earlier process with the same
+	// name, which engines may still hold.
 	incarnation string
 	seq         atomic.Int64
 
@@ -61,13 +67,15 @@
 	gates   sync.Map // service name -> *citronadmit.Gate
 	work    *work
 	leaving atomic.Bool
-	// renewalFailed is when a renewal of the discovery lease last failed,
-	// in Unix nanoseconds.
-	renewalFailed atomic.Int64
-	metrics       *metrics
+	// lastRenewalFailure is the time of the last failed attempt to renew the
+	// discovery lease or to register under it, in Unix nanoseconds.
+	lastRenewalFailure atomic.Int64
+	metrics            *metrics
 }
 
-// New returns an entry. instances reads the platform's instance list.
+// New returns an entry that is not yet serving. It stores its shared state
+// in kv, calls the back ends through hc and reads the platform's instance
+// list with instances.
 func New(set Settings, clock citronclock.Clock, log *slog.Logger, kv citronkv.Store, instances func(context.Context) ([]citronkv.Instance, error), hc *http.Client) *Entry {
 	set = set.WithDefaults()
 	e := &Entry{
@@ -88,13 +96,15 @@
 	return e
 }
 
-// Metrics returns the entry's expvar map (publish it once per process).
+// Metrics returns the entry's expvar map. The caller publishes it, at most
+// once per process.
 func (e *Entry) Metrics() *expvar.Map { return e.metrics.all }
 
-// Revision is the fleet revision in force.
+// Revision returns the revision of the active fleet configuration.
 func (e *Entry) Revision() citronkv.Revision { return e.snap.Load().Fleet.Revision }
 
-// gate returns the admission gate of svc, sized for the snapshot.
+// gate returns the admission gate of svc. A new gate gets the window size
+// that s gives; publish resizes the existing ones.
 func (e *Entry) gate(s *citronroute.Snapshot, svc citronfleet.Service) *citronadmit.Gate {
 	if g, ok := e.gates.Load(svc.Name); ok {
 		return g.(*citronadmit.Gate)
@@ -103,11 +113,14 @@
 	return g.(*citronadmit.Gate)
 }
 
+// window returns the number of requests of svc that the entry may have in
+// flight under s.
 func (e *Entry) window(s *citronroute.Snapshot, svc citronfleet.Service) int {
 	return s.Window(svc, e.set.TokenGap, e.set.MaxInflight)
 }
 
-// Handler returns the caller API and the metrics at /debug/vars.
+// Handler returns an HTTP handler that serves the caller API, and the
+// metrics at /debug/vars.
 func (e *Entry) Handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	srv := deckserver.New(deck.NewEndpoints(&api{e: e}), mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, nil)
@@ -115,9 +128,9 @@
 	mux.Handle(http.MethodGet, "/debug/vars", expvar.Handler().ServeHTTP)
 	limit := e.set.MaxBody
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// Oversize bodies are refused before decoding, with 413, so a
-		// large upload cannot hold memory; MaxBytesReader covers bodies
-		// without a length.
+		// An oversized body is rejected with 413 before it is decoded, so
+		// that a large upload cannot tie up memory. MaxBytesReader covers
+		// bodies without a Content-Length.
 		if r.ContentLength > limit {
 			http.Error(w, `{"code":"too_large","message":"request body is larger than the entry takes"}`, http.StatusRequestEntityTooLarge)
 			return
@@ -127,36 +140,35 @@
 	})
 }
 
-// Run serves on ln until ctx ends, then drains: it leaves discovery,
-// takes new requests for DrainGrace, refuses them after that with
-// "draining" (they did not run), and returns once no request is in
-// flight.
+// Run serves on ln until ctx ends and then drains: it leaves discovery,
+// accepts new requests for DrainGrace, then rejects them with "draining"
+// without running them, and returns once no request is in flight.
 func (e *Entry) Run(ctx context.Context, ln net.Listener) error {
-	// Control outlives ctx: requests in flight during the drain still
-	// need to hear of failing back ends.
+	// The control loop outlives ctx: requests in flight during the drain
+	// still depend on its snapshots to avoid failing back ends.
 	bg, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	ctl := newControl(e)
-	if !ctl.loadFirst(ctx) {
+	if !ctl.loadInitial(ctx) {
 		return ln.Close()
 	}
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	defer stop()
-	dog := &citronroute.Watchdog{
+	watchdog := &citronroute.Watchdog{
 		Clock: e.clock, StallAfter: e.set.StallAfter, ProbeTimeout: e.set.ProbeTimeout,
-		Current: e.snap.Load, Frozen: e.sawFrozen,
+		Current: e.snap.Load, Frozen: e.reportFrozen,
 	}
 	tasks.Go(func() { ctl.run(bg) })
-	tasks.Go(func() { dog.Run(bg) })
-	regCtx, leave := context.WithCancel(bg)
-	defer leave()
-	left := make(chan struct{})
-	tasks.Go(func() { defer close(left); e.register(regCtx) })
+	tasks.Go(func() { watchdog.Run(bg) })
+	regCtx, deregister := context.WithCancel(bg)
+	defer deregister()
+	deregistered := make(chan struct{})
+	tasks.Go(func() { defer close(deregistered); e.register(regCtx) })
 
-	hs := &http.Server{Handler: e.Handler(), ReadHeaderTimeout: readHeaderTimeout}
+	httpServer := &http.Server{Handler: e.Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	served := make(chan error, 1)
-	go func() { served <- hs.Serve(ln) }()
+	go func() { served <- httpServer.Serve(ln) }()
 	citronevent.Log(ctx, e.log, citronevent.ProcessStarted, "role", "entry", "addr", ln.Addr().String(), "zone", e.set.Zone)
 	select {
 	case err := <-served:
@@ -166,21 +178,23 @@
 	citronevent.Log(bg, e.log, citronevent.DrainStarted, "inflight", e.work.count())
 	e.leaving.Store(true)
 	e.metrics.draining.Set(1)
-	leave()
-	<-left
-	// Callers on open connections are told to close them with their next
-	// answer, so that few race a request against the final close.
-	hs.SetKeepAlivesEnabled(false)
+	deregister()
+	<-deregistered
+	// The next response on each open connection tells the caller to close
+	// it, so that few requests race with the final close.
+	httpServer.SetKeepAlivesEnabled(false)
 	_ = e.clock.Sleep(bg, e.set.DrainGrace)
 	<-e.work.close()
-	sctx, cancel := context.WithTimeout(bg, shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(bg, shutdownTimeout)
 	defer cancel()
-	err := hs.Shutdown(sctx)
+	err := httpServer.Shutdown(shutdownCtx)
 	citronevent.Log(bg, e.log, citronevent.DrainDone)
 	return err
 }
 
-func (e *Entry) sawFrozen(b *citronroute.Backend) {
+// reportFrozen records a back end that the watchdog found frozen and reports it
+// to the control loop.
+func (e *Entry) reportFrozen(b *citronroute.Backend) {
 	e.metrics.frozen.Add(1)
 	citronevent.Log(context.Background(), e.log, citronevent.UpstreamFrozen, "backend", b.Spec.Name, "peer", b.Spec.Addr)
 	select {
