--- a/citronentry/api_test.go
+++ b/citronentry/api_test.go
@@ -10,9 +10,10 @@
 	"github.com/matryer/is"
 )
 
-// Bad input at the caller API: each case gets a typed refusal with a
-// stable code and status at once, and nothing reaches the upstream.
-func TestCallerAPIRefusesBadInput(t *testing.T) {
+// TestCallerAPIRejectsInvalidInput sends invalid requests to the caller API. The
+// entry must reject each one immediately with a stable status and code, and
+// nothing may reach the upstream.
+func TestCallerAPIRejectsInvalidInput(t *testing.T) {
 	r := newPlainRig(t, 1, 1)
 	cases := []struct {
 		name, path, body, key string
--- a/citronentry/config_test.go
+++ b/citronentry/config_test.go
@@ -14,15 +14,16 @@
 	"pgregory.net/rapid"
 )
 
-// staleStore is a fake at the Store interface: it hands the entry's
-// watch old events on top of the real ones, as a watch replayed after a
-// reconnect or a replica answering from behind would.
+// staleStore is a fake Store that adds old events to the results of Watch, as
+// a watch that replays events after a reconnect or a lagging replica would.
 type staleStore struct {
 	*citronkv.Server
 	mu    sync.Mutex
 	stale []citronkv.Item
 }
 
+// Watch returns the events of the underlying store, followed by the stale
+// ones.
 func (s *staleStore) Watch(ctx context.Context, prefix string, after citronkv.Revision) ([]citronkv.Item, citronkv.Revision, error) {
 	items, rev, err := s.Server.Watch(ctx, prefix, after)
 	s.mu.Lock()
@@ -32,17 +33,20 @@
 	return items, rev, err
 }
 
+// offer adds a stale event to the next watch result and wakes the watch with
+// a write to an unrelated key.
 func (s *staleStore) offer(it citronkv.Item) {
 	s.mu.Lock()
 	s.stale = append(s.stale, it)
 	s.mu.Unlock()
-	_, _ = s.Server.Put(context.Background(), "deck/wake", nil, citronkv.AnyRevision, 0) // wake the watch
+	_, _ = s.Server.Put(context.Background(), "deck/wake", nil, citronkv.AnyRevision, 0)
 }
 
-// Operators apply fleet texts while the KV replays old ones and goes down
-// and up. Each entry's revision in force must never go back, must reach
-// the newest accepted revision once the KV answers, and while the KV is
-// down the entry keeps the last good fleet and serves with it.
+// TestConfigNeverReverts applies fleet configurations while the KV service
+// replays old ones and becomes unavailable and available again. The active
+// revision of an entry must never decrease and must reach the newest accepted
+// revision once the KV service is available. During an outage the entry keeps
+// the last valid configuration and serves with it.
 func TestConfigNeverReverts(t *testing.T) {
 	var fake *staleStore
 	r := newModelRig(t, 4, 2, oneStage, func(s *citronkv.Server) citronkv.Store {
@@ -59,21 +63,21 @@
 		seen := []citronkv.Revision{r.entries[0].Revision(), r.entries[1].Revision()}
 		for range rapid.IntRange(1, 8).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 2).Draw(rt, "action") {
-			case 0: // an operator applies a changed text
+			case 0: // an operator applies a changed configuration
 				text := strings.Replace(string(base.Value), "fleet: t", fmt.Sprintf("fleet: t%d", len(history)), 1)
 				rev, err := r.kv.Put(context.Background(), citronconfig.Key, []byte(text), citronkv.AnyRevision, 0)
 				if err != nil {
-					continue // the KV is down: nothing was accepted
+					continue // the KV service is down; the write was not accepted
 				}
 				history = append(history, citronkv.Item{Key: citronconfig.Key, Value: []byte(text), Revision: rev})
-			case 1: // an old text is offered again
+			case 1: // the watch replays an old configuration
 				fake.offer(rapid.SampledFrom(history).Draw(rt, "old"))
 			case 2:
 				r.kv.SetFaults(citronkv.Faults{Down: rapid.Bool().Draw(rt, "down")})
 			}
 			for i, e := range r.entries {
 				if now := e.Revision(); seen[i].After(now) {
-					rt.Fatalf("entry %d went back from revision %d to %d", i, seen[i], now)
+					rt.Fatalf("entry %d reverted from revision %d to %d", i, seen[i], now)
 				} else {
 					seen[i] = now
 				}
@@ -81,13 +85,13 @@
 		}
 		r.kv.SetFaults(citronkv.Faults{})
 		newest := history[len(history)-1].Revision
-		// An entry that took an old text after the newest one stays below
-		// it; the watch back-off is at most 3 s, so 20 s is never reached
-		// by an entry that works.
+		// An entry that applied an old configuration after the newest one
+		// stays below the newest revision. The watch backoff is at most 3 s,
+		// so a correct entry stays well below the 20 s allowed here.
 		for i, e := range r.entries {
 			for tries := 0; e.Revision() != newest; tries++ {
 				if tries > 20_000 {
-					rt.Fatalf("entry %d is at revision %v, the newest accepted one is %v", i, e.Revision(), newest)
+					rt.Fatalf("entry %d is at revision %v, want the newest accepted revision %v", i, e.Revision(), newest)
 				}
 				time.Sleep(time.Millisecond)
 			}
@@ -95,7 +99,7 @@
 	})
 	is := is.New(t)
 	r.kv.SetFaults(citronkv.Faults{Down: true})
-	wantOracle(t, r.ask(0, "during-outage", 2), "during-outage", 4, 2) // last good fleet still serves
+	wantOracle(t, r.ask(0, "during-outage", 2), "during-outage", 4, 2) // served with the last valid configuration
 	r.kv.SetFaults(citronkv.Faults{})
 	is.True(!history[len(history)-1].Revision.After(r.entries[0].Revision()))
 }
--- a/citronentry/lifecycle_test.go
+++ b/citronentry/lifecycle_test.go
@@ -12,13 +12,14 @@
 	"github.com/matryer/is"
 )
 
+// oneStage is a chain of one stage with two interchangeable engines.
 var oneStage = []stage{{name: "a1", from: 0, to: 4}, {name: "a2", from: 0, to: 4}}
 
-// An engine starts leaving while the instance list has not caught up.
-// The first new request it sees is refused with the leaving mark, the
-// entry serves that request on the other engine at once, and from then
-// on sends the leaving engine no new work: callers see only whole
-// answers, and the leaving engine gets at most one refused request.
+// TestLeavingEngineGetsNoNewWork has an engine start to leave before the
+// instance list says so. The engine rejects the first new request with a
+// leaving header, and the entry immediately serves that request on the other
+// engine. From then on the leaving engine gets no new work: callers see only
+// complete responses, and the engine rejects at most one request.
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, oneStage, nil)
@@ -26,21 +27,21 @@
 	for i := range 10 {
 		wantOracle(t, r.ask(0, "p"+string(rune('a'+i)), 2), "p"+string(rune('a'+i)), 4, 2)
 	}
-	is.True(r.engines["a1"].engine.Refused.Load() <= 1) // told once, then skipped
+	is.True(r.engines["a1"].engine.Refused.Load() <= 1) // rejects one request, then is skipped
 	is.Equal(r.engines["a1"].engine.Steps.Load(), int64(0))
 }
 
-// The instance list says an engine is leaving before the engine says so
-// itself (it still answers). Once the entry has polled the list, no new
-// request reaches that engine.
+// TestInstanceListLeavingStopsNewWork marks an engine as leaving in the
+// instance list while the engine itself still accepts work. Once the entry
+// has polled the list, no new request may reach that engine.
 func TestInstanceListLeavingStopsNewWork(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, oneStage, nil)
 	r.instances.Store(&[]citronkv.Instance{{Name: "a1", State: citronkv.Leaving}})
-	for len(r.polled) > 0 { // polls that may have read the list before
+	for len(r.polled) > 0 { // discard polls that may have read the old list
 		<-r.polled
 	}
-	for range 2 { // the second poll starts after the first one was published
+	for range 2 { // the second poll starts after the first one's result was published
 		<-r.polled
 	}
 	for i := range 6 {
@@ -49,12 +50,12 @@
 	is.Equal(r.engines["a1"].engine.Steps.Load(), int64(0))
 }
 
-// A stopping entry first leaves discovery (its key is gone at once, not
-// after the lease lapses), then finishes the request it holds: the
-// caller of that request gets its whole answer. A caller that still uses
-// the old address afterwards is told "draining" or cannot connect, and
-// nothing runs for it.
-func TestGracefulShutdownCutsNothing(t *testing.T) {
+// TestGracefulShutdownFinishesRequestsInFlight stops an entry with a request
+// in flight. The entry first leaves discovery: its key is deleted at once, not
+// when the lease expires. It then finishes the request, and the caller gets
+// the complete response. A later request to the old address is rejected with
+// "draining" or cannot connect, and does not run.
+func TestGracefulShutdownFinishesRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, oneStage, nil)
 	hold := make(chan struct{})
@@ -71,13 +72,13 @@
 		items, _, err := r.kv.Range(context.Background(), citronentry.EntriesPrefix)
 		is.NoErr(err)
 		if len(items) == 0 {
-			break // left discovery while the request is still held
+			break // the entry left discovery while the request is in flight
 		}
 		time.Sleep(time.Millisecond)
 	}
 	select {
 	case a := <-got:
-		t.Fatalf("request ended before it was released: %d %s", a.status, a.body)
+		t.Fatalf("request ended before its engine was released: status %d, body %s", a.status, a.body)
 	default:
 	}
 	close(hold)
--- a/citronentry/seed_test.go
+++ b/citronentry/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// CI gives the same verdict every time, so rapid's seed is fixed; try
-// others with -rapid.seed=N.
+// The seed of rapid is fixed so that CI runs are reproducible. Use
+// -rapid.seed=N to try other seeds.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
