--- a/citronentry/bench_test.go
+++ b/citronentry/bench_test.go
@@ -1,11 +1,11 @@
 package citronentry_test
 
-// Benchmarks. None of them asserts a time. Run them with
+// The benchmarks report times but assert none. Run them with
 //
 //	go test -run '^$' -bench . ./citronentry ./citronroute ./citronconfig
 //
-// The recovery ones report distributions over their iterations: p50, p95
-// and max, in milliseconds.
+// The recovery and configuration benchmarks report the distribution over
+// their iterations as p50, p95 and maximum, in milliseconds.
 
 import (
 	"context"
@@ -23,21 +23,28 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-type spread struct{ h *hdrhistogram.Histogram }
+// latencyStats collects durations and reports their distribution. It records
+// microseconds, up to ten minutes.
+type latencyStats struct{ h *hdrhistogram.Histogram }
 
-func newSpread() spread { return spread{hdrhistogram.New(1, 600_000_000, 3)} }
+// newLatencyStats returns an empty latencyStats.
+func newLatencyStats() latencyStats { return latencyStats{hdrhistogram.New(1, 600_000_000, 3)} }
 
-func (s spread) add(d time.Duration) { _ = s.h.RecordValue(max(1, d.Microseconds())) }
+// add records d, rounded up to one microsecond if shorter.
+func (s latencyStats) add(d time.Duration) { _ = s.h.RecordValue(max(1, d.Microseconds())) }
 
-func (s spread) report(b *testing.B) {
+// report adds the p50, p95 and maximum to the result of b and hides the
+// default ns/op.
+func (s latencyStats) report(b *testing.B) {
 	b.ReportMetric(float64(s.h.ValueAtQuantile(50))/1000, "p50-ms")
 	b.ReportMetric(float64(s.h.ValueAtQuantile(95))/1000, "p95-ms")
 	b.ReportMetric(float64(s.h.Max())/1000, "max-ms")
 	b.ReportMetric(0, "ns/op")
 }
 
-// One model request of 8 tokens through two stages, entry and engines in
-// this process: an upper bound of the entry's own cost.
+// BenchmarkModelRequest measures a model request of 8 tokens through two
+// stages. The entry and the engines share one process, so the result is an
+// upper bound of the entry's own cost.
 func BenchmarkModelRequest(b *testing.B) {
 	r := newModelRig(b, 8, 1, twoByTwo, nil)
 	b.ReportAllocs()
@@ -50,8 +57,9 @@
 	})
 }
 
-// One non-idempotent plain request: two ledger writes and one call.
-func BenchmarkOnceRequest(b *testing.B) {
+// BenchmarkNonIdempotentRequest measures a non-idempotent plain request, which
+// takes two ledger writes and one call.
+func BenchmarkNonIdempotentRequest(b *testing.B) {
 	r := newPlainRig(b, 1, 2)
 	var mu sync.Mutex
 	n := 0
@@ -71,22 +79,22 @@
 	b.ReportMetric(float64(r.kv.Counts().Writes-w0)/float64(b.N), "kv-writes/op")
 }
 
-// recover measures one fault: a request is under way when it strikes, and
-// the time runs until that request's answer is there.
-func benchRecovery(b *testing.B, strike func(*backendHandle), tokens int) {
-	s := newSpread()
+// benchRecovery measures the time from a fault until the request in flight at
+// that moment gets its response. injectFault applies the fault to an engine.
+func benchRecovery(b *testing.B, injectFault func(*testBackend), tokens int) {
+	s := newLatencyStats()
 	for range b.N {
-		r := newTunedRig(b, 8, 1, twoByTwo, nil, func(s *citronentry.Settings) { s.ProbeTimeout = 0 }) // the default
-		victim := r.engines["b1"]
+		r := newModelRigWithSettings(b, 8, 1, twoByTwo, nil, func(s *citronentry.Settings) { s.ProbeTimeout = 0 }) // 0 selects the default
+		target := r.engines["b1"]
 		hold := make(chan struct{})
-		victim.hold = hold
+		target.hold = hold
 		got := make(chan answer, 1)
 		go func() { got <- r.ask(0, "p", tokens) }()
-		for victim.work.Load() == 0 {
+		for target.work.Load() == 0 {
 			time.Sleep(100 * time.Microsecond)
 		}
 		start := time.Now()
-		strike(victim)
+		injectFault(target)
 		if a := <-got; a.status != http.StatusOK {
 			b.Fatal(a.body)
 		}
@@ -97,29 +105,31 @@
 	s.report(b)
 }
 
-// An engine is killed with a request in its hands: its connections reset.
+// BenchmarkRecoveryEngineKilled kills an engine during a request, so that its
+// connections reset.
 func BenchmarkRecoveryEngineKilled(b *testing.B) {
-	benchRecovery(b, func(v *backendHandle) { v.set(resetBefore); v.srv.CloseClientConnections() }, 8)
+	benchRecovery(b, func(target *testBackend) { target.set(resetBefore); target.srv.CloseClientConnections() }, 8)
 }
 
-// An engine freezes with a request in its hands.
+// BenchmarkRecoveryEngineFrozen freezes an engine during a request.
 func BenchmarkRecoveryEngineFrozen(b *testing.B) {
-	benchRecovery(b, func(v *backendHandle) { v.set(frozen) }, 8)
+	benchRecovery(b, func(target *testBackend) { target.set(frozen) }, 8)
 }
 
-// An upstream starts leaving while requests stream in: the time until the
-// last new call reached it.
+// BenchmarkRecoveryLeaving measures the time from the moment an engine starts
+// to leave, under a steady load of requests, until the last new call reaches
+// it.
 func BenchmarkRecoveryLeaving(b *testing.B) {
-	for _, told := range []string{"by the list", "by itself"} {
-		b.Run(strings.ReplaceAll(told, " ", "-"), func(b *testing.B) {
-			s := newSpread()
+	for _, source := range []string{"by the list", "by itself"} {
+		b.Run(strings.ReplaceAll(source, " ", "-"), func(b *testing.B) {
+			s := newLatencyStats()
 			for range b.N {
 				r := newModelRig(b, 4, 1, oneStage, nil)
 				a1 := r.engines["a1"]
 				_ = r.ask(0, "warm", 1)
 				start := time.Now()
 				last := start
-				if told == "by itself" {
+				if source == "by itself" {
 					a1.engine.SetLeaving()
 				} else {
 					r.instances.Store(&[]citronkv.Instance{{Name: "a1", State: citronkv.Leaving}})
@@ -139,11 +149,12 @@
 	}
 }
 
-// The KV service is down for a while: the time from its return until a
-// cut release is served again, and how many were refused meanwhile with
-// their final answer (never held).
+// BenchmarkRecoveryKVOutage measures the time from the end of a KV outage
+// until a non-idempotent request is served again, and the time in which
+// requests are rejected during the outage. A request during the outage gets its
+// final outcome at once; it is not held until the outage ends.
 func BenchmarkRecoveryKVOutage(b *testing.B) {
-	s, refusal := newSpread(), newSpread()
+	s, rejections := newLatencyStats(), newLatencyStats()
 	r := newPlainRig(b, 1, 1)
 	n := 0
 	for range b.N {
@@ -154,7 +165,7 @@
 			if a := r.submit(0, "release", fmt.Sprintf("k%d", n), time.Minute); a.code != "outcome_unknown" {
 				b.Fatal(a.body)
 			}
-			refusal.add(time.Since(t0))
+			rejections.add(time.Since(t0))
 		}
 		r.kv.SetFaults(citronkv.Faults{})
 		back := time.Now()
@@ -166,19 +177,20 @@
 		}
 		s.add(time.Since(back))
 	}
-	b.ReportMetric(float64(refusal.h.ValueAtQuantile(95))/1000, "refusal-p95-ms")
+	b.ReportMetric(float64(rejections.h.ValueAtQuantile(95))/1000, "refusal-p95-ms")
 	s.report(b)
 }
 
-// A configuration change: the time from apply until it is in force at
-// every entry, and the KV calls it costs.
-func BenchmarkConfigInForce(b *testing.B) {
+// BenchmarkConfigInEffect measures the time from applying a configuration
+// change until it is in effect on every entry, and the number of KV calls per
+// change.
+func BenchmarkConfigInEffect(b *testing.B) {
 	for _, entries := range []int{3, 6, 9} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			r := newModelRig(b, 8, entries, twoByTwo, nil)
 			cfg := citronconfig.Config{KV: r.kv, Clock: citronclock.Real{}}
 			text := modelFleet(8, twoByTwo, r.engines)
-			s := newSpread()
+			s := newLatencyStats()
 			c0 := r.kv.Counts()
 			t0 := time.Now()
 			for range b.N {
@@ -195,8 +207,8 @@
 				s.add(time.Since(start))
 			}
 			c := r.kv.Counts()
-			rest := time.Since(t0).Seconds() * float64(entries) // keepalives, one a second each
-			b.ReportMetric((float64(c.Writes-c0.Writes)-rest)/float64(b.N), "kv-writes/change")
+			renewals := time.Since(t0).Seconds() * float64(entries) // lease renewals, one per second and entry
+			b.ReportMetric((float64(c.Writes-c0.Writes)-renewals)/float64(b.N), "kv-writes/change")
 			b.ReportMetric(float64(c.Reads-c0.Reads)/float64(b.N), "kv-reads/change")
 			b.ReportMetric(float64(c.Watches-c0.Watches)/float64(b.N), "kv-watches/change")
 			s.report(b)
--- a/citronentry/control.go
+++ b/citronentry/control.go
@@ -40,8 +40,8 @@
 	// themselves.
 	instancePollInterval = 500 * time.Millisecond
 	instancePollPerRow   = 1500 * time.Microsecond
-	// controlTickInterval is the interval at which the control loop removes expired
-	// members and starts due probes.
+	// controlTickInterval is the interval at which the control loop removes
+	// expired members and starts due probes.
 	controlTickInterval = 100 * time.Millisecond
 	// reportCapacity is the size of the report buffer. Reports that do not
 	// fit are dropped; the next failure of the back end sends another.
--- a/citronentry/membership_test.go
+++ b/citronentry/membership_test.go
@@ -15,47 +15,49 @@
 	"github.com/matryer/is"
 )
 
-// eventually waits for what will come without a time of its own; the
-// bound only ends a test that has failed.
+// eventually polls ok until it returns true. The limit of 8,000 tries only
+// ends a test that has failed; no test depends on how long the wait takes.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	// At a millisecond a try this is shorter than discovery's linger time,
-	// so an entry that is only dropped by that does not pass for delisted.
+	// At one millisecond per try, the limit is shorter than discovery's
+	// linger time (15 s). A test that waits for an entry to be delisted
+	// therefore fails if only the end of the linger time removes it.
 	for range 8_000 {
 		if ok() {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
 
-// An engine says it is leaving, goes, and a new instance takes its name
-// and address, as in a rolling restart. It must get work again; were
-// "leaving" kept for ever, each restart would shrink the fleet until no
-// chain is left.
+// TestReplacedEngineIsUsedAgain checks that a new engine gets work after it
+// takes over the name and address of one that announced its departure, as in
+// a rolling restart. If the name stayed marked as leaving, each restart would
+// shrink the fleet until no chain of engines remained.
 func TestReplacedEngineIsUsedAgain(t *testing.T) {
 	r := newModelRig(t, 4, 1, oneStage, nil)
 	a1 := r.engines["a1"]
 	a1.engine.SetLeaving()
 	wantOracle(t, r.ask(0, "before", 2), "before", 4, 2)
-	fresh := citronengine.New(citronengine.Settings{Name: "a1", To: 4})
+	replacement := citronengine.New(citronengine.Settings{Name: "a1", To: 4})
 	mux := http.NewServeMux()
-	fresh.Mount(mux)
+	replacement.Mount(mux)
 	a1.mux.Store(mux)
 	n := 0
-	eventually(t, "work at the new instance", func() bool {
+	eventually(t, "a step at the new engine", func() bool {
 		p := fmt.Sprintf("after-%d", n)
 		n++
 		wantOracle(t, r.ask(0, p, 2), p, 4, 2)
-		return fresh.Steps.Load() > 0
+		return replacement.Steps.Load() > 0
 	})
 }
 
-// An engine fails every call but answers probes. Its failures must not
-// cost callers their answers, and each relapse doubles the time it is left
-// alone, so it fails a few calls, not every other one.
-func TestFlappingEngineIsLeftAlone(t *testing.T) {
+// TestFlappingEngineIsAvoided has one engine fail every call but answer
+// probes. Callers must still get complete responses. Each further failure
+// doubles the time for which the engine is avoided, so only a few calls may
+// reach it.
+func TestFlappingEngineIsAvoided(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, oneStage, nil)
 	r.engines["a1"].set(garbageWork)
@@ -65,23 +67,24 @@
 		wantOracle(t, r.ask(0, p, 1), p, 4, 1)
 		time.Sleep(time.Millisecond)
 	}
-	// Left alone 0.25, 0.5 and 1 s at least, it is tried four times.
+	// The engine is avoided for at least 0.25, 0.5 and 1 s, so at most four
+	// calls reach it in 2 s.
 	is.True(r.engines["a1"].work.Load() <= 4)
 }
 
-// An engine freezes with a request in its hands: it neither answers nor
-// resets. The caller, whose deadline is ten minutes off, still gets its
-// whole answer, from the spare engine.
+// TestEngineFreezesMidRequest freezes an engine during a request: it neither
+// responds nor resets the connection. The caller has a deadline of ten
+// minutes and must still get the complete response, from the spare engine.
 func TestEngineFreezesMidRequest(t *testing.T) {
 	r := newModelRig(t, 8, 1, twoByTwo, nil)
 	r.engines["b1"].freezeAfter = 3
 	wantOracle(t, r.ask(0, "layout", 6), "layout", 8, 6)
 }
 
-// An engine is slow, not frozen: it holds a step for longer than the
-// watchdog's patience but answers probes. Its step must not be abandoned:
-// in a surge that would throw away work that is only queued.
-func TestBusyEngineIsNotTakenForFrozen(t *testing.T) {
+// TestSlowEngineIsNotTreatedAsFrozen has an engine delay a step for longer
+// than StallAfter while it still answers probes. The entry must not abandon
+// the step: under high load that would discard work that is only queued.
+func TestSlowEngineIsNotTreatedAsFrozen(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
 	hold := make(chan struct{})
@@ -91,13 +94,14 @@
 	time.Sleep(4 * citronentry.DefaultSettings.StallAfter)
 	close(hold)
 	wantOracle(t, <-got, "slow", 4, 1)
-	is.Equal(r.engines["a1"].work.Load(), int64(1)) // the one step, never sent again
+	is.Equal(r.engines["a1"].work.Load(), int64(1)) // the step was sent exactly once
 }
 
-// The instance list says an engine is leaving while it generates a long
-// answer. Between two tokens the request moves to the spare engine and
-// takes its KV cache along: the answer is whole and nothing is recomputed.
-func TestRequestLeavesLeavingEngineWithItsCache(t *testing.T) {
+// TestRequestMovesOffLeavingEngineWithItsCache marks an engine as leaving in
+// the instance list while it generates a long response. Between two tokens
+// the request must move to the spare engine together with its KV cache: the
+// response is complete and nothing is recomputed.
+func TestRequestMovesOffLeavingEngineWithItsCache(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, oneStage, nil)
 	a1, a2 := r.engines["a1"], r.engines["a2"]
@@ -105,7 +109,7 @@
 	a1.hold = hold
 	got := make(chan answer, 1)
 	go func() { got <- r.ask(0, "long", 6) }()
-	eventually(t, "first step", func() bool { return a1.work.Load() == 1 })
+	eventually(t, "the first step", func() bool { return a1.work.Load() == 1 })
 	r.instances.Store(&[]citronkv.Instance{{Name: "a1", State: citronkv.Leaving}})
 	eventually(t, "a1 avoided", func() bool {
 		return strings.Contains(r.entries[0].Metrics().Get("avoided").String(), "leaving")
@@ -117,56 +121,57 @@
 	is.Equal(a2.engine.Prefills.Load(), int64(0))
 }
 
-// A caller hangs up in mid-answer. The engines' caches of its request must
-// be freed: they would fill with dead requests, and an engine that leaves
-// would wait for them.
-func TestAbandonedRequestFreesEngines(t *testing.T) {
+// TestAbandonedRequestFreesEngineCaches has a caller disconnect during the
+// response. The engines must free their caches of the request. Otherwise the
+// caches fill with abandoned requests, and a leaving engine waits for them.
+func TestAbandonedRequestFreesEngineCaches(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 8, 1, twoByTwo, nil)
 	hold := make(chan struct{})
 	defer close(hold)
 	r.engines["b1"].hold = hold
-	ctx, hangUp := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	go func() {
 		req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.addrs[0]+"/v1/services/m/requests", strings.NewReader(`{"customer":"c","max_tokens":50}`))
 		_, _ = http.DefaultClient.Do(req)
 	}()
 	eventually(t, "a step at b1", func() bool { return r.engines["b1"].work.Load() == 1 })
 	is.Equal(r.engines["a1"].engine.InFlight(), 1)
-	hangUp()
+	disconnect()
 	eventually(t, "a1 free", func() bool { return r.engines["a1"].engine.InFlight() == 0 })
 }
 
-// The KV service is down for longer than the discovery leases live, so
-// all of them lapse at once. Callers who ask meanwhile, or in the moment
-// it is back, must still be sent to every entry; an entry that stops
-// afterwards is no longer listed.
-func TestDiscoverySurvivesLapsedLeases(t *testing.T) {
+// TestDiscoverySurvivesExpiredLeases takes the KV service down for longer than
+// the lease TTL, so that all discovery leases expire at once. Discovery must
+// list every entry during the outage and while the KV service recovers. An
+// entry that stops afterwards must be delisted.
+func TestDiscoverySurvivesExpiredLeases(t *testing.T) {
 	is := is.New(t)
-	r := newTunedRig(t, 4, 2, []stage{{name: "a1", to: 4}}, nil, func(s *citronentry.Settings) { s.LeaseTTL = 150 * time.Millisecond })
+	r := newModelRigWithSettings(t, 4, 2, []stage{{name: "a1", to: 4}}, nil, func(s *citronentry.Settings) { s.LeaseTTL = 150 * time.Millisecond })
 	sweep, stop := context.WithCancel(context.Background())
 	defer stop()
 	go r.kv.Run(sweep)
 	listed := func(entry int) int { return r.listed(t, entry) }
 	eventually(t, "both listed", func() bool { return listed(0) == 2 && listed(1) == 2 })
 	r.kv.SetFaults(citronkv.Faults{Down: true})
-	eventually(t, "leases lapsed", func() bool { return r.kv.Leases() == 0 })
+	eventually(t, "leases expired", func() bool { return r.kv.Leases() == 0 })
 	is.Equal(listed(0), 2)
 	r.kv.SetFaults(citronkv.Faults{})
-	for range 300 { // across the moment the lapses arrive
+	for range 300 { // until after the deletions have reached the entries
 		is.Equal(listed(0), 2)
 		time.Sleep(time.Millisecond)
 	}
-	eventually(t, "leases taken anew", func() bool { return r.kv.Leases() >= 2 })
+	eventually(t, "leases granted again", func() bool { return r.kv.Leases() >= 2 })
 	r.cancel[1]()
 	<-r.done[1]
 	eventually(t, "the stopped entry delisted", func() bool { return listed(0) == 1 })
 }
 
-// An entry freezes or is killed: its lease lapses while the KV service is
-// well. It must leave the list at once; callers sent to a frozen entry lose
-// a whole time-out each.
-func TestLapsedEntryIsDelistedWhileKVIsWell(t *testing.T) {
+// TestExpiredEntryIsDelistedWhileKVIsHealthy expires the lease of a frozen or
+// killed entry while the KV service is healthy. Discovery must remove the
+// entry at once, because each caller sent to a frozen entry waits for a full
+// timeout.
+func TestExpiredEntryIsDelistedWhileKVIsHealthy(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, oneStage, nil)
 	ctx := context.Background()
@@ -179,11 +184,11 @@
 	eventually(t, "ghost delisted", func() bool { return r.listed(t, 0) == 1 })
 }
 
-// listed is how many entries discovery names.
-func (d *deck) listed(t *testing.T, entry int) int {
+// listed returns the number of entries that discovery returns.
+func (tc *testCluster) listed(t *testing.T, entry int) int {
 	t.Helper()
 	is := is.New(t)
-	res, err := http.Get("http://" + d.addrs[entry] + "/v1/entries?zone=a")
+	res, err := http.Get("http://" + tc.addrs[entry] + "/v1/entries?zone=a")
 	is.NoErr(err)
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
--- a/citronentry/rig_test.go
+++ b/citronentry/rig_test.go
@@ -1,8 +1,8 @@
 package citronentry_test
 
-// The test rig: entries run in-process on loopback listeners against the
-// KV stand-in (used directly as the Store, or behind a fake that injects
-// faults at the interface), stand-in engines and plain upstreams behind
+// The test rig runs entries in-process on loopback listeners. They use an
+// in-memory KV server as their Store, either directly or through a fake that
+// injects faults at the interface. Fake engines and plain upstreams run behind
 // httptest servers whose middleware injects faults.
 
 import (
@@ -30,55 +30,63 @@
 	"github.com/matryer/is"
 )
 
-// fault is what a back end's middleware does to each call.
+// fault is the way in which a back end's middleware handles each call.
 type fault int32
 
 const (
 	healthy     fault = iota
 	resetBefore       // drops the connection before the call runs
 	resetAfter        // runs the call, then drops the connection
-	frozen            // answers nothing, neither calls nor probes
-	garbage           // answers with a body that is not of the protocol
-	garbageWork       // the same, but for probes, which it answers
-	refused           // nothing listens
+	frozen            // answers neither calls nor probes
+	garbage           // answers with a body that does not match the protocol
+	garbageWork       // like garbage, but answers probes correctly
+	refused           // closes the listener, so that connections are refused
 )
 
-type backendHandle struct {
+// testBackend controls a back end under test: a fake engine or plain
+// upstream, its HTTP server and the fault to inject.
+type testBackend struct {
 	engine *citronengine.Engine
 	plain  *citronplain.Server
 	srv    *httptest.Server
 	fault  atomic.Int32
-	// work counts calls that ask for work (steps and plain calls).
+	// work counts the work calls: engine steps and plain calls, but not
+	// probes.
 	work atomic.Int64
-	// dieAfter kills the back end after that many of them (0: never).
+	// dieAfter is the number of work calls after which the back end drops
+	// the connection of every call (0: never).
 	dieAfter int64
-	// freezeAfter freezes it after that many (0: never).
+	// freezeAfter is the number of work calls after which the back end
+	// freezes (0: never).
 	freezeAfter int64
 	mux         atomic.Pointer[http.ServeMux]
-	// hold, when set, keeps each call for work waiting until it is closed.
-	hold     chan struct{}
+	// hold, if set, blocks each work call until it is closed.
+	hold chan struct{}
+	// thaw is closed to release the calls of a frozen back end.
 	thaw     chan struct{}
 	thawOnce sync.Once
-	// reserved keeps the address after the server has closed.
+	// reserved keeps the address reserved after the server has closed.
 	reserved *citronport.Reservation
 }
 
-func (b *backendHandle) addr() string { return b.srv.Listener.Addr().String() }
+func (b *testBackend) addr() string { return b.srv.Listener.Addr().String() }
 
-// listen starts the server on a reserved address.
-func (b *backendHandle) listen() {
+// listen starts the server on a reserved address, in place of the one that
+// httptest chose.
+func (b *testBackend) listen() {
 	var err error
 	if b.reserved, err = citronport.Reserve(); err != nil {
 		panic(err)
 	}
-	_ = b.srv.Listener.Close() // the one that httptest opened
+	_ = b.srv.Listener.Close() // opened by httptest
 	if b.srv.Listener, err = b.reserved.Listen(); err != nil {
 		panic(err)
 	}
 	b.srv.Start()
 }
 
-func (b *backendHandle) set(f fault) {
+// set injects f from now on.
+func (b *testBackend) set(f fault) {
 	if f == refused {
 		b.srv.Close()
 		b.reserved.Claim()
@@ -87,14 +95,15 @@
 	b.fault.Store(int32(f))
 }
 
-// stop ends the back end, letting frozen calls go first.
-func (b *backendHandle) stop() {
+// stop releases frozen calls and shuts down the back end.
+func (b *testBackend) stop() {
 	b.thawOnce.Do(func() { close(b.thaw) })
 	b.srv.CloseClientConnections()
 	b.srv.Close()
 	b.reserved.Release()
 }
 
+// drop closes the connection of a call without a response.
 func drop(w http.ResponseWriter) {
 	if hj, ok := w.(http.Hijacker); ok {
 		if c, _, err := hj.Hijack(); err == nil {
@@ -103,8 +112,9 @@
 	}
 }
 
-func newBackend(mount func(*http.ServeMux)) *backendHandle {
-	b := &backendHandle{thaw: make(chan struct{})}
+// newBackend starts a back end with the handlers that mount registers.
+func newBackend(mount func(*http.ServeMux)) *testBackend {
+	b := &testBackend{thaw: make(chan struct{})}
 	b.mux.Store(http.NewServeMux())
 	mount(b.mux.Load())
 	b.srv = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -146,43 +156,50 @@
 	return b
 }
 
-// deck is entries in front of one fleet, and the stand-ins around them.
-type deck struct {
+// testCluster is a set of entries that serve one fleet, with the fake services
+// around them.
+type testCluster struct {
 	kv      *citronkv.Server
 	store   citronkv.Store
 	entries []*citronentry.Entry
 	addrs   []string
 	cancel  []context.CancelFunc
 	done    []chan struct{}
-	// instances is what the platform's instance list answers.
+	// instances is the content of the platform's instance list.
 	instances atomic.Pointer[[]citronkv.Instance]
-	polled    chan struct{}
-	// tune changes an entry's settings before it starts.
-	tune func(*citronentry.Settings)
+	// polled receives a value for each poll of the instance list.
+	polled chan struct{}
+	// editSettings, if set, changes an entry's settings before the entry starts.
+	editSettings func(*citronentry.Settings)
 }
 
-func newDeck() *deck {
-	d := &deck{kv: citronkv.NewServer(citronclock.Real{}, 0), polled: make(chan struct{}, 64)}
-	d.store = d.kv
-	d.instances.Store(&[]citronkv.Instance{})
-	return d
+// newTestCluster returns a testCluster without entries, with an empty KV
+// server and instance list.
+func newTestCluster() *testCluster {
+	tc := &testCluster{kv: citronkv.NewServer(citronclock.Real{}, 0), polled: make(chan struct{}, 64)}
+	tc.store = tc.kv
+	tc.instances.Store(&[]citronkv.Instance{})
+	return tc
 }
 
-func (d *deck) apply(t testing.TB, fleet string) {
+// apply writes a fleet configuration to the KV server.
+func (tc *testCluster) apply(t testing.TB, fleet string) {
 	t.Helper()
-	if _, err := d.kv.Put(context.Background(), citronconfig.Key, []byte(fleet), citronkv.AnyRevision, 0); err != nil {
+	if _, err := tc.kv.Put(context.Background(), citronconfig.Key, []byte(fleet), citronkv.AnyRevision, 0); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (d *deck) start(t testing.TB, entries int) {
+// start starts a number of entries.
+func (tc *testCluster) start(t testing.TB, entries int) {
 	t.Helper()
 	for range entries {
-		d.startEntry(t)
+		tc.startEntry(t)
 	}
 }
 
-func (d *deck) startEntry(t testing.TB) {
+// startEntry starts an entry and waits until it has a configuration.
+func (tc *testCluster) startEntry(t testing.TB) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -191,39 +208,41 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	instances := func(context.Context) ([]citronkv.Instance, error) {
 		select {
-		case d.polled <- struct{}{}:
+		case tc.polled <- struct{}{}:
 		default:
 		}
-		return *d.instances.Load(), nil
+		return *tc.instances.Load(), nil
 	}
-	set := citronentry.Settings{Name: fmt.Sprintf("entry-%d", len(d.entries)), Listen: ln.Addr().String(), Zone: "a", DrainGrace: time.Millisecond}
-	// A machine that stalls for a moment must not make a busy back end look
-	// frozen: what the tests check is the answer, not how soon it comes.
+	set := citronentry.Settings{Name: fmt.Sprintf("entry-%d", len(tc.entries)), Listen: ln.Addr().String(), Zone: "a", DrainGrace: time.Millisecond}
+	// A short stall of the test machine must not make a busy back end look
+	// frozen. The tests check the response, not its latency.
 	set.ProbeTimeout = time.Second
-	if d.tune != nil {
-		d.tune(&set)
+	if tc.editSettings != nil {
+		tc.editSettings(&set)
 	}
-	e := citronentry.New(set, citronclock.Real{}, log, d.store, instances, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}})
+	e := citronentry.New(set, citronclock.Real{}, log, tc.store, instances, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = e.Run(ctx, ln) }()
 	for e.Revision().IsZero() {
 		time.Sleep(time.Millisecond)
 	}
-	d.entries = append(d.entries, e)
-	d.addrs = append(d.addrs, ln.Addr().String())
-	d.cancel = append(d.cancel, cancel)
-	d.done = append(d.done, done)
+	tc.entries = append(tc.entries, e)
+	tc.addrs = append(tc.addrs, ln.Addr().String())
+	tc.cancel = append(tc.cancel, cancel)
+	tc.done = append(tc.done, done)
 }
 
-func (d *deck) stop() {
-	for i, c := range d.cancel {
+// stop stops the entries one after the other and waits for each.
+func (tc *testCluster) stop() {
+	for i, c := range tc.cancel {
 		c()
-		<-d.done[i]
+		<-tc.done[i]
 	}
-	d.cancel = nil
+	tc.cancel = nil
 }
 
+// answer is the response to a request, with the fields the tests check.
 type answer struct {
 	status     int
 	body       string
@@ -233,10 +252,11 @@
 	outcome    string
 }
 
-// post sends one request. Status 0 means the connection failed; it is
-// returned, not fatal, so that callers on other goroutines report it.
-func (d *deck) post(entry int, path, key, body string) answer {
-	req, _ := http.NewRequest(http.MethodPost, "http://"+d.addrs[entry]+path, strings.NewReader(body))
+// post sends one request. If the connection fails, it returns status 0
+// instead of ending the test, because it also runs on goroutines that must not
+// call t.Fatal.
+func (tc *testCluster) post(entry int, path, key, body string) answer {
+	req, _ := http.NewRequest(http.MethodPost, "http://"+tc.addrs[entry]+path, strings.NewReader(body))
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
 	}
@@ -255,15 +275,17 @@
 	return answer{status: res.StatusCode, body: string(b), retryAfter: res.Header.Get("Retry-After"), tokens: v.Tokens, code: v.Code, outcome: v.Outcome}
 }
 
+// stage describes an engine and the layer range it is configured to run.
 type stage struct {
 	name     string
 	from, to int
-	// runs overrides the layers the engine really runs (a misconfigured
-	// engine); zero values mean from, to.
+	// runFrom and runTo are the layer range that a misconfigured engine
+	// actually runs. If runTo is zero, the engine runs from and to.
 	runFrom, runTo int
 }
 
-func startEngine(s stage) *backendHandle {
+// startEngine starts a fake engine for s.
+func startEngine(s stage) *testBackend {
 	rf, rt := s.from, s.to
 	if s.runTo != 0 {
 		rf, rt = s.runFrom, s.runTo
@@ -274,14 +296,16 @@
 	return b
 }
 
-// modelRig is a deck with a model service "m".
+// modelRig is a testCluster with a model service "m".
 type modelRig struct {
-	*deck
-	engines map[string]*backendHandle
+	*testCluster
+	engines map[string]*testBackend
 	layers  int
 }
 
-func modelFleet(layers int, stages []stage, engines map[string]*backendHandle) string {
+// modelFleet returns a fleet configuration with the model service "m" on the
+// given engines.
+func modelFleet(layers int, stages []stage, engines map[string]*testBackend) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "fleet: t\nzones: [a, b]\ncustomers: [{name: c}]\nservices:\n  - name: m\n    kind: model\n    layers: %d\n    engines:\n", layers)
 	first := map[int]bool{}
@@ -291,8 +315,9 @@
 	return b.String()
 }
 
-// zoneOf puts the first back end of each kind in the entries' zone and the
-// others elsewhere, so that with equal load the first is chosen.
+// zoneOf returns the zone for a new back end of a kind: the entries' zone for
+// the first of the kind and another one for the rest. With equal load, the
+// entries then choose the first. first records the kinds seen so far.
 func zoneOf(first map[int]bool, kind int) string {
 	if first[kind] {
 		return "b"
@@ -301,15 +326,19 @@
 	return "a"
 }
 
+// newModelRig starts a modelRig with default settings. store, if set, wraps
+// the KV server that the entries use.
 func newModelRig(t testing.TB, layers, entries int, stages []stage, store func(*citronkv.Server) citronkv.Store) *modelRig {
 	t.Helper()
-	return newTunedRig(t, layers, entries, stages, store, nil)
+	return newModelRigWithSettings(t, layers, entries, stages, store, nil)
 }
 
-func newTunedRig(t testing.TB, layers, entries int, stages []stage, store func(*citronkv.Server) citronkv.Store, tune func(*citronentry.Settings)) *modelRig {
+// newModelRigWithSettings is like newModelRig, but editSettings changes the
+// settings of each entry before it starts.
+func newModelRigWithSettings(t testing.TB, layers, entries int, stages []stage, store func(*citronkv.Server) citronkv.Store, editSettings func(*citronentry.Settings)) *modelRig {
 	t.Helper()
-	r := &modelRig{deck: newDeck(), engines: map[string]*backendHandle{}, layers: layers}
-	r.tune = tune
+	r := &modelRig{testCluster: newTestCluster(), engines: map[string]*testBackend{}, layers: layers}
+	r.editSettings = editSettings
 	for _, s := range stages {
 		r.engines[s.name] = startEngine(s)
 	}
@@ -322,35 +351,40 @@
 	return r
 }
 
+// stop stops the entries, then the engines.
 func (r *modelRig) stop() {
-	r.deck.stop()
+	r.testCluster.stop()
 	for _, b := range r.engines {
 		b.stop()
 	}
 }
 
+// ask sends a model request with a deadline of ten minutes.
 func (r *modelRig) ask(entry int, prompt string, tokens int) answer {
 	return r.post(entry, "/v1/services/m/requests", "", fmt.Sprintf(`{"customer":"c","prompt":%q,"max_tokens":%d,"deadline_ms":600000}`, prompt, tokens))
 }
 
-// wantOracle asserts a served answer equal to the oracle's.
+// wantOracle asserts that the request succeeded with exactly the tokens that
+// the reference implementation computes.
 func wantOracle(t *testing.T, a answer, prompt string, layers, tokens int) {
 	t.Helper()
 	is := is.NewRelaxed(t)
 	is.Equal(a.status, http.StatusOK)
-	is.Equal(a.tokens, citronengine.Oracle(prompt, layers, tokens)) // every layer once, in order
+	is.Equal(a.tokens, citronengine.Oracle(prompt, layers, tokens)) // equal only if every layer ran once and in order
 }
 
-// plainRig is a deck with a non-idempotent service "release" and an
-// idempotent one, "summary", on the same upstreams.
+// plainRig is a testCluster with two plain services on the same upstreams:
+// "release" is not idempotent, "summary" is.
 type plainRig struct {
-	*deck
-	ups []*backendHandle
+	*testCluster
+	ups []*testBackend
 }
 
+// newPlainRig starts a plainRig with the given number of entries and
+// upstreams.
 func newPlainRig(t testing.TB, entries, upstreams int) *plainRig {
 	t.Helper()
-	r := &plainRig{deck: newDeck()}
+	r := &plainRig{testCluster: newTestCluster()}
 	var list []string
 	first := map[int]bool{}
 	for i := range upstreams {
@@ -377,14 +411,16 @@
 	return r
 }
 
+// stop stops the entries, then the upstreams.
 func (r *plainRig) stop() {
-	r.deck.stop()
+	r.testCluster.stop()
 	for _, b := range r.ups {
 		b.stop()
 	}
 }
 
-// runs is how often key ran, over all upstreams.
+// runs returns how often the request with this idempotency key ran, over all
+// upstreams.
 func (r *plainRig) runs(key string) int {
 	n := 0
 	for _, b := range r.ups {
@@ -393,6 +429,7 @@
 	return n
 }
 
+// submit sends a plain request with an idempotency key and a deadline.
 func (r *plainRig) submit(entry int, service, key string, deadline time.Duration) answer {
 	return r.post(entry, "/v1/services/"+service+"/requests", key, fmt.Sprintf(`{"customer":"c","body":"plate-7","deadline_ms":%d}`, deadline.Milliseconds()))
 }
