--- a/citronledger/ledger.go
+++ b/citronledger/ledger.go
@@ -1,14 +1,14 @@
-// Package citronledger keeps non-idempotent requests to at most one run
-// across all entries.
+// Package citronledger ensures that a non-idempotent request runs at most
+// once across all entries.
 //
-// Before such a request reaches an upstream, the entry creates its
-// idempotency key in the KV service with compare-and-swap on absence.
-// Only the creator runs the request; a second arrival (a caller's retry,
-// perhaps at another entry) finds the key and gets the stored answer, or
-// "in progress". The key is not under a lease: a lease lapsing while its
-// holder is paused would let a second entry run the request again. Cost:
-// two KV writes per non-idempotent request (create, then record the
-// answer); see docs/CAPACITY.md.
+// Before the entry sends such a request to an upstream, it creates the
+// request's idempotency key in the KV service, on the condition that the key
+// is absent. Only the entry that created the key runs the request. A retry,
+// possibly at another entry, finds the key and gets the stored answer or "in
+// progress". The key has no lease: if a lease expired while its holder was
+// paused, a second entry could run the request again. Each non-idempotent
+// request costs two KV writes, one to create the key and one to record the
+// answer; see docs/CAPACITY.md.
 package citronledger
 
 import (
@@ -24,19 +24,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// State is how far a request has come.
+// State is the progress of a request in the ledger.
 type State string
 
-// States of a request in the ledger.
 const (
+	// Started means that an entry claimed the key and has not recorded an
+	// answer.
 	Started State = "started"
-	Done    State = "done"
+	// Done means that the answer is recorded.
+	Done State = "done"
 )
 
-// Record is the value kept under an idempotency key.
+// Record is the value stored under an idempotency key.
 type Record struct {
 	State State `json:"state"`
-	// Entry and Incarnation name the process that runs the request.
+	// Entry and Incarnation identify the process that runs the request.
 	Entry       string   `json:"entry"`
 	Incarnation string   `json:"incarnation"`
 	Request     string   `json:"request"`
@@ -44,77 +46,91 @@
 	Tokens      []string `json:"tokens,omitempty"`
 }
 
-// Claim is the outcome of trying to create a key.
+// Claim is the result of an attempt to create a key.
 type Claim struct {
 	Key string
-	// Owned: this entry, and no other, runs the request.
+	// Owned reports whether this entry created the key and so is the only
+	// one that runs the request.
 	Owned    bool
 	Revision citronkv.Revision
-	// Existing is what the key held when it was not ours.
+	// Existing is the record found under the key if Owned is false.
 	Existing Record
 }
 
-// ErrDown means the ledger could not be reached, so nothing may be sent
-// upstream.
+// ErrDown means that the ledger could not confirm a claim. The request must
+// not be sent to an upstream.
 var ErrDown = errors.New("at-most-once ledger unavailable")
 
 const (
-	// claimTimeout bounds the write of a claim, and its read-back.
+	// claimTimeout bounds the write of a claim and, separately, its
+	// read-back.
 	claimTimeout = time.Second
-	retryFirst   = 200 * time.Millisecond
-	retryCap     = 3 * time.Second
-	// takeBackFor bounds the effort to take back a claim of unknown fate;
-	// lateWrite is how long a write without reply may still take effect.
-	takeBackFor = 10 * time.Minute
-	lateWrite   = 5 * time.Second
+	// retryInitialDelay is the delay before the first retry of a write, and
+	// the time for which the circuit breaker stays open.
+	retryInitialDelay = 200 * time.Millisecond
+	// retryMaxDelay caps the retry delay, which doubles with each retry.
+	retryMaxDelay = 3 * time.Second
+	// undoTimeout bounds the attempts to delete an unconfirmed claim.
+	undoTimeout = 10 * time.Minute
+	// lateWriteWindow is the time for which a write without a reply may still
+	// take effect.
+	lateWriteWindow = 5 * time.Second
 )
 
-// Ledger is the at-most-once ledger in the KV service.
+// Ledger stores the at-most-once ledger in the KV service.
 type Ledger struct {
 	KV    citronkv.Store
 	Clock citronclock.Clock
 	Log   *slog.Logger
-	// Wrote and ReadBack count calls for the metrics.
+	// Wrote is called before each write and ReadBack before each read-back
+	// of a claim; they update the metrics.
 	Wrote, ReadBack func()
 
 	breaker breaker
 }
 
-// breaker keeps claims from waiting on a service that does not answer.
+// breaker is a circuit breaker. It rejects claims while the KV service does
+// not answer, so that they do not wait for it.
 type breaker struct {
 	mu sync.Mutex
-	// retryAt is when one claim is let through; zero while closed.
+	// retryAt is the time from which an open breaker admits one trial claim.
+	// It is zero while the breaker is closed.
 	retryAt time.Time
-	trying  bool
+	// trialRunning reports whether the trial claim is in progress.
+	trialRunning bool
 }
 
+// allow reports whether a claim may be sent to the KV service.
 func (b *breaker) allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.retryAt.IsZero() {
 		return true
 	}
-	if b.trying || now.Before(b.retryAt) {
+	if b.trialRunning || now.Before(b.retryAt) {
 		return false
 	}
-	b.trying = true
+	b.trialRunning = true
 	return true
 }
 
-// noVerdict ends a claim that did not find out whether the service answers.
-func (b *breaker) noVerdict() {
+// recordInconclusive ends a claim that did not show whether the KV service
+// answers. It leaves the breaker open or closed as it was.
+func (b *breaker) recordInconclusive() {
 	b.mu.Lock()
-	b.trying = false
+	b.trialRunning = false
 	b.mu.Unlock()
 }
 
-func (b *breaker) done(ok bool, now time.Time) {
+// recordResult closes the breaker after a successful claim and opens it after
+// a failed one.
+func (b *breaker) recordResult(ok bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.trying = false
+	b.trialRunning = false
 	b.retryAt = time.Time{}
 	if !ok {
-		b.retryAt = now.Add(retryFirst)
+		b.retryAt = now.Add(retryInitialDelay)
 	}
 }
 
@@ -122,29 +138,32 @@
 	return "idem/" + service + "/" + customer + "/" + idempotencyKey
 }
 
-// Claim creates the key or reports who holds it. A create whose reply is
-// lost may have been applied: the key is read back and is ours if it
-// holds our record.
+// Claim creates the key or returns the record that the key already holds. If
+// the reply to the create is lost, the create may have been applied: Claim
+// then reads the key back and owns it if it holds rec.
 //
-// While the KV service does not answer, Claim says ErrDown at once and lets
-// one claim a retryFirst through to see whether it is back; else each
-// request would be held for the time-outs of its claim and read-back, and
-// hear the same.
+// While the KV service does not answer, Claim returns ErrDown at once, and
+// admits one trial claim every retryInitialDelay to detect that the service
+// is back. Otherwise each request would wait for the timeouts of its claim
+// and its read-back, only to fail with the same error.
 func (l *Ledger) Claim(ctx context.Context, service, customer, idempotencyKey string, rec Record) (Claim, error) {
 	if !l.breaker.allow(l.Clock.Now()) {
-		return Claim{}, errors.Mark(errors.New("the KV service did not answer a moment ago"), ErrDown)
+		return Claim{}, errors.Mark(errors.New("claim idempotency key: not attempted, because the KV service did not answer the last claim"), ErrDown)
 	}
 	c, err := l.claim(ctx, key(service, customer, idempotencyKey), rec)
 	if err != nil && ctx.Err() != nil {
-		// The caller ran out of time, which says nothing of the service:
-		// one impatient caller must not have the others refused.
-		l.breaker.noVerdict()
+		// The caller's context ended. That does not show that the KV service
+		// is down, and a caller with a short deadline must not cause the
+		// requests of other callers to be rejected.
+		l.breaker.recordInconclusive()
 		return c, err
 	}
-	l.breaker.done(err == nil, l.Clock.Now())
+	l.breaker.recordResult(err == nil, l.Clock.Now())
 	return c, err
 }
 
+// claim creates key k. If the outcome of the create stays unknown, it starts
+// undoClaim in the background.
 func (l *Ledger) claim(ctx context.Context, k string, rec Record) (Claim, error) {
 	val, _ := json.Marshal(rec)
 	l.Wrote()
@@ -155,23 +174,25 @@
 	case err == nil:
 		return Claim{Key: k, Owned: true, Revision: rev}, nil
 	case errors.Is(err, citronkv.ErrConflict):
-		return l.read(ctx, k, val)
+		return l.readBack(ctx, k, val)
 	case errors.Is(err, citronkv.ErrUnavailable):
 		l.ReadBack()
 		citronevent.Log(ctx, l.Log, citronevent.LedgerReadBack, "key", k, "err", err)
-		c, err := l.read(ctx, k, val)
+		c, err := l.readBack(ctx, k, val)
 		if err != nil {
-			go l.takeBack(context.WithoutCancel(ctx), k, val)
+			go l.undoClaim(context.WithoutCancel(ctx), k, val)
 		}
 		return c, err
 	}
 	return Claim{}, errors.Mark(errors.Wrap(err, "claim idempotency key"), ErrDown)
 }
 
-func (l *Ledger) read(ctx context.Context, k string, ours []byte) (Claim, error) {
+// readBack reads key k. The returned claim is owned if the key holds exactly
+// the value own.
+func (l *Ledger) readBack(ctx context.Context, k string, own []byte) (Claim, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	it, mine, err := citronkv.ReadBack(ctx, l.KV, k, ours)
+	it, mine, err := citronkv.ReadBack(ctx, l.KV, k, own)
 	if err != nil {
 		return Claim{}, errors.Mark(errors.Wrap(err, "read back idempotency key"), ErrDown)
 	}
@@ -179,10 +200,10 @@
 		return Claim{Key: k, Owned: true, Revision: it.Revision}, nil
 	}
 	if it.Revision.IsZero() {
-		// Neither created nor held: the create did not apply yet. It may
-		// still apply later (a delayed write), which only leaves the key
-		// "started" and unrun.
-		return Claim{}, errors.Mark(errors.New("idempotency key was not created"), ErrDown)
+		// The key does not exist, so the create has not taken effect. A
+		// delayed write may still take effect later; the key is then
+		// "started", and its request does not run.
+		return Claim{}, errors.Mark(errors.New("read back idempotency key: the key does not exist, its create has not taken effect"), ErrDown)
 	}
 	var rec Record
 	if err := json.Unmarshal(it.Value, &rec); err != nil {
@@ -191,17 +212,18 @@
 	return Claim{Key: k, Revision: it.Revision, Existing: rec}, nil
 }
 
-// takeBack undoes a claim whose fate is unknown: its reply was lost and it
-// could not be read back. Its caller was told that the attempt did not
-// run, and nothing runs it; were the claim left in place, every later try
-// would hear "in progress" for ever. Only this claim's own record is
-// deleted, at the revision read, so a newer claim is never touched.
-func (l *Ledger) takeBack(ctx context.Context, k string, ours []byte) {
-	ctx, cancel := context.WithTimeout(ctx, takeBackFor)
+// undoClaim deletes a claim whose outcome is unknown because its reply was
+// lost and its read-back failed. The caller was told that this attempt did
+// not run, and nothing runs it. If the claim stayed in place, every later
+// retry would get "in progress" forever. undoClaim deletes only the record
+// of this claim, at the revision that it read, so it never deletes a newer
+// claim.
+func (l *Ledger) undoClaim(ctx context.Context, k string, own []byte) {
+	ctx, cancel := context.WithTimeout(ctx, undoTimeout)
 	defer cancel()
 	var absentSince time.Time
 	_ = l.retry(ctx, k, func() error {
-		it, mine, err := citronkv.ReadBack(ctx, l.KV, k, ours)
+		it, mine, err := citronkv.ReadBack(ctx, l.KV, k, own)
 		switch {
 		case err != nil:
 			return err
@@ -209,40 +231,42 @@
 			l.Wrote()
 			return l.KV.Delete(ctx, k, it.Revision)
 		case !it.Revision.IsZero():
-			return nil // somebody else's
+			return nil // another claim holds the key
 		}
 		now := l.Clock.Now()
 		if absentSince.IsZero() {
 			absentSince = now
 		}
-		if now.Sub(absentSince) < lateWrite {
-			return citronkv.ErrUnavailable // it may still take effect: look again
+		if now.Sub(absentSince) < lateWriteWindow {
+			return citronkv.ErrUnavailable // the create may still take effect: read again
 		}
 		return nil
 	})
 }
 
-// retry calls write until it ends other than by ErrUnavailable or ctx ends.
+// retry calls write until it returns anything but ErrUnavailable, or until ctx
+// ends.
 func (l *Ledger) retry(ctx context.Context, k string, write func() error) error {
-	wait := retryFirst
+	delay := retryInitialDelay
 	for {
 		err := write()
 		if !errors.Is(err, citronkv.ErrUnavailable) {
 			return err
 		}
 		citronevent.Log(ctx, l.Log, citronevent.LedgerRetry, "key", k, "err", err)
-		if err := l.Clock.Sleep(ctx, wait); err != nil {
+		if err := l.Clock.Sleep(ctx, delay); err != nil {
 			return err
 		}
-		wait = min(2*wait, retryCap)
+		delay = min(2*delay, retryMaxDelay)
 	}
 }
 
-// Settle records the answer so a retry gets it without running again. A
-// write that fails is tried again until ctx ends: its reply may have been
-// lost or the service down for a moment, and writing the same record at
-// the same revision twice cannot harm (the second is a conflict). Giving
-// up loses only the replay: the key stays "started", never run twice.
+// Settle records the answer, so that a retry gets it without running the
+// request again. Settle retries a write that ends with ErrUnavailable until
+// ctx ends: the reply may be lost or the service briefly down. A second write
+// of the same record at the same revision is harmless, because it ends with a
+// conflict. If Settle gives up, the key stays "started": no retry gets the
+// answer, but the request still does not run twice.
 func (l *Ledger) Settle(ctx context.Context, c Claim, rec Record) {
 	val, _ := json.Marshal(rec)
 	_ = l.retry(ctx, c.Key, func() error {
@@ -252,8 +276,8 @@
 	})
 }
 
-// Release deletes a key whose request provably did not run, so that the
-// caller may send it again.
+// Release deletes the key of a request that is known not to have run, so that
+// the caller may send the request again.
 func (l *Ledger) Release(ctx context.Context, c Claim) {
 	_ = l.retry(ctx, c.Key, func() error {
 		l.Wrote()
