--- a/citronentry/trouble.go
+++ b/citronentry/trouble.go
@@ -1,12 +1,12 @@
 package citronentry
 
-// Back ends in trouble. One that traffic or the watchdog reports gets no
-// new work until a probe finds it well again, so no caller's request is
-// spent on finding out. A back end's name is reused when its instance is
-// replaced, so "leaving" ends the same way: a probe that finds an instance
-// under that name which takes work. One that answers probes but fails
-// calls would come and go with every probe; each relapse doubles the time
-// it is left alone.
+// Unhealthy back ends. A back end that traffic or the watchdog reports gets
+// no new work until a probe finds it healthy, so that no caller's request is
+// needed to find out. The state "leaving" ends in the same way: the name of a
+// back end is reused when its instance is replaced, and a probe then finds an
+// instance under that name that takes work. A back end that answers probes
+// but fails calls would alternate between the two states with every probe;
+// each relapse therefore doubles the time until the next probe.
 
 import (
 	"context"
@@ -17,84 +17,100 @@
 )
 
 const (
-	probeFirst = 250 * time.Millisecond
-	probeCap   = 10 * time.Second
-	// relapseMemory is how long a cleared trouble is remembered.
-	relapseMemory = 30 * time.Second
+	// probeInitialDelay is the time from the first report of a back end to
+	// its first probe.
+	probeInitialDelay = 250 * time.Millisecond
+	// probeMaxDelay caps the probe delay, which doubles with each relapse and
+	// each probe that finds the back end unhealthy.
+	probeMaxDelay = 10 * time.Second
+	// relapseWindow is the time after recovery during which a new report
+	// counts as a relapse.
+	relapseWindow = 30 * time.Second
 )
 
-// trouble is what is known of one back end.
-type trouble struct {
-	reason  citronroute.Reason
-	wait    time.Duration
-	due     time.Time
-	probing bool
-	// cleared is when a probe found it well; zero while it is avoided.
-	cleared time.Time
+// failureRecord is the health state of one back end that was reported.
+type failureRecord struct {
+	reason citronroute.Reason
+	// probeDelay is the current delay before a probe, and nextProbe the time
+	// from which the next probe may start.
+	probeDelay time.Duration
+	nextProbe  time.Time
+	probing    bool
+	// recoveredAt is when a probe found the back end healthy. It is zero
+	// while the back end is avoided.
+	recoveredAt time.Time
 }
 
-// troubles by back end name; the control goroutine owns them.
-type troubles map[string]*trouble
+// troubles maps back end names to their failure records. The control goroutine
+// owns it.
+type troubles map[string]*failureRecord
 
+// avoid returns the back ends that get no new work, with the reasons.
 func (ts troubles) avoid() map[string]citronroute.Reason {
 	out := map[string]citronroute.Reason{}
 	for name, t := range ts {
-		if t.cleared.IsZero() {
+		if t.recoveredAt.IsZero() {
 			out[name] = t.reason
 		}
 	}
 	return out
 }
 
-// report notes trouble and says whether the back end was free of it.
-func (ts troubles) report(name string, why citronroute.Reason, now time.Time) bool {
+// report records a failure of the back end name. It returns true if the back
+// end was considered healthy until then.
+func (ts troubles) report(name string, reason citronroute.Reason, now time.Time) bool {
 	t := ts[name]
 	if t == nil {
-		ts[name] = &trouble{reason: why, wait: probeFirst, due: now.Add(probeFirst)}
+		ts[name] = &failureRecord{reason: reason, probeDelay: probeInitialDelay, nextProbe: now.Add(probeInitialDelay)}
 		return true
 	}
-	if t.cleared.IsZero() {
+	if t.recoveredAt.IsZero() {
 		return false
 	}
-	t.reason, t.cleared = why, time.Time{}
-	t.wait = min(2*t.wait, probeCap)
-	t.due = now.Add(t.wait)
+	t.reason, t.recoveredAt = reason, time.Time{}
+	t.probeDelay = min(2*t.probeDelay, probeMaxDelay)
+	t.nextProbe = now.Add(t.probeDelay)
 	return true
 }
 
+// probeResult is the outcome of one probe of a back end.
 type probeResult struct {
 	backend string
 	health  citronroute.Health
 	err     error
 }
 
+// takeReport records a report from traffic or the watchdog. The event is
+// logged only if the back end was considered healthy until then.
 func (c *control) takeReport(ctx context.Context, r report) {
 	if !c.trouble.report(r.backend, r.reason, c.e.clock.Now()) {
 		return
 	}
 	c.dirty = true
-	ev := citronevent.UpstreamAvoided
+	event := citronevent.UpstreamAvoided
 	if r.reason == citronroute.Leaving {
-		ev = citronevent.UpstreamLeaving
+		event = citronevent.UpstreamLeaving
 	}
-	citronevent.Log(ctx, c.e.log, ev, "backend", r.backend, "reason", string(r.reason))
+	citronevent.Log(ctx, c.e.log, event, "backend", r.backend, "reason", string(r.reason))
 }
 
-// probeDue starts the probes whose time has come and forgets old troubles.
+// probeDue starts the probes that are due. It deletes the records of back ends
+// that recovered more than relapseWindow ago or are no longer configured.
 func (c *control) probeDue(ctx context.Context, now time.Time) {
 	s := c.e.snap.Load()
 	for name, t := range c.trouble {
 		b, known := s.Backends[name]
 		switch {
-		case !known, !t.cleared.IsZero() && now.Sub(t.cleared) > relapseMemory:
+		case !known, !t.recoveredAt.IsZero() && now.Sub(t.recoveredAt) > relapseWindow:
 			delete(c.trouble, name)
-		case t.cleared.IsZero() && !t.probing && now.After(t.due):
+		case t.recoveredAt.IsZero() && !t.probing && now.After(t.nextProbe):
 			t.probing = true
 			go c.probe(ctx, b)
 		}
 	}
 }
 
+// probe probes b and hands the result to the control loop.
 func (c *control) probe(ctx context.Context, b *citronroute.Backend) {
 	c.e.metrics.probes.Add(1)
 	pctx, cancel := context.WithTimeout(ctx, c.e.set.ProbeTimeout)
@@ -106,6 +122,8 @@
 	}
 }
 
+// takeProbe records the result of a probe: the back end has recovered, or the
+// next probe is postponed and the reason updated.
 func (c *control) takeProbe(ctx context.Context, p probeResult) {
 	t := c.trouble[p.backend]
 	if t == nil {
@@ -113,21 +131,21 @@
 	}
 	now := c.e.clock.Now()
 	t.probing = false
-	why := t.reason
+	newReason := t.reason
 	switch {
 	case p.err != nil:
 	case p.health.Leaving:
-		why = citronroute.Leaving
+		newReason = citronroute.Leaving
 	case p.health.WrongLayers:
-		why = citronroute.WrongLayers
+		newReason = citronroute.WrongLayers
 	default:
-		t.cleared = now
+		t.recoveredAt = now
 		c.dirty = true
 		citronevent.Log(ctx, c.e.log, citronevent.UpstreamBack, "backend", p.backend, "was", string(t.reason))
 		return
 	}
-	c.dirty = c.dirty || why != t.reason
-	t.reason = why
-	t.wait = min(2*t.wait, probeCap)
-	t.due = now.Add(t.wait)
+	c.dirty = c.dirty || newReason != t.reason
+	t.reason = newReason
+	t.probeDelay = min(2*t.probeDelay, probeMaxDelay)
+	t.nextProbe = now.Add(t.probeDelay)
 }
