--- a/citronentry/model.go
+++ b/citronentry/model.go
@@ -1,11 +1,11 @@
 package citronentry
 
-// The route of a model request. The entry drives each token through the
-// chain, stage by stage, and so always knows which positions each stage
-// holds. A stage that fails is replaced, under a new attempt number, by
-// engines holding the same layers, which recompute the positions they
-// lack (prefill); a stage that is leaving is replaced between tokens and
-// hands its KV cache over, so nothing is recomputed.
+// Model requests. For each token, the entry itself calls the stages of the
+// chain one after another, and therefore knows which positions each stage
+// holds. A stage that fails is replaced, under a new attempt number, by engines
+// that hold the same layers and recompute the missing positions (prefill). A
+// stage that is leaving is replaced between two tokens and hands over its KV
+// cache, so that nothing is recomputed.
 
 import (
 	"context"
@@ -21,45 +21,52 @@
 )
 
 const (
-	// maxReplacements bounds how often one request's stages are replaced.
+	// maxReplacements is the maximum number of stage replacements and cache
+	// rebuilds of one request.
 	maxReplacements = 8
-	// cancelTimeout bounds telling an engine that a request was given up.
+	// cancelTimeout bounds the call that tells an engine to drop the cache of
+	// a request.
 	cancelTimeout = time.Second
 )
 
 // modelRun is the progress of one model request.
 type modelRun struct {
-	a     *api
-	r     *request
-	pick  citronroute.Picker
+	a      *api
+	r      *request
+	picker citronroute.Picker
+	// chain holds the engine of each stage. Together they run all layers.
 	chain []*citronroute.Backend
-	// prefill[i] is how many positions stage i must recompute: non-zero
-	// only for an engine that took over mid-request.
+	// prefill[i] is the number of positions that stage i must recompute. It
+	// is non-zero only for an engine that took over during the request or
+	// lost its cache.
 	prefill []int
-	// attempt numbers the chain: it grows with each replacement, and
-	// engines refuse steps of older attempts, so a late step of a stage
-	// that was replaced cannot touch the newer one's cache.
+	// attempt is the number of the chain. It grows with each replacement.
+	// Engines reject steps of older attempts, so that a late step for a
+	// replaced stage cannot change the cache of a newer attempt.
 	attempt      int
 	replacements int
-	reached      bool
+	// reached reports whether an engine may have run a step of the request.
+	reached bool
 }
 
+// runModel runs a model request to its last token. If r.emit is set, it also
+// sends each token as soon as it is computed.
 func (a *api) runModel(ctx context.Context, r *request) (*deck.SubmitResult, error) {
 	e := a.e
-	m := &modelRun{a: a, r: r, attempt: 1, pick: a.picker(r)}
-	if m.chain = m.pick.Chain(r.svc, 0); m.chain == nil {
-		return nil, a.giveUp(ctx, r, false, errors.Newf("service %s: no chain of engines covers its layers", r.svc.Name))
+	m := &modelRun{a: a, r: r, attempt: 1, picker: a.newPicker(r)}
+	if m.chain = m.picker.Chain(r.svc, 0); m.chain == nil {
+		return nil, a.fail(ctx, r, false, errors.Newf("service %s: no chain of engines covers its layers", r.svc.Name))
 	}
 	m.prefill = make([]int, len(m.chain))
-	bind(m.chain...)
-	defer func() { unbind(m.chain...) }()
+	bindAll(m.chain...)
+	defer func() { unbindAll(m.chain...) }()
 	tokens := make([]string, 0, r.MaxTokens)
 	var prev uint64
 	for pos := range r.MaxTokens {
-		state, err := m.token(ctx, pos, prev)
+		state, err := m.computeToken(ctx, pos, prev)
 		if err != nil {
 			m.cancelAll(ctx)
-			return nil, a.giveUp(ctx, r, m.reached, err)
+			return nil, a.fail(ctx, r, m.reached, err)
 		}
 		prev = state
 		tokens = append(tokens, citronengine.Token(state))
@@ -68,7 +75,7 @@
 		}
 		if err := r.emit(pos, tokens[pos]); err != nil {
 			m.cancelAll(ctx)
-			return nil, a.giveUp(ctx, r, true, errors.Wrap(err, "send token to caller"))
+			return nil, a.fail(ctx, r, true, errors.Wrap(err, "send token to caller"))
 		}
 	}
 	e.metrics.served.Add(1)
@@ -78,9 +85,10 @@
 	return res, nil
 }
 
-// token runs one position through every stage and returns its state.
-func (m *modelRun) token(ctx context.Context, pos int, prev uint64) (uint64, error) {
-	m.evacuate(ctx, pos)
+// computeToken runs one position through all stages and returns its state. It
+// replaces the stages that fail.
+func (m *modelRun) computeToken(ctx context.Context, pos int, prev uint64) (uint64, error) {
+	m.moveOffLeaving(ctx, pos)
 	state := citronengine.Seed(deref(m.r.Prompt), pos, prev)
 	for i := 0; i < len(m.chain); {
 		out, err := m.step(ctx, i, pos, state)
@@ -90,22 +98,22 @@
 			continue
 		}
 		if ctx.Err() != nil {
-			// The step was under way: the engine may run it.
-			m.reached = m.reached || judge(err).reached
+			// The step was in flight, so the engine may run it.
+			m.reached = m.reached || classifyFailure(err).reached
 			return 0, err
 		}
-		if citronwire.Code(err) == connect.CodeFailedPrecondition && m.spend() {
-			m.prefill[i] = pos // the engine lost its cache of this request
+		if citronwire.Code(err) == connect.CodeFailedPrecondition && m.nextAttempt() {
+			m.prefill[i] = pos // the engine lost the cache of this request
 			continue
 		}
-		if err := m.replace(ctx, i, pos, err); err != nil {
+		if err := m.replaceStage(ctx, i, pos, err); err != nil {
 			return 0, err
 		}
 	}
 	return state, nil
 }
 
-// step runs one stage for one position.
+// step runs stage i for one position and returns the state that it computes.
 func (m *modelRun) step(ctx context.Context, i, pos int, state uint64) (uint64, error) {
 	b := m.chain[i]
 	s := citronengine.Step{
@@ -123,8 +131,9 @@
 	if err != nil {
 		return 0, err
 	}
-	// Tokens computed with other layers than the fleet text says look like
-	// any others; only the range the engine reports gives it away.
+	// Tokens computed with layers other than the configured ones look like
+	// correct tokens. Only the layer range that the engine reports shows the
+	// error.
 	if out.From != b.Spec.Range[0] || out.To != b.Spec.Range[1] {
 		return 0, errWrongLayers(b, out)
 	}
@@ -133,14 +142,17 @@
 	return out.State, nil
 }
 
+// wrongLayersError means that an engine ran other layers than the fleet
+// configuration assigns to it.
 type wrongLayersError struct{ error }
 
 func errWrongLayers(b *citronroute.Backend, out citronengine.Result) error {
-	return wrongLayersError{errors.Newf("engine %s ran layers [%d,%d), the fleet says [%d,%d)", b.Spec.Name, out.From, out.To, b.Spec.Range[0], b.Spec.Range[1])}
+	return wrongLayersError{errors.Newf("engine %s ran layers [%d,%d), the fleet configuration says [%d,%d)", b.Spec.Name, out.From, out.To, b.Spec.Range[0], b.Spec.Range[1])}
 }
 
-// spend uses up one replacement; false when none is left.
-func (m *modelRun) spend() bool {
+// nextAttempt counts one replacement and starts a new attempt. It returns false
+// if the request has used up its replacements.
+func (m *modelRun) nextAttempt() bool {
 	if m.replacements >= maxReplacements {
 		return false
 	}
@@ -149,25 +161,25 @@
 	return true
 }
 
-// replace swaps the stages from i on for others that hold the same layers
-// and recompute what they lack.
-func (m *modelRun) replace(ctx context.Context, i, pos int, cause error) error {
+// replaceStage reports the failed engine of stage i and replaces stage i, or all
+// stages from i on, by engines that recompute the missing positions.
+func (m *modelRun) replaceStage(ctx context.Context, i, pos int, cause error) error {
 	e := m.a.e
 	failed := m.chain[i]
-	v := judge(cause)
+	f := classifyFailure(cause)
 	if errors.As(cause, new(wrongLayersError)) {
-		v.reason = citronroute.WrongLayers
+		f.reason = citronroute.WrongLayers
 	}
-	m.reached = m.reached || v.reached
+	m.reached = m.reached || f.reached
 	e.metrics.stageFailed.Add(1)
-	citronevent.Log(ctx, e.log, citronevent.StageFailed, "request", m.r.id, "engine", failed.Spec.Name, "pos", pos, "reason", string(v.reason), "err", cause)
-	m.a.tell(failed, v.reason)
-	m.pick.Exclude(failed)
-	if !m.spend() {
+	citronevent.Log(ctx, e.log, citronevent.StageFailed, "request", m.r.id, "engine", failed.Spec.Name, "pos", pos, "reason", string(f.reason), "err", cause)
+	m.a.reportBackend(failed, f.reason)
+	m.picker.Exclude(failed)
+	if !m.nextAttempt() {
 		return errors.Wrap(cause, "too many stage replacements")
 	}
-	m.pick.Snapshot = e.snap.Load() // what has been learnt since the start
-	if !m.rechain(ctx, i, pos) {
+	m.picker.Snapshot = e.snap.Load() // includes failures reported since the request began
+	if !m.rebuildChain(ctx, i, pos) {
 		return errors.Wrapf(cause, "no engine left for layers from %d", failed.Spec.Range[0])
 	}
 	e.metrics.stageReplaced.Add(1)
@@ -175,51 +187,53 @@
 	return nil
 }
 
-// rechain puts other engines in the place of stage i: one that holds the
-// same layers if there is one, else a new chain from that boundary. Stages
-// that stay keep their caches; the others recompute the positions before
-// pos. It reports whether the layers are covered again.
-func (m *modelRun) rechain(ctx context.Context, i, pos int) bool {
-	if to := m.pick.Twin(m.r.svc, m.chain[i]); to != nil {
-		m.swap(i, to)
+// rebuildChain replaces stage i by an engine that holds the same layers. If there
+// is none, it builds a new chain from the first layer of stage i on. Engines
+// that remain in the chain keep their caches; new ones recompute the positions
+// before pos. rebuildChain returns false if no chain covers the layers.
+func (m *modelRun) rebuildChain(ctx context.Context, i, pos int) bool {
+	if to := m.picker.Twin(m.r.svc, m.chain[i]); to != nil {
+		m.setStage(i, to)
 		m.prefill[i] = pos
 		return true
 	}
-	rest := m.pick.Chain(m.r.svc, m.chain[i].Spec.Range[0])
+	rest := m.picker.Chain(m.r.svc, m.chain[i].Spec.Range[0])
 	if rest == nil {
 		return false
 	}
-	held := map[string]int{}
+	// oldPrefill maps the engines of the later stages to their prefill.
+	// Those that the new chain contains are removed from it below.
+	oldPrefill := map[string]int{}
 	for j, b := range m.chain[i+1:] {
-		held[b.Spec.Name] = m.prefill[i+1+j]
+		oldPrefill[b.Spec.Name] = m.prefill[i+1+j]
 	}
 	prefill := make([]int, len(rest))
 	for j, b := range rest {
 		prefill[j] = pos
-		if p, ok := held[b.Spec.Name]; ok {
+		if p, ok := oldPrefill[b.Spec.Name]; ok {
 			prefill[j] = p
-			delete(held, b.Spec.Name)
+			delete(oldPrefill, b.Spec.Name)
 		}
 	}
 	var dropped []*citronroute.Backend
 	for _, b := range m.chain[i+1:] {
-		if _, ok := held[b.Spec.Name]; ok {
+		if _, ok := oldPrefill[b.Spec.Name]; ok {
 			dropped = append(dropped, b)
 		}
 	}
-	unbind(m.chain[i:]...)
-	bind(rest...)
+	unbindAll(m.chain[i:]...)
+	bindAll(rest...)
 	m.chain = append(m.chain[:i:i], rest...)
 	m.prefill = append(m.prefill[:i:i], prefill...)
-	m.release(ctx, dropped)
+	m.cancelAt(ctx, dropped)
 	return true
 }
 
-// evacuate moves the request off engines that are leaving, before the
-// next token. An engine on its way out finishes what it holds, but only
-// for so long; a request that outlives that would lose its stage and have
-// it recomputed. Where the move fails the request stays where it is.
-func (m *modelRun) evacuate(ctx context.Context, pos int) {
+// moveOffLeaving moves the request off engines that are leaving, before the next
+// token. A leaving engine finishes the requests that it holds, but only for a
+// limited time; a longer request would lose the stage and recompute it. If a
+// move fails, the stage stays where it is.
+func (m *modelRun) moveOffLeaving(ctx context.Context, pos int) {
 	if pos == 0 {
 		return
 	}
@@ -228,7 +242,7 @@
 		if s.Avoid[b.Spec.Name] != citronroute.Leaving {
 			continue
 		}
-		to := m.twin(s, b)
+		to := m.pickReplacement(s, b)
 		if to == nil {
 			continue
 		}
@@ -240,45 +254,50 @@
 		if err != nil || next != pos {
 			continue
 		}
-		m.swap(i, to)
-		m.release(ctx, []*citronroute.Backend{b})
+		m.setStage(i, to)
+		m.cancelAt(ctx, []*citronroute.Backend{b})
 		m.a.e.metrics.stageMoved.Add(1)
 		citronevent.Log(ctx, m.a.e.log, citronevent.StageMoved, "request", m.r.id, "from", b.Spec.Name, "to", to.Spec.Name, "pos", pos)
 	}
 }
 
-func (m *modelRun) swap(i int, to *citronroute.Backend) {
-	bind(to)
-	unbind(m.chain[i])
+// setStage makes to the engine of stage i.
+func (m *modelRun) setStage(i int, to *citronroute.Backend) {
+	bindAll(to)
+	unbindAll(m.chain[i])
 	m.chain[i] = to
 }
 
-func bind(bs ...*citronroute.Backend) {
+// bindAll counts the request at each of bs.
+func bindAll(bs ...*citronroute.Backend) {
 	for _, b := range bs {
 		b.Bind()
 	}
 }
 
-func unbind(bs ...*citronroute.Backend) {
+// unbindAll undoes bindAll.
+func unbindAll(bs ...*citronroute.Backend) {
 	for _, b := range bs {
 		b.Unbind()
 	}
 }
 
-// twin picks the least loaded engine that holds exactly b's layers.
-func (m *modelRun) twin(s *citronroute.Snapshot, b *citronroute.Backend) *citronroute.Backend {
-	pick := m.pick
-	pick.Snapshot = s
-	return pick.Twin(m.r.svc, b)
+// pickReplacement returns the least loaded engine that holds exactly the layers
+// of b, or nil.
+func (m *modelRun) pickReplacement(s *citronroute.Snapshot, b *citronroute.Backend) *citronroute.Backend {
+	picker := m.picker
+	picker.Snapshot = s
+	return picker.Twin(m.r.svc, b)
 }
 
-// cancelAll frees the engines' caches of a request that was given up;
-// else they would fill with dead requests, and an engine that leaves
-// would wait for them.
-func (m *modelRun) cancelAll(ctx context.Context) { m.release(ctx, m.chain) }
+// cancelAll cancels the failed request at all engines of the chain. Otherwise
+// their caches would fill with abandoned requests, and a leaving engine would
+// wait for them.
+func (m *modelRun) cancelAll(ctx context.Context) { m.cancelAt(ctx, m.chain) }
 
-func (m *modelRun) release(ctx context.Context, held []*citronroute.Backend) {
-	for _, b := range held {
+// cancelAt tells engines, in the background, to drop the cache of the request.
+func (m *modelRun) cancelAt(ctx context.Context, engines []*citronroute.Backend) {
+	for _, b := range engines {
 		go func() {
 			cctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 			defer cancel()
--- a/citronentry/once.go
+++ b/citronentry/once.go
@@ -13,106 +13,112 @@
 )
 
 const (
-	// onceTimeout bounds a non-idempotent call whose service sets no
-	// timeout. It does not end when the caller stops waiting.
-	onceTimeout   = time.Minute
-	settleTimeout = time.Minute
-	// settleGrace is how long an answer waits to be recorded first.
-	settleGrace = 200 * time.Millisecond
+	// defaultOnceTimeout bounds a non-idempotent call to a service without a
+	// configured timeout. The call continues when the caller stops waiting.
+	defaultOnceTimeout = time.Minute
+	// recordTimeout bounds the recording of an outcome in the ledger.
+	recordTimeout = time.Minute
+	// maxRecordWait is the longest time for which an answer is delayed until
+	// the ledger has recorded it.
+	maxRecordWait = 200 * time.Millisecond
 )
 
-// oneCall is a non-idempotent call, which outlives its caller's wait.
-type oneCall struct {
-	// frozen is closed when the back end holding the call freezes.
+// onceCall is a non-idempotent call. It continues when its caller stops
+// waiting.
+type onceCall struct {
+	// frozen is closed when the back end that runs the call freezes.
 	frozen chan struct{}
 	freeze func()
-	// answered is closed when res and err are set.
+	// answered is closed after res and err are set.
 	answered chan struct{}
 	answer   func()
 	res      *deck.SubmitResult
 	err      error
 }
 
-func newOneCall() *oneCall {
-	o := &oneCall{frozen: make(chan struct{}), answered: make(chan struct{})}
-	o.freeze = sync.OnceFunc(func() { close(o.frozen) })
-	o.answer = sync.OnceFunc(func() { close(o.answered) })
-	return o
+func newOnceCall() *onceCall {
+	call := &onceCall{frozen: make(chan struct{}), answered: make(chan struct{})}
+	call.freeze = sync.OnceFunc(func() { close(call.frozen) })
+	call.answer = sync.OnceFunc(func() { close(call.answered) })
+	return call
 }
 
 // runOnce runs a non-idempotent request at most once across all entries.
 func (a *api) runOnce(ctx context.Context, r *request) (*deck.SubmitResult, error) {
 	e := a.e
-	claim, err := e.ledger.Claim(ctx, r.svc.Name, r.Customer, r.key(), a.record(r, citronledger.Started))
+	claim, err := e.ledger.Claim(ctx, r.svc.Name, r.Customer, r.key(), a.ledgerRecord(r, citronledger.Started))
 	if err != nil {
 		return nil, a.ledgerDown(ctx, r, err)
 	}
 	if !claim.Owned {
 		return a.duplicate(ctx, r, claim)
 	}
-	o := newOneCall()
-	go a.finishOnce(context.WithoutCancel(ctx), r, claim, o, e.work.hold())
+	call := newOnceCall()
+	go a.completeOnce(context.WithoutCancel(ctx), r, claim, call, e.work.acquire())
 	select {
-	case <-o.answered:
-		return o.res, o.err
-	case <-o.frozen:
-		return nil, a.giveUp(ctx, r, true, errors.New("the upstream stopped answering"))
+	case <-call.answered:
+		return call.res, call.err
+	case <-call.frozen:
+		return nil, a.fail(ctx, r, true, errors.New("the upstream stopped answering"))
 	case <-ctx.Done():
-		return nil, a.giveUp(ctx, r, true, errors.Wrap(ctx.Err(), "caller's deadline"))
+		return nil, a.fail(ctx, r, true, errors.Wrap(ctx.Err(), "the caller's deadline passed or the caller left before the upstream answered"))
 	}
 }
 
-// finishOnce sees a claimed call to its end and records it.
+// completeOnce runs a claimed call to its end and records the outcome.
 //
-// The call is not bound to its caller: a caller that stops waiting or
-// hangs up cannot undo what the upstream does, and cancelling the call
-// would only lose the answer, so that every later retry hears "in
-// progress" for ever. So it runs on to the service's timeout, its answer
-// goes to the ledger, and a retry gets it from there. A shutdown waits for
-// that too (leave ends the wait), except for a frozen upstream: its caller
-// has been told that the outcome is unknown, and the ledger key keeps the
-// request from running again.
-func (a *api) finishOnce(ctx context.Context, r *request, claim citronledger.Claim, o *oneCall, leave func()) {
+// The call does not depend on its caller. A caller that stops waiting or
+// disconnects cannot undo what the upstream does; if the call were cancelled,
+// its answer would be lost and every later retry would get "in progress"
+// forever. The call therefore continues until the service's timeout, its
+// answer is recorded in the ledger, and a retry gets it from there.
+//
+// A shutdown waits for the call, until leave is called. It does not wait for a
+// call to a frozen upstream: the caller has been told that the outcome is
+// unknown, and the ledger key prevents a second run.
+func (a *api) completeOnce(ctx context.Context, r *request, claim citronledger.Claim, call *onceCall, leave func()) {
 	defer leave()
 	go func() {
 		select {
-		case <-o.frozen:
+		case <-call.frozen:
 			leave()
-		case <-o.answered:
+		case <-call.answered:
 		}
 	}()
-	limit := r.svc.Timeout
-	if limit == 0 {
-		limit = onceTimeout
+	timeout := r.svc.Timeout
+	if timeout == 0 {
+		timeout = defaultOnceTimeout
 	}
-	rctx, cancel := context.WithTimeout(ctx, limit)
+	rctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	o.res, o.err = a.route(rctx, r, o)
-	// The caller hears once the answer is in the ledger, so that its retry
-	// finds it, but waits only so long for a KV service that is slow or
-	// down; the recording goes on behind its back.
+	call.res, call.err = a.route(rctx, r, call)
+	// The caller gets the answer after the ledger has recorded it, so that a
+	// retry finds it. If the KV service is slow or down, the caller waits at
+	// most maxRecordWait and the recording continues in the background.
 	wctx, recorded := context.WithCancel(ctx)
 	go func() {
-		_ = a.e.clock.Sleep(wctx, settleGrace)
-		o.answer()
+		_ = a.e.clock.Sleep(wctx, maxRecordWait)
+		call.answer()
 	}()
-	a.settle(ctx, r, claim, o.res, o.err)
+	a.recordOutcome(ctx, r, claim, call.res, call.err)
 	recorded()
-	<-o.answered
+	<-call.answered
 }
 
-func (a *api) record(r *request, state citronledger.State) citronledger.Record {
+// ledgerRecord returns the ledger record of r in the given state.
+func (a *api) ledgerRecord(r *request, state citronledger.State) citronledger.Record {
 	return citronledger.Record{State: state, Entry: a.e.set.Name, Incarnation: a.e.incarnation, Request: r.id}
 }
 
-// settle records how the call ended: its answer, or that it did not run.
-func (a *api) settle(ctx context.Context, r *request, claim citronledger.Claim, res *deck.SubmitResult, err error) {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+// recordOutcome records the answer of a call in the ledger, or releases the key
+// if the call did not run. If the outcome is unknown, the key stays in place.
+func (a *api) recordOutcome(ctx context.Context, r *request, claim citronledger.Claim, res *deck.SubmitResult, err error) {
+	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	var ref *deck.Refusal
 	switch {
 	case err == nil:
-		rec := a.record(r, citronledger.Done)
+		rec := a.ledgerRecord(r, citronledger.Done)
 		rec.Tokens, rec.Result = res.Tokens, deref(res.Result)
 		a.e.ledger.Settle(ctx, claim, rec)
 	case errors.As(err, &ref) && ref.Code == codeNotRun:
@@ -120,7 +126,8 @@
 	}
 }
 
-// duplicate answers a request whose key is already in the ledger.
+// duplicate answers a request whose idempotency key is already in the ledger:
+// with the recorded answer, "in progress" or "outcome unknown".
 func (a *api) duplicate(ctx context.Context, r *request, claim citronledger.Claim) (*deck.SubmitResult, error) {
 	e := a.e
 	rec := claim.Existing
@@ -133,8 +140,8 @@
 	}
 	ref := refusal("in_progress", "a request with this idempotency key was started and has no recorded answer yet; it will not run again", retryAfterBusy)
 	if own := rec.Incarnation == e.incarnation; !own && !e.snap.Load().Lives(rec.Entry, rec.Incarnation) {
-		// Nobody is left to record an answer: "in progress" would have
-		// the caller ask for ever.
+		// The process that ran the request is gone and cannot record an
+		// answer. With "in progress", the caller would retry forever.
 		e.metrics.unknown.Add(1)
 		ref = refusal(codeUnknown, fmt.Sprintf("entry %s, which ran the request with this idempotency key, is gone: the request may have run; it will not run again", rec.Entry), retryAfterDown)
 	}
@@ -142,11 +149,12 @@
 	return nil, ref
 }
 
-// ledgerDown answers a request that could not be claimed. This attempt
-// reached no upstream, but an earlier one with the same key may have run,
-// and only the ledger knows. Saying "not run" here was seen false (served,
-// then the KV down, then a retry told "not run"), so the caller is told
-// that the outcome is unknown and to ask again with the key.
+// ledgerDown answers a request that could not be claimed. This attempt reached
+// no upstream, but an earlier attempt with the same key may have run, and only
+// the ledger records that. "Not run" would be wrong: it was once sent for the
+// retry of a request that had been served before the KV service went down. The
+// caller is therefore told that the outcome is unknown and that it may retry
+// with the same key.
 func (a *api) ledgerDown(ctx context.Context, r *request, err error) error {
 	a.e.metrics.unknown.Add(1)
 	citronevent.Log(ctx, a.e.log, citronevent.RequestUnknown, "request", r.id, "reason", "ledger", "err", err)
--- a/citronentry/plain.go
+++ b/citronentry/plain.go
@@ -9,21 +9,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxPlainAttempts bounds how many upstreams one request tries.
+// maxPlainAttempts is the maximum number of upstreams that one request tries.
 const maxPlainAttempts = 3
 
-// runPlain sends a request to one upstream of a plain service, and to
-// another while that cannot run it twice: always when the service is
-// idempotent, else only while no upstream received the call.
-func (a *api) runPlain(ctx context.Context, r *request, once *oneCall) (*deck.SubmitResult, error) {
+// runPlain sends a request to an upstream of a plain service and, if the call
+// fails, to another one as long as the request cannot run twice: always for an
+// idempotent service, otherwise only while no upstream received the call.
+func (a *api) runPlain(ctx context.Context, r *request, once *onceCall) (*deck.SubmitResult, error) {
 	e := a.e
-	pick := a.picker(r)
-	// reached stays true once any upstream may have run the call: a later
-	// refusal by another upstream does not make "not run" true.
+	picker := a.newPicker(r)
+	// reached stays true once any upstream may have run the call, even if
+	// another upstream rejects the call later.
 	reached := false
-	var last error
+	var lastErr error
 	for range maxPlainAttempts {
-		b := pick.Upstream(r.svc)
+		b := picker.Upstream(r.svc)
 		if b == nil {
 			break
 		}
@@ -34,22 +34,24 @@
 			out.Result = &res
 			return out, nil
 		}
-		last = err
+		lastErr = err
 		if ctx.Err() != nil {
-			return nil, a.giveUp(ctx, r, true, err) // the back end is not to blame
+			return nil, a.fail(ctx, r, true, err) // ctx ended the call; this is no failure of the back end
 		}
-		v := judge(err)
-		reached = reached || v.reached
-		a.tell(b, v.reason)
-		pick.Exclude(b)
+		f := classifyFailure(err)
+		reached = reached || f.reached
+		a.reportBackend(b, f.reason)
+		picker.Exclude(b)
 		if reached && !r.svc.IsIdempotent() {
 			break
 		}
 	}
-	return nil, a.giveUp(ctx, r, reached, errors.Wrapf(last, "service %s: no upstream left", r.svc.Name))
+	return nil, a.fail(ctx, r, reached, errors.Wrapf(lastErr, "service %s: no upstream left", r.svc.Name))
 }
 
-func (a *api) callPlain(ctx context.Context, r *request, b *citronroute.Backend, once *oneCall) (string, error) {
+// callPlain sends the request to b and returns its answer. If once is set, a
+// frozen back end is reported through once, and the call itself goes on.
+func (a *api) callPlain(ctx context.Context, r *request, b *citronroute.Backend, once *onceCall) (string, error) {
 	c := citronplain.Call{Service: r.svc.Name, Customer: r.Customer, Key: r.key(), Request: r.id, Body: deref(r.Body)}
 	var res string
 	call := func(ctx context.Context) (err error) {
--- a/citronentry/serve.go
+++ b/citronentry/serve.go
@@ -1,10 +1,10 @@
 package citronentry
 
-// The caller API: a request from arrival to its final answer. Here it is
-// checked, admitted and handed to the route of its service (model.go,
-// plain.go), directly or through the at-most-once ledger (once.go). Every
-// final answer is given at once, with Retry-After where asking again may
-// help.
+// The caller API, which takes a request from its arrival to its final answer.
+// A request is checked, admitted and routed to the engines (model.go) or
+// upstreams (plain.go) of its service, directly or through the at-most-once
+// ledger (once.go). A final answer is sent as soon as it is known, with
+// Retry-After if a retry may help.
 
 import (
 	"context"
@@ -30,27 +30,32 @@
 	retryAfterDown = 2
 )
 
-// Codes of refusals that routes decide on.
+// Codes of the refusals for requests that were routed or claimed.
 const (
-	codeNotRun  = "not_run"
+	// codeNotRun means that no back end ran the request.
+	codeNotRun = "not_run"
+	// codeUnknown means that a back end may have run the request.
 	codeUnknown = "outcome_unknown"
 )
 
+// api implements the caller API for an Entry.
 type api struct{ e *Entry }
 
-// request is one caller's request on its way through the entry.
+// request is a caller's request together with the snapshot and the service by
+// which the entry handles it.
 type request struct {
 	*deck.SubmitPayload
 	id   string
 	snap *citronroute.Snapshot
 	svc  citronfleet.Service
-	// emit sends one token on to a streaming caller; nil when the caller
-	// takes the whole answer at the end.
+	// emit sends one token to a streaming caller. It is nil if the caller
+	// gets a unary response.
 	emit func(offset int, token string) error
 }
 
 func (r *request) key() string { return deref(r.IdempotencyKey) }
 
+// result returns a result with the given outcome and without an answer.
 func (r *request) result(outcome string, e *Entry) *deck.SubmitResult {
 	rev := r.snap.Fleet.Revision.Number()
 	return &deck.SubmitResult{RequestID: r.id, Outcome: outcome, Entry: e.set.Name, Revision: &rev}
@@ -83,8 +88,9 @@
 	return a.serve(ctx, p, nil)
 }
 
-// Stream implements deck.Service, for idempotent model services. Until the first token the caller gets
-// refusals as HTTP statuses; after it, as the last event of the stream.
+// Stream implements deck.Service, for idempotent model services. Before the
+// first token, a refusal is sent as an HTTP status; after it, as the last event
+// of the stream.
 func (a *api) Stream(ctx context.Context, p *deck.SubmitPayload, st deck.StreamServerStream) error {
 	sent, id := 0, ""
 	emit := func(requestID string) func(int, string) error {
@@ -105,7 +111,8 @@
 	return st.SendWithContext(ctx, &deck.TokenEvent{Type: "failed", Offset: sent, RequestID: id, Code: &ref.Code, Message: &ref.Message, RetryAfter: ref.RetryAfter})
 }
 
-// serve takes a request to its final answer.
+// serve checks, admits and runs a request and returns its final answer. If emit
+// is not nil, emit(id) returns the function that sends the request's tokens.
 func (a *api) serve(ctx context.Context, p *deck.SubmitPayload, emit func(id string) func(int, string) error) (*deck.SubmitResult, error) {
 	e := a.e
 	if !e.work.enter() {
@@ -142,8 +149,8 @@
 	return res, err
 }
 
-// check resolves the service and the customer; nil means the request may
-// go on.
+// check resolves the service and the customer of r. It returns nil if the
+// request may proceed.
 func (a *api) check(r *request) *deck.Refusal {
 	rev := r.snap.Fleet.Revision.Number()
 	svc, ok := r.snap.Service(r.Service)
@@ -157,17 +164,18 @@
 		return refusal("missing_idempotency_key", fmt.Sprintf("service %q is not idempotent: send an Idempotency-Key header", svc.Name), retryAfterNow)
 	}
 	if r.emit != nil && (svc.Kind != citronfleet.Model || !svc.IsIdempotent()) {
-		// A non-idempotent request runs on when its caller leaves; its
-		// tokens would be written into a connection that by then may
-		// serve somebody else.
+		// A non-idempotent request continues after its caller has left.
+		// Its tokens would be written to a connection that may by then
+		// serve another caller.
 		return refusal("bad_request", fmt.Sprintf("service %q does not stream: only idempotent model services do", svc.Name), retryAfterNow)
 	}
 	r.svc = svc
 	return nil
 }
 
-// admit waits for a place in the service's window. Nothing has been sent
-// upstream, nor to the ledger, while a request waits here.
+// admit waits until the service's window has free capacity for r. While a
+// request waits, nothing has been sent to a back end or to the ledger. The
+// function that admit returns frees the capacity again.
 func (a *api) admit(ctx context.Context, r *request) (func(), error) {
 	e := a.e
 	cust, _ := r.snap.Customer(r.Customer)
@@ -179,67 +187,71 @@
 		return release, nil
 	}
 	e.metrics.overloaded.Add(1)
-	after := retryAfterBusy
+	retryAfter := retryAfterBusy
 	var ref *citronadmit.Refusal
 	if errors.As(err, &ref) {
-		after = max(after, int(math.Ceil(ref.RetryAfter.Seconds())))
+		retryAfter = max(retryAfter, int(math.Ceil(ref.RetryAfter.Seconds())))
 	}
-	citronevent.Log(ctx, e.log, citronevent.RequestOverloaded, "request", r.id, "service", r.svc.Name, "retry_after", after, "err", err)
-	return nil, refusal("overloaded", "the service has more requests than it can carry; this attempt was not run", after)
+	citronevent.Log(ctx, e.log, citronevent.RequestOverloaded, "request", r.id, "service", r.svc.Name, "retry_after", retryAfter, "err", err)
+	return nil, refusal("overloaded", "the service has more requests than it can carry; this attempt was not run", retryAfter)
 }
 
-// route sends the request to its back ends. The oneCall hooks are set for
-// a plain call that must not run twice.
-func (a *api) route(ctx context.Context, r *request, once *oneCall) (*deck.SubmitResult, error) {
+// route sends the request to its back ends. once is nil unless the service is
+// not idempotent; only plain services use it.
+func (a *api) route(ctx context.Context, r *request, once *onceCall) (*deck.SubmitResult, error) {
 	if r.svc.Kind == citronfleet.Model {
 		return a.runModel(ctx, r)
 	}
 	return a.runPlain(ctx, r, once)
 }
 
-func (a *api) picker(r *request) citronroute.Picker {
+// newPicker returns a Picker of back ends for r.
+func (a *api) newPicker(r *request) citronroute.Picker {
 	return citronroute.Picker{Snapshot: r.snap, Zone: a.e.set.Zone, Now: a.e.clock.Now()}
 }
 
-// verdict is what a failed call says of its back end and of the call.
-type verdict struct {
-	// reached: the call may have run there.
+// callFailure classifies a failed call.
+type callFailure struct {
+	// reached reports whether the call may have run at the back end.
 	reached bool
-	reason  citronroute.Reason
+	// reason is the reason to avoid the back end.
+	reason citronroute.Reason
 }
 
-// judge reads a failed call. Only two answers prove that the call never
-// ran: the connection could not be made, or the back end said that it is
-// leaving and took no new work. Anything else, a time-out or a reset
-// mid-call, leaves that unknown.
-func judge(err error) verdict {
+// classifyFailure classifies the error of a call. Only two errors prove that
+// the call did not run: the connection could not be established, or the back
+// end answered that it is leaving and takes no new work. After any other error,
+// such as a timeout or a connection reset during the call, the call may have
+// run.
+func classifyFailure(err error) callFailure {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return verdict{reached: false, reason: citronroute.Failing}
+		return callFailure{reached: false, reason: citronroute.Failing}
 	}
 	var ce *connect.Error
 	if errors.As(err, &ce) && ce.Code() == connect.CodeUnavailable && ce.Meta().Get(citronwire.LeavingHeader) != "" {
-		return verdict{reached: false, reason: citronroute.Leaving}
+		return callFailure{reached: false, reason: citronroute.Leaving}
 	}
 	if errors.Is(err, citronroute.ErrFrozen) {
-		return verdict{reached: true, reason: citronroute.Frozen}
+		return callFailure{reached: true, reason: citronroute.Frozen}
 	}
-	return verdict{reached: true, reason: citronroute.Failing}
+	return callFailure{reached: true, reason: citronroute.Failing}
 }
 
-// tell reports a back end to the control goroutine.
-func (a *api) tell(b *citronroute.Backend, why citronroute.Reason) {
-	if why == citronroute.Leaving {
+// reportBackend reports a back end that failed to the control goroutine.
+func (a *api) reportBackend(b *citronroute.Backend, reason citronroute.Reason) {
+	if reason == citronroute.Leaving {
 		b.SaidLeaving(a.e.clock.Now())
 	}
 	select {
-	case a.e.reports <- report{backend: b.Spec.Name, reason: why}:
-	default: // the control loop is behind; the next failure reports again
+	case a.e.reports <- report{backend: b.Spec.Name, reason: reason}:
+	default: // the reports channel is full; the next failure is reported again
 	}
 }
 
-// giveUp is the final answer of a request that no back end answered.
-func (a *api) giveUp(ctx context.Context, r *request, reached bool, err error) error {
+// fail logs and counts a request that no back end answered, and returns its
+// refusal: "not run", or "outcome unknown" if the request reached a back end.
+func (a *api) fail(ctx context.Context, r *request, reached bool, err error) error {
 	e := a.e
 	if !reached {
 		e.metrics.notRun.Add(1)
--- a/citronentry/work.go
+++ b/citronentry/work.go
@@ -2,62 +2,65 @@
 
 import "sync"
 
-// work counts the requests in flight and, once closed, takes no new ones.
-// Counting and closing share a lock: were the "stopping?" check apart from
-// the count, a request could pass the check, the shutdown see a count of
-// zero and end, and the request be cut off unanswered.
+// work counts the requests in flight and, once closed, rejects new ones. One
+// lock guards both the count and the closed flag. With separate locks, a
+// request could pass the check of the flag, the shutdown could then see a
+// count of zero and end, and the request would be cut off without an answer.
 type work struct {
-	mu     sync.Mutex
-	n      int
-	closed bool
-	idle   chan struct{}
+	mu       sync.Mutex
+	inFlight int
+	closed   bool
+	// idle is closed once work is closed and no request is in flight.
+	idle chan struct{}
 }
 
 func newWork() *work { return &work{idle: make(chan struct{})} }
 
-// enter counts a new request; false once closed.
+// enter counts a new request. It returns false if work is closed.
 func (w *work) enter() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
 		return false
 	}
-	w.n++
+	w.inFlight++
 	return true
 }
 
-// hold counts more work of a request that is already counted; the
-// function it returns ends it.
-func (w *work) hold() func() {
+// acquire counts additional work for a request that is already counted, also
+// after close. The function that it returns ends that work.
+func (w *work) acquire() func() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.n++
+	w.inFlight++
 	return sync.OnceFunc(w.leave)
 }
 
+// leave ends what one call of enter or acquire counted.
 func (w *work) leave() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.n--
-	if w.closed && w.n == 0 {
+	w.inFlight--
+	if w.closed && w.inFlight == 0 {
 		close(w.idle)
 	}
 }
 
-// close turns new requests away and returns a channel that is closed once
-// none is in flight. It is called once.
+// close makes enter reject new requests and returns a channel that is closed
+// once no request is in flight. It must be called only once.
 func (w *work) close() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closed = true
-	if w.n == 0 {
+	if w.inFlight == 0 {
 		close(w.idle)
 	}
 	return w.idle
 }
 
+// count returns the number of requests in flight.
 func (w *work) count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.n
+	return w.inFlight
 }
