--- a/citronentry/once_test.go
+++ b/citronentry/once_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// retryUntilReplayed asks again with the key until the answer is there.
+// retryUntilReplayed retries with key until the answer is recorded.
 func (r *plainRig) retryUntilReplayed(t *testing.T, entry int, key string) answer {
 	t.Helper()
 	for range 5000 {
@@ -29,17 +29,17 @@
 	return answer{}
 }
 
-// A cut release whose upstream is slow: the caller's deadline passes, so
-// the caller is told "outcome unknown" at once with Retry-After, and
-// retries at the other entry. The retry must not run the release again:
-// it finds the idempotency key in the ledger and is told "in progress",
-// then, once the first run has finished, gets the recorded answer.
+// The upstream is slow and the caller's deadline passes. The caller gets
+// "outcome unknown" with Retry-After at once and retries at the other entry.
+// The retry must not run the request again: it finds the idempotency key in the
+// ledger and gets "in progress", and the recorded answer once the first run has
+// finished.
 func TestRetryAtOtherEntryDoesNotRunTwice(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
-	defer release() // a failure must not leave the entry waiting
+	defer release() // a failed check must not leave the entry waiting
 	r.ups[0].plain.Hold = hold
 	first := r.submit(0, "release", "k1", 100*time.Millisecond)
 	is.Equal(first.code, "outcome_unknown")
@@ -51,11 +51,11 @@
 	is.Equal(r.runs("k1"), 1)
 }
 
-// The caller of a cut release stops waiting, and then its entry is shut
-// down while the upstream still works on the release. The entry must not
-// exit before the answer is in the ledger: the caller's retry at another
-// entry gets that answer, not "in progress" for ever.
-func TestShutdownWaitsForCallItsCallerGaveUp(t *testing.T) {
+// The caller of a non-idempotent request stops waiting. The entry is then shut
+// down while the upstream still runs the request. The entry must not exit before
+// the answer is in the ledger; otherwise the caller's retry at another entry
+// would get "in progress" forever.
+func TestShutdownWaitsForAbandonedCall(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
 	hold := make(chan struct{})
@@ -70,9 +70,9 @@
 	is.Equal(r.runs("k"), 1)
 }
 
-// The KV applies the ledger create and loses its reply. The entry must
-// read the key back and find it its own, run the release once, and
-// answer "served"; a retry gets the replayed answer, not a second run.
+// The KV service applies the create of a ledger key and its reply is lost. The
+// entry must read the key back, find its own record, run the request once and
+// answer "served". A retry gets the replayed answer and no second run.
 func TestLostLedgerReplyIsReadBack(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
@@ -85,10 +85,10 @@
 	is.Equal(r.runs("k2"), 1)
 }
 
-// The KV is down: the entry cannot claim the key, so it must not call the
-// upstream. It cannot know whether an earlier attempt with the key ran,
-// so it answers "outcome unknown" (502, Retry-After, the key) at once,
-// never "not run". Once the KV is back, the same key runs exactly once.
+// The KV service is down. The entry cannot claim the key and must not call the
+// upstream. It cannot know whether an earlier attempt with the key ran, so it
+// answers "outcome unknown" (502, Retry-After, the key) at once and never "not
+// run". Once the KV service is back, the request with the key runs exactly once.
 func TestKVDownRunsNothing(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
@@ -104,19 +104,19 @@
 	is.Equal(r.runs("k3"), 1)
 }
 
-// Random interleavings of submits at either entry, retries of old keys,
-// lost KV replies and KV outages. Oracle: every key runs at most once;
-// a "not run" answer means the upstream never ran it at that moment; a
-// "served" or "replayed" answer means it ran exactly once. Once the KV is
-// well, asking again with any key must end in its answer: a key left
-// "started" by a claim that never ran would be refused for ever.
+// Random interleavings of requests at either entry, retries of old keys, lost
+// KV replies and KV outages. Every key runs at most once. After a "not run"
+// answer, no upstream has run the key so far; after "served" or "replayed", it
+// has run exactly once. Once the KV service is healthy, retries with any key must
+// end in its answer. The failure to guard against is a key left "started" by a
+// claim that never ran: its retries would be refused forever.
 func TestAtMostOnceStateful(t *testing.T) {
 	r := newPlainRig(t, 2, 1)
 	n := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		n++
 		var keys []string
-		judge := func(key string, a answer) {
+		checkAnswer := func(key string, a answer) {
 			runs := r.runs(key)
 			switch {
 			case runs > 1:
@@ -140,7 +140,7 @@
 				} else {
 					keys = append(keys, key)
 				}
-				judge(key, r.submit(rapid.IntRange(0, 1).Draw(rt, "entry"), "release", key, time.Second))
+				checkAnswer(key, r.submit(rapid.IntRange(0, 1).Draw(rt, "entry"), "release", key, time.Second))
 			}
 		}
 		r.kv.SetFaults(citronkv.Faults{})
@@ -148,21 +148,21 @@
 			a := r.submit(i%2, "release", key, time.Minute)
 			for tries := 0; a.status != http.StatusOK; tries++ {
 				if tries > 8_000 {
-					rt.Fatalf("key %s is refused for ever: %s", key, a.body)
+					rt.Fatalf("key %s is still refused after the last retry: %s", key, a.body)
 				}
 				time.Sleep(time.Millisecond)
 				a = r.submit(i%2, "release", key, time.Minute)
 			}
-			judge(key, a)
+			checkAnswer(key, a)
 		}
 	})
 }
 
-// The KV applies a claim, loses its reply and goes down before the entry
-// can read the key back. The caller is told "outcome unknown"; nothing
-// ran. Once the KV is back, the entry must take its claim back, so that
-// the caller's next try runs instead of hearing "in progress" for ever.
-func TestClaimOfUnknownFateIsTakenBack(t *testing.T) {
+// The KV service applies a claim, loses its reply and goes down before the entry
+// can read the key back. The caller gets "outcome unknown", and nothing runs.
+// Once the KV service is back, the entry must undo its claim, so that the
+// caller's next retry runs instead of getting "in progress" forever.
+func TestUnconfirmedClaimIsUndone(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
 	r.kv.SetFaults(citronkv.Faults{LoseReplies: 1, DownAfterLoss: true})
@@ -174,11 +174,11 @@
 	is.Equal(r.runs("k"), 1)
 }
 
-// The KV service freezes: it takes writes and does not answer. The first
-// caller is told "outcome unknown" once its claim and its read-back have
-// timed out; those behind it must hear the same at once, without a claim
-// of their own being held against the frozen service.
-func TestFrozenKVHoldsNobodyUp(t *testing.T) {
+// The KV service freezes: it takes writes and does not answer. The first caller
+// gets "outcome unknown" after its claim and its read-back have timed out. Later
+// callers must get the same answer at once, without waiting for a claim of their
+// own.
+func TestFrozenKVFailsFast(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 1, 1)
 	r.kv.SetFaults(citronkv.Faults{Slow: time.Hour})
@@ -192,18 +192,19 @@
 	for i := range 50 {
 		is.Equal(r.submit(0, "release", fmt.Sprint(i), time.Minute).code, "outcome_unknown")
 	}
-	// One claim is let through at a time, and each takes its time-outs:
-	// of 50 callers nearly all are answered without one.
+	// The circuit breaker admits one trial claim at a time, and each lasts
+	// until its timeouts. Nearly all of the 50 callers are therefore answered
+	// without a claim.
 	is.True(claims() <= before+5)
 	is.Equal(len(r.ups[0].plain.Runs()), 0)
 	r.kv.SetFaults(citronkv.Faults{})
 	eventually(t, "served", func() bool { return r.submit(0, "release", "again", time.Minute).status == http.StatusOK })
 }
 
-// The KV service is slow and one caller impatient: its deadline ends its
-// claim. That says nothing of the KV service, so the next caller, who has
-// time, must be served, not refused because the ledger "did not answer".
-func TestImpatientCallerDoesNotStopOthers(t *testing.T) {
+// The KV service is slow, and the short deadline of one caller ends its claim.
+// That does not show that the KV service is down, so the circuit breaker must
+// stay closed and the next caller, with a longer deadline, must be served.
+func TestShortDeadlineDoesNotOpenBreaker(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 1, 1)
 	r.kv.SetFaults(citronkv.Faults{Slow: 50 * time.Millisecond})
@@ -211,11 +212,11 @@
 	is.Equal(r.submit(0, "release", "patient", time.Minute).outcome, "served")
 }
 
-// The entry that runs a release is killed before it can record the answer,
-// and another takes its name. Whether the release ran is not known, and it
-// must not run again; the caller who retries must be told so, not "in
-// progress", which would have it ask for ever.
-func TestOwnerOfKeyIsGone(t *testing.T) {
+// The entry that runs a request is killed before it records the answer, and
+// another entry takes its name. It is unknown whether the request ran, so it must
+// not run again. A retry must get "outcome unknown"; with "in progress", the
+// caller would retry forever.
+func TestRetryAfterKeyOwnerIsGone(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 1, 1)
 	_, err := r.kv.Put(context.Background(), "idem/release/c/k", []byte(`{"state":"started","entry":"entry-0","incarnation":"dead","request":"entry-0-dead-1"}`), citronkv.Absent, 0)
--- a/citronentry/pipeline_test.go
+++ b/citronentry/pipeline_test.go
@@ -11,32 +11,32 @@
 
 var twoByTwo = []stage{{name: "a1", from: 0, to: 4}, {name: "a2", from: 0, to: 4}, {name: "b1", from: 4, to: 8}, {name: "b2", from: 4, to: 8}}
 
-// A stage dies after a few steps of a request. The caller still gets the
-// whole answer, equal to the oracle's: the entry replaces the stage with
-// the other engine holding the same layers, which recomputes the
-// positions it lacks, so no token skips or repeats a layer.
-func TestStageDiesMidRequest(t *testing.T) {
+// The engine of a stage dies after a few steps of a request. The caller must
+// still get the complete answer, equal to the oracle's: the entry replaces the
+// stage by the other engine with the same layers, which recomputes the missing
+// positions, so that no token skips or repeats a layer.
+func TestStageFailsMidRequest(t *testing.T) {
 	for _, victim := range []string{"a1", "b1"} {
 		t.Run(victim, func(t *testing.T) {
 			r := newModelRig(t, 8, 1, twoByTwo, nil)
-			// Ties in load go to the entry's own zone, so the request
-			// starts on a1 and b1.
+			// With equal load, the entry prefers its own zone, so the
+			// request starts on a1 and b1.
 			r.engines[victim].dieAfter = 3
 			a := r.ask(0, "layout-"+victim, 6)
 			wantOracle(t, a, "layout-"+victim, 8, 6)
 			spare := map[string]string{"a1": "a2", "b1": "b2"}[victim]
 			if r.engines[spare].engine.Prefills.Load() == 0 {
-				t.Fatalf("%s took over without recomputing the positions it lacked", spare)
+				t.Fatalf("%s took over without recomputing the missing positions", spare)
 			}
 		})
 	}
 }
 
-// An engine runs other layers than the fleet text says (a misconfigured
-// deployment). Its answers must not reach the caller: the entry checks the
-// range each stage reports, drops that engine and serves the request on
-// one that holds the layers it claims.
-func TestEngineRunningWrongLayersIsDropped(t *testing.T) {
+// An engine runs other layers than the fleet configuration says, because its
+// deployment is misconfigured. Its results must not reach the caller: the entry
+// checks the layer range that each stage reports, replaces that engine and
+// serves the request on an engine with the configured layers.
+func TestEngineWithWrongLayersIsReplaced(t *testing.T) {
 	stages := []stage{{name: "a1", from: 0, to: 4, runFrom: 0, runTo: 5}, {name: "a2", from: 0, to: 4}, {name: "b1", from: 4, to: 8}}
 	r := newModelRig(t, 8, 1, stages, nil)
 	for i := range 4 {
@@ -45,11 +45,10 @@
 	}
 }
 
-// Many callers at once over three entries, while engines die at random
-// moments. Each caller must get exactly its own whole answer (compared
-// with the oracle for its own prompt), or a refusal, never another's
-// tokens; out-of-order completion must not mix answers.
-func TestOwnWholeAnswerUnderStageDeaths(t *testing.T) {
+// Concurrent callers use three entries while engines die at random moments. Each
+// caller must get the complete answer to its own prompt, as the oracle computes
+// it. Requests that complete out of order must not mix their tokens.
+func TestConcurrentAnswersUnderEngineFailures(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		stages := []stage{
 			{name: "a1", from: 0, to: 3},
@@ -87,9 +86,9 @@
 	})
 }
 
-// The first step of a request is still at an engine when the caller's
+// The first step of a request is in flight at an engine when the caller's
 // deadline passes. The engine may run it, so the answer must be "outcome
-// unknown", not "not run".
+// unknown" and not "not run".
 func TestDeadlineDuringFirstStep(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
--- a/citronentry/plain_test.go
+++ b/citronentry/plain_test.go
@@ -9,36 +9,41 @@
 	"github.com/matryer/is"
 )
 
-// The rig's own fault: an upstream that refuses connections has closed its
-// port. If another server were given that port meanwhile, it would answer
-// the caller, and a request that ran nowhere would look served.
+// Tests the test rig. An upstream that refuses connections has closed its port.
+// If another server could get that port in the meantime, it would answer the
+// caller, and a request that no upstream ran would look served.
 func TestRefusedUpstreamKeepsItsPort(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 1, 2)
 	for _, b := range r.ups {
 		b.set(refused)
 		_, err := net.Listen("tcp", b.addr())
-		is.True(err != nil) // the port is free for others
+		is.True(err != nil) // another server could listen on the port
 	}
 	is.Equal(r.submit(0, "release", "k", longDeadline).code, "not_run")
 }
 
+// longDeadline is much longer than a test may take, so that an answer held until
+// the deadline makes the test time out.
 const longDeadline = 10 * time.Minute
 
-// The contract between an entry and plain upstreams. Each case sets a
+// Checks the contract between an entry and plain upstreams. Each case sets a
 // fault at the first and the second upstream and sends one request with a
-// ten-minute deadline. An answer must come while the fault lasts (it is
-// never held to the deadline), and must be true: "not run" only when no
-// upstream received the call, and a non-idempotent call is never sent to
-// a second upstream once the first may have it.
+// ten-minute deadline. The answer must come while the fault lasts and must not
+// wait for the deadline. "Not run" is allowed only if no upstream received the
+// call. A non-idempotent call must not go to a second upstream once the first
+// may have received it.
 func TestPlainUpstreamFaults(t *testing.T) {
 	cases := []struct {
 		name          string
 		first, second fault
 		leaving       bool // the first upstream is leaving
-		idempotent    string
-		once          string
-		onceRuns      int
+		// idempotent and once are the expected outcomes or refusal codes
+		// for the idempotent and the non-idempotent service; onceRuns is
+		// how often the latter's request runs.
+		idempotent string
+		once       string
+		onceRuns   int
 	}{
 		{name: "both healthy", idempotent: "served", once: "served", onceRuns: 1},
 		{name: "first refuses connections", first: refused, idempotent: "served", once: "served", onceRuns: 1},
@@ -74,7 +79,7 @@
 					return
 				}
 				is.Equal(a.code, want)
-				is.True(a.retryAfter != "") // told when to come back
+				is.True(a.retryAfter != "") // the refusal carries Retry-After
 				if want == "not_run" {
 					is.Equal(r.runs("k"), 0)
 				}
--- a/citronentry/stream_test.go
+++ b/citronentry/stream_test.go
@@ -18,6 +18,8 @@
 	Code   string `json:"code"`
 }
 
+// stream posts a streaming request and returns its status and a channel of its
+// events, which is closed at the end of the stream.
 func (r *modelRig) stream(t *testing.T, body string) (int, <-chan streamEvent) {
 	t.Helper()
 	res, err := http.Post("http://"+r.addrs[0]+"/v1/services/m/streams", "application/json", strings.NewReader(body))
@@ -39,10 +41,10 @@
 	return res.StatusCode, events
 }
 
-// A caller streams an answer while a stage dies in the middle of it. The
-// tokens come as they are made, each once and in order, as the oracle has
-// them, and "done" gives their number.
-func TestStreamUnderStageDeath(t *testing.T) {
+// The engine of a stage dies while a caller streams an answer. The tokens must
+// arrive as they are computed, each once, in order and equal to the oracle's, and
+// "done" must give their number.
+func TestStreamUnderStageFailure(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 8, 1, twoByTwo, nil)
 	r.engines["b1"].dieAfter = 3
@@ -56,10 +58,10 @@
 	is.Equal(<-events, streamEvent{Type: "done", Offset: 6})
 }
 
-// Every engine of a stage dies in mid-stream. The caller has some tokens
-// already, so the status is spent; the stream must end with "failed", not
-// simply stop, or a cut answer would look like a whole one.
-func TestStreamSaysWhenItFails(t *testing.T) {
+// Every engine of a stage dies during a stream. The HTTP status has been sent
+// with the first tokens, so the stream must end with "failed". If it just ended,
+// a truncated answer would look like a complete one.
+func TestStreamEndsWithFailedEvent(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
 	r.engines["a1"].dieAfter = 2
@@ -73,8 +75,8 @@
 	is.Equal(all[2], streamEvent{Type: "failed", Offset: 2, Code: "outcome_unknown"})
 }
 
-// Nothing has been sent yet when the request fails: the caller gets a
-// plain refusal with its status, not a stream.
+// A request fails before its first token. The caller must get a refusal with an
+// HTTP status and no stream.
 func TestStreamRefusedBeforeFirstToken(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
@@ -85,16 +87,16 @@
 	is.Equal(status, http.StatusForbidden)
 }
 
-// A non-idempotent request runs on when its caller leaves, and its stream
-// would then be written into a connection that serves somebody else. So
-// such a service does not stream, nor does a plain one.
-func TestStreamOnlyWhereItMayEnd(t *testing.T) {
+// A non-idempotent request continues after its caller has left. Its stream would
+// then be written to a connection that may serve another caller, so the entry
+// must reject streams of non-idempotent services.
+func TestStreamRejectsNonIdempotentService(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
-	text := modelFleet(4, []stage{{name: "a1", to: 4}}, r.engines)
+	fleet := modelFleet(4, []stage{{name: "a1", to: 4}}, r.engines)
 	before := r.entries[0].Revision()
-	r.apply(t, strings.Replace(text, "kind: model", "kind: model\n    idempotent: false", 1))
-	eventually(t, "the change in force", func() bool { return r.entries[0].Revision().After(before) })
+	r.apply(t, strings.Replace(fleet, "kind: model", "kind: model\n    idempotent: false", 1))
+	eventually(t, "the fleet change in effect", func() bool { return r.entries[0].Revision().After(before) })
 	a := r.post(0, "/v1/services/m/streams", "key", `{"customer":"c","prompt":"nest"}`)
 	is.Equal(a.status, http.StatusBadRequest)
 	is.Equal(a.code, "bad_request")
