--- a/citronevent/event.go
+++ b/citronevent/event.go
@@ -1,9 +1,10 @@
-// Package citronevent numbers every log event that citrondeck writes.
-// Each event has a stable number, a level and a one-line meaning; the
-// catalogue in docs/EVENTS.md is the output of `citrondeck events`, so the
-// page and the code cannot drift apart.
+// Package citronevent defines the catalogue of log events.
 //
-// A component logs through Log:
+// Each event has a stable number, a name, a level and a one-line meaning. The
+// table in docs/EVENTS.md is the output of `citrondeck events`; a test compares
+// the two.
+//
+// Components log through Log:
 //
 //	citronevent.Log(ctx, logger, citronevent.ConfigApplied, "revision", rev)
 package citronevent
@@ -19,7 +20,9 @@
 // Event is the stable number of a log event.
 type Event int
 
-// The catalogue. Numbers are never reused; hundreds group by role.
+// Numbers are never reused. The hundreds group events by role: 100 for
+// processes, 200 for the configuration, 300 for entries, 500 for forwarding and
+// 600 for the control plane of nodes.
 const (
 	ProcessStarted  Event = 100
 	ProcessStopping Event = 101
@@ -99,90 +102,95 @@
 	// 400 to 403 are reserved.
 )
 
+// entry is the catalogue's description of an event.
 type entry struct {
 	level   slog.Level
 	name    string
 	meaning string
 }
 
+// catalogue describes every event. Log writes its levels and names; the meanings
+// are for readers of the log.
 var catalogue = map[Event]entry{
 	ProcessStarted:  {slog.LevelInfo, "process.started", "a process is listening; gives its role, address and zone"},
 	ProcessStopping: {slog.LevelInfo, "process.stopping", "a stop signal arrived; the process drains before it exits"},
 	ProcessStopped:  {slog.LevelInfo, "process.stopped", "the process has finished its work and exits"},
-	SettingsInvalid: {slog.LevelError, "settings.invalid", "the settings file failed its check; the process does not start"},
+	SettingsInvalid: {slog.LevelError, "settings.invalid", "the settings file is invalid; the process does not start"},
 
-	ConfigApplied:    {slog.LevelInfo, "config.applied", "an entry put a new fleet configuration in force; gives the revision"},
-	ConfigRejected:   {slog.LevelError, "config.rejected", "a fleet text failed its check and was not put in force; the last good one stays"},
-	ConfigStale:      {slog.LevelWarn, "config.stale", "the KV service offered a revision lower than the one in force; it was ignored"},
-	ConfigKVDown:     {slog.LevelWarn, "config.kv_down", "the KV service did not answer; the configuration in force is kept"},
+	ConfigApplied:    {slog.LevelInfo, "config.applied", "an entry activated a new fleet configuration; gives its revision"},
+	ConfigRejected:   {slog.LevelError, "config.rejected", "a fleet text is invalid and was not activated; the last valid one stays active"},
+	ConfigStale:      {slog.LevelWarn, "config.stale", "the KV service returned a revision lower than the active one; it was ignored"},
+	ConfigKVDown:     {slog.LevelWarn, "config.kv_down", "the KV service did not answer; the active configuration is kept"},
 	ConfigApplyRace:  {slog.LevelWarn, "config.apply_race", "apply lost a compare-and-swap to another operator's change; nothing was written"},
 	ConfigAudited:    {slog.LevelInfo, "config.audited", "apply wrote a fleet text and its audit record"},
 	InstancesChanged: {slog.LevelInfo, "instances.changed", "the instance list reported instances joining or leaving"},
 
-	RequestRejected:     {slog.LevelWarn, "request.rejected", "a caller's request was refused before any upstream saw it (bad input, unknown service)"},
+	RequestRejected:     {slog.LevelWarn, "request.rejected", "a request was rejected before any upstream received it (bad input, unknown service)"},
 	RequestNotRun:       {slog.LevelWarn, "request.not_run", "a request was answered 'not run': no upstream received it"},
 	RequestUnknown:      {slog.LevelWarn, "request.unknown", "a request was answered 'outcome unknown': an upstream may have run it"},
 	StageFailed:         {slog.LevelWarn, "stage.failed", "a pipeline stage failed mid-request; the stage is retried on another engine"},
 	StageReplaced:       {slog.LevelInfo, "stage.replaced", "a failed stage was replaced and the request resumed with a new attempt"},
-	RequestDuplicate:    {slog.LevelInfo, "request.duplicate", "a non-idempotent request came again with a known idempotency key; it was not run again"},
+	RequestDuplicate:    {slog.LevelInfo, "request.duplicate", "a non-idempotent request was sent again with a known idempotency key; it was not run again"},
 	RequestServed:       {slog.LevelDebug, "request.served", "a request was answered in full"},
-	LedgerReadBack:      {slog.LevelWarn, "ledger.read_back", "a ledger write lost its reply; the entry read the key back to learn the outcome"},
-	UpstreamLeaving:     {slog.LevelInfo, "upstream.leaving", "an upstream said it is leaving; it gets no new work from this entry"},
-	DrainStarted:        {slog.LevelInfo, "drain.started", "the entry left discovery and finishes the requests it holds"},
-	DrainDone:           {slog.LevelInfo, "drain.done", "the entry holds no request in flight"},
+	LedgerReadBack:      {slog.LevelWarn, "ledger.read_back", "the reply to a ledger write was lost; the entry read the key back to learn the outcome"},
+	UpstreamLeaving:     {slog.LevelInfo, "upstream.leaving", "an upstream announced that it is leaving; this entry sends it no new work"},
+	DrainStarted:        {slog.LevelInfo, "drain.started", "an entry or node began to drain; it announces that it is leaving and finishes the requests in flight"},
+	DrainDone:           {slog.LevelInfo, "drain.done", "an entry or node finished draining; a node gives how many requests are still in flight"},
 	DiscoveryRegistered: {slog.LevelInfo, "discovery.registered", "the entry holds its discovery lease in the KV service"},
-	UpstreamAvoided:     {slog.LevelWarn, "upstream.avoided", "a back end failed a call or a check; it gets no new work until a probe finds it well"},
-	UpstreamBack:        {slog.LevelInfo, "upstream.back", "a probe found a back end well again; it gets new work"},
-	UpstreamFrozen:      {slog.LevelWarn, "upstream.frozen", "a back end with calls in flight answered neither them nor two probes; its calls were ended"},
-	RequestOverloaded:   {slog.LevelWarn, "request.overloaded", "a request was refused before anything was sent: the service has more than it can carry"},
-	StageMoved:          {slog.LevelInfo, "stage.moved", "a request left an engine that is leaving; its kv cache went with it"},
-	ForwardRefused:      {slog.LevelWarn, "forward.refused", "a request was given an answer of the node's own; gives the reason and for how long it was held"},
-	AttemptFailed:       {slog.LevelWarn, "attempt.failed", "a call to an engine brought no sound answer; gives what is known of it"},
+	UpstreamAvoided:     {slog.LevelWarn, "upstream.avoided", "a back end failed a call or a health check; it gets no new work until a probe finds it healthy"},
+	UpstreamBack:        {slog.LevelInfo, "upstream.back", "a probe found an avoided back end healthy; it gets new work again"},
+	UpstreamFrozen:      {slog.LevelWarn, "upstream.frozen", "a back end answered neither its calls in flight nor two probes; its calls were canceled"},
+	RequestOverloaded:   {slog.LevelWarn, "request.overloaded", "a request was rejected before anything was sent: its service is at capacity"},
+	StageMoved:          {slog.LevelInfo, "stage.moved", "a request was moved off an engine that is leaving, together with its KV cache"},
+	ForwardRefused:      {slog.LevelWarn, "forward.refused", "the node itself answered a request with an error; gives the reason and how long the request was held"},
+	AttemptFailed:       {slog.LevelWarn, "attempt.failed", "an engine gave no usable response to a call; gives what is known about the failure"},
 	StreamBroken:        {slog.LevelWarn, "stream.broken", "a stream ended before its last event and could not be resumed"},
-	PartReplaced:        {slog.LevelWarn, "part.replaced", "an engine of a running stream's path died, stalled or is leaving; the stream is moved"},
+	PartReplaced:        {slog.LevelWarn, "part.replaced", "an engine on a running stream's path died, stalled or is leaving; the stream moves to another path"},
 	RepathFailed:        {slog.LevelWarn, "repath.failed", "an engine did not move a running request to another path"},
-	StreamLate:          {slog.LevelInfo, "stream.late", "a stream was whole but late: its first event or a pause took longer than its route aims for; gives the moves of its path"},
-	StreamAsked:         {slog.LevelInfo, "stream.asked", "a silent stream's first engine told which requests wait for another engine"},
-	RunCrashed:          {slog.LevelWarn, "run.crashed", "an engine ended under a run that had just begun; gives the request's fingerprint and under how many engines it counts for that (crashes)"},
-	RequestBarred:       {slog.LevelWarn, "request.barred", "a request under which several engines have ended is not sent to engines for a while; gives its fingerprint, under how many they ended, and whether this node saw the last or heard of it"},
-	LimitNamed:          {slog.LevelInfo, "limit.named", "an engine's answer named another rate limit than was known, or none any more (limited=false); gives how many requests a second it takes from all nodes"},
-	LimitInvalid:        {slog.LevelWarn, "limit.invalid", "an engine's answer named a rate limit that cannot be read; nothing of it is taken, and the first of each engine is logged"},
-	LimitHeld:           {slog.LevelInfo, "limit.held", "a request was not sent to an engine at once because of the rate limit that it names: it waits there or goes to another engine (outcome denied; the first of each request is logged)"},
-	AnswerSampled:       {slog.LevelInfo, "answer.sampled", "a request was answered in full; one in many is logged"},
-
-	TableApplied:   {slog.LevelInfo, "table.applied", "a node put a new version of the configuration in force"},
-	TableRejected:  {slog.LevelError, "table.rejected", "a configuration could not be read; the one in force stays"},
+	StreamLate:          {slog.LevelInfo, "stream.late", "a stream completed late: its first event or a pause between events took longer than its route's target; gives how often its path changed (moves)"},
+	StreamAsked:         {slog.LevelInfo, "stream.asked", "the first engine of a stalled stream reported which requests wait for another engine"},
+	RunCrashed:          {slog.LevelWarn, "run.crashed", "an engine ended during a run that had just begun; gives the request's fingerprint and the number of such engines counted for it (crashes)"},
+	RequestBarred:       {slog.LevelWarn, "request.barred", "a request during which several engines crashed is quarantined: no engine gets it for a while; gives its fingerprint, the number of crashes and whether this node or another one saw the last crash (source)"},
+	LimitNamed:          {slog.LevelInfo, "limit.named", "an engine's response changed or removed (limited=false) its rate limit; gives the requests per second that it accepts from all nodes together"},
+	LimitInvalid:        {slog.LevelWarn, "limit.invalid", "an engine's response carried a malformed rate limit, which was ignored; only the first one from each engine is logged"},
+	LimitHeld:           {slog.LevelInfo, "limit.held", "an engine's rate limit kept a request from being sent to it at once: the request waits for that engine or tries another one (outcome=denied); only the first denial of each request is logged"},
+	AnswerSampled:       {slog.LevelInfo, "answer.sampled", "a request was answered in full; only a sample of these is logged"},
+
+	TableApplied:   {slog.LevelInfo, "table.applied", "a node activated a new version of the configuration"},
+	TableRejected:  {slog.LevelError, "table.rejected", "a configuration could not be read; the active one is kept"},
 	EnginesChanged: {slog.LevelInfo, "engines.changed", "the list of engines changed; gives its revision and what changed"},
-	EnginesHeard:   {slog.LevelDebug, "engines.heard", "another node told this one of a newer list of engines; gives its revision"},
-	EngineRejected: {slog.LevelError, "engine.rejected", "an entry of the list of engines could not be read; it is left out"},
-	StoreLost:      {slog.LevelWarn, "store.lost", "the store does not answer this node; what is known stays in force"},
-	StoreBack:      {slog.LevelInfo, "store.back", "the store answers again"},
-	MemberJoined:   {slog.LevelInfo, "member.joined", "nodes were heard of, or heard differently of, since the last tick; names a few, and counts who takes callers and who leaves"},
-	MemberLost:     {slog.LevelWarn, "member.lost", "other nodes were not heard of for too long and did not answer this one either; gives how many, names a few, and how long ago the first was heard of"},
-	LeaderElected:  {slog.LevelInfo, "leader.elected", "this node holds the lease under which layers are placed"},
-	LeaderResigned: {slog.LevelWarn, "leader.resigned", "this node lost the lease, or could not renew it in time; it gives no more orders"},
-	PlacePlanned:   {slog.LevelInfo, "place.planned", "the leader decided which engines are to hold other layers; gives the reason"},
+	EnginesHeard:   {slog.LevelDebug, "engines.heard", "another node sent a newer list of engines; gives its revision"},
+	EngineRejected: {slog.LevelError, "engine.rejected", "an entry in the list of engines could not be read and is skipped"},
+	StoreLost:      {slog.LevelWarn, "store.lost", "the store does not answer this node; the last known state stays in effect"},
+	StoreBack:      {slog.LevelInfo, "store.back", "the store answers this node again"},
+	MemberJoined:   {slog.LevelInfo, "member.joined", "other nodes appeared, changed their state or came back since the last tick; names a few, and counts the nodes that accept callers (ready) and those that are leaving"},
+	MemberLost:     {slog.LevelWarn, "member.lost", "other nodes sent no update for too long and did not answer a call; gives how many, names a few, and gives the age of the first one's last update"},
+	LeaderElected:  {slog.LevelInfo, "leader.elected", "this node holds the lease that allows it to place layers"},
+	LeaderResigned: {slog.LevelWarn, "leader.resigned", "this node lost the leader lease or could not renew it in time; it sends no more placement orders"},
+	PlacePlanned:   {slog.LevelInfo, "place.planned", "the leader assigned an engine a different layer range; gives the old and the new range"},
 	PlaceOrdered:   {slog.LevelInfo, "place.ordered", "an engine accepted an order to hold a range of layers"},
-	PlaceFailed:    {slog.LevelWarn, "place.failed", "an order to hold layers was refused or not answered; the engine's state decides what follows"},
-	GossipFailed:   {slog.LevelDebug, "gossip.failed", "another node did not answer an exchange"},
-	LogDropped:     {slog.LevelWarn, "log.dropped", "log lines were dropped because the reader of the log was too slow or an event came too often"},
-	LeaderStandsIn: {slog.LevelWarn, "leader.stands_in", "no node leads and the store does not answer; this node places layers until one of the two changes"},
-	EngineDead:     {slog.LevelWarn, "engine.dead", "an engine that so many nodes (reports) found dead did not answer the leader either; its layers are placed elsewhere"},
-	EngineReborn:   {slog.LevelWarn, "engine.reborn", "an engine started anew at its address; the incarnation before it, and what ran there, has ended"},
-	EntriesKept:    {slog.LevelInfo, "entries.kept", "other engines than before stay in use although their entries are missing; gives how many (kept), some of those that changed, and why"},
-	StoreAway:      {slog.LevelWarn, "store.away", "the store was away (away=true) for all nodes that this one hears, long enough for entries to lapse, or is so no longer; gives how many nodes are unanswered, have it back, are answered or served, and this node's newest call without an answer"},
-	SettingsReload: {slog.LevelInfo, "settings.reload", "a reload was asked for; what the settings say of bounds is in force"},
-
-	StoreReturned:    {slog.LevelWarn, "store.returned", "the store came back from an older copy; gives the revision of its list (era.count) and the one known before, and how many of its entries this node has seen overtaken"},
-	BarredUnsaved:    {slog.LevelWarn, "barred.unsaved", "the record of a request that crashes engines could not be written to the store; it is tried again"},
-	LimitsRejected:   {slog.LevelWarn, "limits.rejected", "another node sent an invalid message about rate limits of engines; nothing of it is taken, and the first of each node is logged"},
-	PermitFailed:     {slog.LevelDebug, "permit.failed", "the node that deals out permits for an engine that names a rate limit did not answer; the request goes to another engine"},
-	SuspectsRejected: {slog.LevelWarn, "suspects.rejected", "another node sent an invalid message about requests that crash engines; nothing of the message is taken, and the first of each node is logged"},
-
-	LedgerRetry: {slog.LevelWarn, "ledger.retry", "recording an answer in the ledger, or taking a claim back, failed; it is tried again"},
+	PlaceFailed:    {slog.LevelWarn, "place.failed", "an engine rejected or did not answer a placement order; the next decision is based on the state that the engine reports"},
+	GossipFailed:   {slog.LevelDebug, "gossip.failed", "another node did not answer a gossip exchange"},
+	LogDropped:     {slog.LevelWarn, "log.dropped", "log lines were dropped because the log reader was too slow or an event exceeded its rate; gives how many"},
+	LeaderStandsIn: {slog.LevelWarn, "leader.stands_in", "no node leads and the store does not answer; this node is acting leader and places layers until either changes"},
+	EngineDead:     {slog.LevelWarn, "engine.dead", "an engine that other nodes reported dead (reports gives how many) did not answer the leader either; its layers are placed elsewhere"},
+	EngineReborn:   {slog.LevelWarn, "engine.reborn", "an engine restarted at its address; its previous incarnation and the requests running there have ended"},
+	EntriesKept:    {slog.LevelInfo, "entries.kept", "the set of engines retained although their entries are missing changed; gives how many are retained (kept), some of those that changed, and the reason"},
+	StoreAway:      {slog.LevelWarn, "store.away", "this node began (away=true) or ceased (away=false) to treat the store as unavailable to all nodes that it hears: an outage long enough for entries to expire, and a grace time after it; gives how many of these nodes have no answer (unanswered), have the store back after such an outage (back), were answered recently (answered) and had no such outage (served), and this node's last failed call"},
+	SettingsReload: {slog.LevelInfo, "settings.reload", "a reload was requested; the bounds in the settings file are in effect"},
+
+	StoreReturned:    {slog.LevelWarn, "store.returned", "the store was restored from an older copy; gives the new revision of its list of engines (era.count), the last one known before (was), and how many restored entries this node knows to be outdated (overtaken)"},
+	BarredUnsaved:    {slog.LevelWarn, "barred.unsaved", "the record of a quarantined request could not be written to the store; the write is retried"},
+	LimitsRejected:   {slog.LevelWarn, "limits.rejected", "another node sent an invalid message about engines' rate limits; the whole message was ignored, and only the first one from each node is logged"},
+	PermitFailed:     {slog.LevelDebug, "permit.failed", "the permit issuer of a rate-limited engine did not answer; the request goes to another engine"},
+	SuspectsRejected: {slog.LevelWarn, "suspects.rejected", "another node sent an invalid message about requests that crash engines; the whole message was ignored, and only the first one from each node is logged"},
+
+	LedgerRetry: {slog.LevelWarn, "ledger.retry", "recording an outcome in the ledger or releasing a claim failed and is retried"},
 }
 
-// Log writes event e with its number and name.
+// Log writes event e to l at the event's level, with its name as the message and
+// its number under the key "event". An event that is not in the catalogue is
+// logged as an error named "unknown".
 func Log(ctx context.Context, l *slog.Logger, e Event, args ...any) {
 	c, ok := catalogue[e]
 	if !ok {
@@ -194,13 +202,13 @@
 	out := append([]any{"event", int(e)}, args...)
 	for i, a := range out {
 		if err, ok := a.(error); ok {
-			out[i] = err.Error() // not the stack trace that the error carries
+			out[i] = err.Error() // an error's stack trace would bury its message
 		}
 	}
 	l.Log(ctx, c.level, c.name, out...)
 }
 
-// WriteCatalogue prints the catalogue as a Markdown table.
+// WriteCatalogue writes the catalogue to w as a Markdown table, sorted by number.
 func WriteCatalogue(w io.Writer) error {
 	keys := make([]int, 0, len(catalogue))
 	for k := range catalogue {
--- a/citronevent/event_test.go
+++ b/citronevent/event_test.go
@@ -13,18 +13,18 @@
 	"github.com/matryer/is"
 )
 
-// docs/EVENTS.md is the output of `citrondeck events`; this keeps them equal.
+// The table in docs/EVENTS.md must equal the output of `citrondeck events`.
 func TestCatalogueMatchesDocs(t *testing.T) {
 	is := is.New(t)
 	var b bytes.Buffer
 	is.NoErr(citronevent.WriteCatalogue(&b))
 	doc, err := os.ReadFile("../docs/EVENTS.md")
 	is.NoErr(err)
-	is.True(strings.Contains(string(doc), b.String())) // regenerate: citrondeck events
+	is.True(strings.Contains(string(doc), b.String())) // on failure, replace the table with the output of `citrondeck events`
 }
 
-// An error in a log line is its message, on one line; the stack trace that
-// the error library attaches would bury it.
+// An error is logged as its message only, on one line. The stack trace that the
+// error library attaches would bury the message.
 func TestErrorsAreLoggedWithoutStack(t *testing.T) {
 	is := is.New(t)
 	var b bytes.Buffer
