--- a/citronexplain/explain.go
+++ b/citronexplain/explain.go
@@ -1,11 +1,11 @@
-// Package citronexplain tells the story of one request, one engine or one
-// version of the configuration from the logs of all nodes.
+// Package citronexplain analyzes the logs of all nodes. Explain shows what
+// happened to one request, one engine or one version of the configuration;
+// Losses counts the requests that were not served in time, by cause.
 //
-// The nodes write one JSON object a line, each with the time, the node, the
-// numbered event and what decided it. A complaint names a request; its lines
-// may stand in the logs of several nodes, since a caller may come back to
-// another one. Explain picks the lines of the subject and, for a request,
-// those of the engines that its own lines name, and prints them in order.
+// A node's log has one JSON object per line, with the time, the node, the
+// numbered event and the values that led to it. The lines of one request may be
+// spread over the logs of several nodes because a caller may retry at another
+// node.
 package citronexplain
 
 import (
@@ -22,54 +22,59 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Subject is what a story is about; one field is set.
+// Subject selects the log lines that Explain prints. Exactly one field is set.
 type Subject struct {
+	// Request and Engine are ids.
 	Request, Engine string
-	// Print is the fingerprint of a request that came under several ids.
-	Print   string
+	// Print is the fingerprint of a request that was sent under several ids.
+	Print string
+	// Version is a version of the configuration.
 	Version int64
 }
 
-// line is one log line.
+// line is one parsed log line.
 type line struct {
 	at     time.Time
 	node   string
 	name   string
 	fields map[string]any
-	// order keeps lines of the same moment as they were read.
-	order int
+	// seq is the position in which the line was read; it orders lines of the
+	// same time.
+	seq int
 }
 
-// maxLine bounds one log line.
+// maxLine is the longest log line in bytes.
 const maxLine = 1 << 20
 
-// near is how long before and after a request's own lines those of its
-// engines are told.
-const near = 3 * time.Second
+// contextSpan is how long before the first and after the last line of a request
+// the lines about its engines are included.
+const contextSpan = 3 * time.Second
 
-// Explain reads logs and writes the story of the subject.
+// Explain reads logs and writes the lines about the subject in the order of
+// their time. For a request it includes the lines about the engines that the
+// request's own lines name. It returns an error if no line matches.
 func Explain(out io.Writer, s Subject, logs ...io.Reader) error {
-	all, err := readAll(logs)
+	all, err := readLogs(logs)
 	if err != nil {
 		return err
 	}
-	story := pick(all, s)
-	if len(story) == 0 {
+	selected := selectLines(all, s)
+	if len(selected) == 0 {
 		return errors.Newf("no line of %d tells of this; requests that went well are logged one in fifty", len(all))
 	}
-	for _, l := range story {
-		if err := l.print(out, story[0].at); err != nil {
-			return errors.Wrap(err, "write story")
+	for _, l := range selected {
+		if err := l.print(out, selected[0].at); err != nil {
+			return errors.Wrap(err, "write lines")
 		}
 	}
 	return nil
 }
 
-// readAll parses logs and puts their lines in order.
-func readAll(logs []io.Reader) ([]line, error) {
+// readLogs parses logs and returns their lines in the order of their time.
+func readLogs(logs []io.Reader) ([]line, error) {
 	var all []line
 	for _, l := range logs {
-		lines, err := read(l, len(all))
+		lines, err := readLog(l, len(all))
 		if err != nil {
 			return nil, err
 		}
@@ -79,14 +84,15 @@
 		if !all[i].at.Equal(all[j].at) {
 			return all[i].at.Before(all[j].at)
 		}
-		return all[i].order < all[j].order
+		return all[i].seq < all[j].seq
 	})
 	return all, nil
 }
 
-// read parses a log. What stands before the object of a line, such as a
-// collector's own time and host, is skipped, and so are lines without one.
-func read(r io.Reader, order int) ([]line, error) {
+// readLog parses one log. It skips any text before a line's JSON object, such as
+// the time and host that a log collector adds, and lines that are not log lines
+// of a node. firstSeq is the seq of the first line.
+func readLog(r io.Reader, firstSeq int) ([]line, error) {
 	var out []line
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxLine)
@@ -101,7 +107,7 @@
 		if dec.Decode(&fields) != nil {
 			continue // not a log line of a node
 		}
-		l := line{node: str(fields["node"]), name: str(fields["msg"]), fields: fields, order: order + len(out)}
+		l := line{node: str(fields["node"]), name: str(fields["msg"]), fields: fields, seq: firstSeq + len(out)}
 		var err error
 		if l.at, err = time.Parse(time.RFC3339Nano, str(fields["time"])); err != nil || fields["event"] == nil {
 			continue
@@ -111,6 +117,7 @@
 	return out, errors.Wrap(sc.Err(), "read log")
 }
 
+// str formats a field; a missing field is the empty string.
 func str(v any) string {
 	if v == nil {
 		return ""
@@ -118,59 +125,60 @@
 	return fmt.Sprint(v)
 }
 
-// pick returns the lines of the subject.
-func pick(all []line, s Subject) []line {
-	var own []line
+// selectLines returns the lines about the subject. For a request these include
+// the lines about its engines that were logged around the same time.
+func selectLines(all []line, s Subject) []line {
+	var matching []line
 	for _, l := range all {
-		if l.about(s) {
-			own = append(own, l)
+		if l.matches(s) {
+			matching = append(matching, l)
 		}
 	}
-	if s.Request == "" || len(own) == 0 {
-		return own
+	if s.Request == "" || len(matching) == 0 {
+		return matching
 	}
 	engines := map[string]bool{}
-	mine := map[int]bool{}
+	isMatching := map[int]bool{}
 	nodes := map[string]bool{}
-	for _, l := range own {
-		mine[l.order] = true
+	for _, l := range matching {
+		isMatching[l.seq] = true
 		nodes[l.node] = true
 		for _, e := range l.engines() {
 			engines[e] = true
 		}
 	}
-	first, last := own[0].at.Add(-near), own[len(own)-1].at.Add(near)
+	first, last := matching[0].at.Add(-contextSpan), matching[len(matching)-1].at.Add(contextSpan)
 	seen := map[string]bool{}
-	var story []line
+	var selected []line
 	for _, l := range all {
 		context := l.fields["request"] == nil && l.namesAny(engines) && l.at.After(first) && l.at.Before(last)
-		if l.name == keptLine {
-			// What a node believes of a missing engine decides only its own
-			// requests.
+		if l.name == entriesKept {
+			// Whether a node retains a missing engine affects only the requests
+			// at that node.
 			context = context && nodes[l.node]
 		}
-		// All nodes log a change of an engine; one line tells it.
+		// Every node logs a change of an engine; print it once.
 		key := l.name + str(l.fields["engine"]) + str(l.fields["from"]) + str(l.fields["to"]) + str(l.fields["leaving"]) + str(l.fields["gone"]) + str(l.fields["kept"])
-		if mine[l.order] || context && !seen[key] {
-			story = append(story, l)
+		if isMatching[l.seq] || context && !seen[key] {
+			selected = append(selected, l)
 		}
 		if context {
 			seen[key] = true
 		}
 	}
-	return story
+	return selected
 }
 
-// keptLine tells which engines a node goes on using though their entries are
-// missing.
-const keptLine = "entries.kept"
+// entriesKept is the event by which a node logs the engines that it retains
+// although their entries are missing.
+const entriesKept = "entries.kept"
 
-// engines are the engines that the line names.
+// engines returns the ids of the engines that the line names.
 func (l line) engines() []string {
 	if e := str(l.fields["engine"]); e != "" {
 		return []string{e}
 	}
-	list, _ := l.fields["engines"].([]any) // in other lines a count
+	list, _ := l.fields["engines"].([]any) // some events log a count under this key
 	out := make([]string, len(list))
 	for i, e := range list {
 		out[i] = str(e)
@@ -178,11 +186,13 @@
 	return out
 }
 
+// namesAny reports whether the line names one of engines.
 func (l line) namesAny(engines map[string]bool) bool {
 	return slices.ContainsFunc(l.engines(), func(e string) bool { return engines[e] })
 }
 
-func (l line) about(s Subject) bool {
+// matches reports whether the line itself is about the subject.
+func (l line) matches(s Subject) bool {
 	switch {
 	case s.Request != "":
 		return str(l.fields["request"]) == s.Request
@@ -194,9 +204,10 @@
 	return l.name == "table.applied" && str(l.fields["version"]) == strconv.FormatInt(s.Version, 10)
 }
 
-// durations are fields that hold nanoseconds.
+// durations are the fields that hold nanoseconds.
 var durations = map[string]bool{"left": true, "held": true, "silent": true, "first": true, "pause": true, "took": true, "retryAfter": true, "age": true, "lapsed": true, "sent": true, "lasted": true}
 
+// print writes the line with its time since begin and its fields sorted by name.
 func (l line) print(out io.Writer, begin time.Time) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%8.3f s  %-22s %-16s", l.at.Sub(begin).Seconds(), l.node, l.name)
--- a/citronexplain/losses.go
+++ b/citronexplain/losses.go
@@ -11,28 +11,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Losses tells where callers were not served in time, by cause: for each
-// attempt that was late, refused or broken off one cause, the first that the
-// nodes logged. A late stream whose path was changed is put down to that change.
+// A loss is a request that was late, refused or broken off. Each has one cause,
+// the first that the nodes logged. A late stream whose path was changed has that
+// change as its cause.
 
-// LossOptions says how losses are counted.
+// LossOptions configures Losses.
 type LossOptions struct {
-	// Window is the length of the spans of time that are counted apart.
+	// Window is the length of the consecutive time spans for which losses are
+	// counted separately.
 	Window time.Duration
 }
 
-// loss is one attempt that was not served in time.
+// loss is one request that was not served in time.
 type loss struct {
 	cause string
 	zone  string
 	at    time.Time
-	// pause is the longest pause of a late stream, silent how long it had
-	// been silent when its path was first changed; negative if unknown.
+	// pause is the longest pause between events of a late stream. silent is how
+	// long the stream had sent nothing when its path was first changed. Both are
+	// negative if unknown.
 	pause, silent time.Duration
 }
 
-// causes is the losses of one cause.
-type causes struct {
+// causeStats summarizes the losses of one cause. windows counts them by the
+// index of their window, zones by their zone.
+type causeStats struct {
 	cause         string
 	count         int
 	pause, silent *hdrhistogram.Histogram
@@ -40,23 +43,24 @@
 	zones         map[string]int
 }
 
-// Histograms hold milliseconds up to the longest deadline.
+// The histograms hold milliseconds.
 const (
-	longestMS = 60_000
-	digits    = 3
+	maxRecordedMS     = 60_000 // the longest deadline of a request
+	significantDigits = 3
 )
 
-// Losses reads logs and writes a table of what callers lost.
+// Losses reads logs and writes a table of the requests that were not served in
+// time, by cause. It returns an error if the logs show none.
 func Losses(out io.Writer, o LossOptions, logs ...io.Reader) error {
-	all, err := readAll(logs)
+	all, err := readLogs(logs)
 	if err != nil {
 		return err
 	}
-	lost := lossesOf(all)
+	lost := findLosses(all)
 	if len(lost) == 0 {
-		return errors.Newf("no line of %d tells of a request that was late, refused or broken off", len(all))
+		return errors.Newf("none of %d log lines reports a request that was late, refused or broken off", len(all))
 	}
-	rows := group(lost, lost[0].at, o.Window)
+	rows := groupByCause(lost, lost[0].at, o.Window)
 	if _, err := fmt.Fprintf(out, "%-44s %6s %9s %9s  %s\n", "cause", "count", "pause ms", "silent ms", "by zone; by "+o.Window.String()); err != nil {
 		return errors.Wrap(err, "write losses")
 	}
@@ -68,20 +72,20 @@
 	return nil
 }
 
-// lossesOf returns the losses in the order of their time, one an attempt.
-func lossesOf(all []line) []loss {
-	moved := map[string]line{}
+// findLosses returns the losses in the order of their time, one per request.
+func findLosses(all []line) []loss {
+	firstMoves := map[string]line{}
 	for _, l := range all {
 		id := str(l.fields["request"])
-		if _, ok := moved[id]; !ok && l.name == "part.replaced" {
-			moved[id] = l
+		if _, ok := firstMoves[id]; !ok && l.name == "part.replaced" {
+			firstMoves[id] = l
 		}
 	}
 	seen := map[string]bool{}
 	var out []loss
 	for _, l := range all {
 		id := str(l.fields["request"])
-		x, ok := l.loss(moved)
+		x, ok := l.loss(firstMoves)
 		if !ok || seen[id] {
 			continue
 		}
@@ -91,14 +95,15 @@
 	return out
 }
 
-// loss reads a line as the end of an attempt that was not served in time.
-func (l line) loss(moved map[string]line) (loss, bool) {
+// loss returns the loss that the line reports, if any. firstMoves has for each
+// request the line that reports the first change of its path.
+func (l line) loss(firstMoves map[string]line) (loss, bool) {
 	x := loss{at: l.at, zone: str(l.fields["zone"]), pause: -1, silent: -1}
 	switch l.name {
 	case "stream.late":
 		x.pause = l.duration("pause")
 		x.cause = "late: first event or pause"
-		if m, ok := moved[str(l.fields["request"])]; ok {
+		if m, ok := firstMoves[str(l.fields["request"])]; ok {
 			x.cause = fmt.Sprintf("late: part %v, %v", m.fields["reason"], m.fields["way"])
 			x.silent = m.duration("silent")
 		}
@@ -107,7 +112,7 @@
 	case "forward.refused":
 		status := str(l.fields["status"])
 		if strings.HasPrefix(status, "4") {
-			return x, false // the configuration does not allow it
+			return x, false // 4xx: the configuration does not allow the request
 		}
 		x.cause = status + ": " + l.reason()
 	default:
@@ -116,7 +121,7 @@
 	return x, true
 }
 
-// reason is why an attempt ended, with the limit that it had reached.
+// reason returns why a request ended and which limit it had reached, if any.
 func (l line) reason() string {
 	reason := str(l.fields["reason"])
 	if limit := str(l.fields["limit"]); limit != "" {
@@ -125,7 +130,8 @@
 	return reason
 }
 
-// duration is a field that holds nanoseconds; negative if there is none.
+// duration returns a field that holds nanoseconds. It is negative if the line
+// has no such field.
 func (l line) duration(name string) time.Duration {
 	var ns int64
 	if _, err := fmt.Sscan(str(l.fields[name]), &ns); err != nil {
@@ -134,15 +140,16 @@
 	return time.Duration(ns)
 }
 
-// group counts losses by cause, the most frequent first.
-func group(lost []loss, begin time.Time, window time.Duration) []*causes {
-	by := map[string]*causes{}
+// groupByCause counts losses by cause, the most frequent first. Windows start at
+// begin.
+func groupByCause(lost []loss, begin time.Time, window time.Duration) []*causeStats {
+	by := map[string]*causeStats{}
 	for _, x := range lost {
 		c := by[x.cause]
 		if c == nil {
-			c = &causes{
+			c = &causeStats{
 				cause: x.cause, windows: map[int]int{}, zones: map[string]int{},
-				pause: hdrhistogram.New(1, longestMS, digits), silent: hdrhistogram.New(1, longestMS, digits),
+				pause: hdrhistogram.New(1, maxRecordedMS, significantDigits), silent: hdrhistogram.New(1, maxRecordedMS, significantDigits),
 			}
 			by[x.cause] = c
 		}
@@ -154,7 +161,7 @@
 		record(c.pause, x.pause)
 		record(c.silent, x.silent)
 	}
-	rows := make([]*causes, 0, len(by))
+	rows := make([]*causeStats, 0, len(by))
 	for _, c := range by {
 		rows = append(rows, c)
 	}
@@ -164,26 +171,30 @@
 	return rows
 }
 
+// record adds d to h; a negative d is unknown and left out.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	if d >= 0 {
-		_ = h.RecordValue(min(longestMS, d.Milliseconds())) // within its bounds
+		_ = h.RecordValue(min(maxRecordedMS, d.Milliseconds())) // cannot fail: the value is within h's bounds
 	}
 }
 
-func (c *causes) print(out io.Writer) error {
-	_, err := fmt.Fprintf(out, "%-44s %6d %9s %9s  %s; %s\n", c.cause, c.count, median(c.pause), median(c.silent), listed(c.zones), windows(c.windows))
+// print writes one row of the table.
+func (c *causeStats) print(out io.Writer) error {
+	_, err := fmt.Fprintf(out, "%-44s %6d %9s %9s  %s; %s\n", c.cause, c.count, formatMedian(c.pause), formatMedian(c.silent), formatZones(c.zones), formatWindows(c.windows))
 	return err
 }
 
-// median is a histogram's, a dash if it holds nothing.
-func median(h *hdrhistogram.Histogram) string {
+// formatMedian returns the median of h, or a dash if h is empty.
+func formatMedian(h *hdrhistogram.Histogram) string {
 	if h.TotalCount() == 0 {
 		return "-"
 	}
 	return fmt.Sprint(h.ValueAtQuantile(50))
 }
 
-func listed(counts map[string]int) string {
+// formatZones returns the count of each zone, sorted by name, or a dash if there
+// is none.
+func formatZones(counts map[string]int) string {
 	names := make([]string, 0, len(counts))
 	for name := range counts {
 		names = append(names, name)
@@ -199,8 +210,8 @@
 	return strings.Join(parts, " ")
 }
 
-// windows are the counts of each window up to the last that has any.
-func windows(counts map[int]int) string {
+// formatWindows returns the count of each window up to the last with a loss.
+func formatWindows(counts map[int]int) string {
 	last := 0
 	for w := range counts {
 		last = max(last, w)
--- a/citronexplain/losses_test.go
+++ b/citronexplain/losses_test.go
@@ -9,10 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// Each attempt has one cause, the first that the nodes logged: a stream that
-// was moved twice is put down to the first move, a refused request that the
-// configuration does not allow is nobody's loss.
-func TestOneCauseAnAttempt(t *testing.T) {
+// Each request has one cause, the first that the nodes logged. The cause of a
+// stream that was moved twice is its first move. A request that the configuration
+// does not allow (status 4xx) is not a loss.
+func TestLossHasOneCause(t *testing.T) {
 	is := is.New(t)
 	at := func(second int, rest string) string {
 		return `{"time":"2026-01-01T00:00:` + string(rune('0'+second/10)) + string(rune('0'+second%10)) + `Z","level":"INFO","node":"n1","event":1,` + rest + "}\n"
@@ -35,7 +35,7 @@
 `)
 }
 
-// Logs without a loss are told, not an empty table.
+// Logs without a loss give an error, not an empty table.
 func TestNoLosses(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
