--- a/citronclock/clock.go
+++ b/citronclock/clock.go
@@ -1,6 +1,6 @@
-// Package citronclock passes time into the rest of citrondeck as an
-// interface, so that tests can drive leases, timeouts and lags without
-// sleeping and without reading the wall clock.
+// Package citronclock defines the clock interface that all components use, so
+// that tests can control leases, timeouts and delays without sleeping and
+// without reading the wall clock.
 package citronclock
 
 import (
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// Clock is the source of time for every component.
+// Clock tells the time and sleeps.
 type Clock interface {
 	// Now returns the current time.
 	Now() time.Time
-	// Sleep waits for d or until ctx ends, whichever is first, and
-	// returns ctx.Err() in the latter case.
+	// Sleep waits for d or until ctx ends. It returns ctx.Err() if ctx ends
+	// first.
 	Sleep(ctx context.Context, d time.Duration) error
 }
 
-// Real is the wall clock.
+// Real is the system clock.
 type Real struct{}
 
-// Now returns time.Now().
+// Now implements Clock.
 func (Real) Now() time.Time { return time.Now() }
 
-// Sleep waits for d or until ctx ends.
+// Sleep implements Clock.
 func (Real) Sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/citronclock/clock_test.go
+++ b/citronclock/clock_test.go
@@ -10,15 +10,15 @@
 
 func ExampleManual() {
 	c := citronclock.NewManual(time.Unix(0, 0).UTC())
-	woke := make(chan struct{})
+	awake := make(chan struct{})
 	go func() {
 		_ = c.Sleep(context.Background(), time.Hour)
-		close(woke)
+		close(awake)
 	}()
 	for done := false; !done; {
 		c.Advance(20 * time.Minute)
 		select {
-		case <-woke:
+		case <-awake:
 			done = true
 		case <-time.After(time.Millisecond):
 		}
--- a/citronclock/manual.go
+++ b/citronclock/manual.go
@@ -6,27 +6,26 @@
 	"time"
 )
 
-// Manual is a clock that stands still until Advance moves it. It is for
-// tests: what depends on time then happens when the test says so.
+// Manual is a clock for tests. Its time changes only when Advance is called.
 type Manual struct {
 	mu      sync.Mutex
 	now     time.Time
-	changed chan struct{}
+	changed chan struct{} // closed and replaced by each Advance
 }
 
-// NewManual returns a clock that shows start.
+// NewManual returns a clock whose time is start.
 func NewManual(start time.Time) *Manual {
 	return &Manual{now: start, changed: make(chan struct{})}
 }
 
-// Now returns the time the clock shows.
+// Now implements Clock.
 func (m *Manual) Now() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.now
 }
 
-// Advance moves the clock on by d and wakes the sleepers that are due.
+// Advance moves the clock forward by d and wakes the sleepers that are due.
 func (m *Manual) Advance(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -35,7 +34,7 @@
 	m.changed = make(chan struct{})
 }
 
-// Sleep waits until the clock has moved on by d or ctx ends.
+// Sleep implements Clock. It returns once the clock has advanced by d in total.
 func (m *Manual) Sleep(ctx context.Context, d time.Duration) error {
 	end := m.Now().Add(d)
 	for {
--- a/citronlog/log.go
+++ b/citronlog/log.go
@@ -1,12 +1,12 @@
-// Package citronlog writes the log of a node: one JSON object a line, never
-// blocking the caller and bounded in volume.
+// Package citronlog provides a slog.Handler that never blocks the caller and
+// bounds the volume of the log. It writes one JSON object per line.
 //
-// A log line is written while a request waits. If whoever reads the log
-// stops reading, a plain write to a full pipe would stop every request of
-// the node; and a fault that fails each request would write a line for each.
-// So lines go through a queue that a goroutine of its own empties, and each
-// numbered event has a rate. What the queue or a rate drops is counted, and
-// the count is logged as soon as lines pass again.
+// Log lines are written while a request waits. If the log reader stops reading,
+// a direct write to a full pipe would block every request of the node, and a
+// fault that fails every request would log a line for each of them. Lines
+// therefore pass through a bounded queue that a separate goroutine writes out,
+// and each numbered event has a rate limit. Dropped lines are counted, and the
+// count is logged once lines pass again.
 package citronlog
 
 import (
@@ -22,25 +22,27 @@
 )
 
 const (
-	// queueLines bounds the memory of lines that wait: at 300 bytes a line
-	// about 0.6 MB.
+	// queueLines is the capacity of the queue: about 0.6 MB at 300 bytes a
+	// line.
 	queueLines = 2048
-	// eventRate and eventBurst are the lines a second of one event: enough
-	// for every failure of an ordinary fault at one node (a dead engine
-	// moves some fifty streams), and 30 KB a second at most.
+	// eventRate is the sustained number of lines per second of one event, and
+	// eventBurst the size of its token bucket. An ordinary fault stays within
+	// them (a dead engine moves about 50 streams at one node), and one event
+	// logs at most 30 KB per second on average.
 	eventRate  = 100
 	eventBurst = 400
-	// reportEvery is the least time between two reports of drops.
-	reportEvery = time.Second
+	// reportInterval is the minimum time between two reports of dropped lines.
+	reportInterval = time.Second
 )
 
-// Handler is a slog.Handler.
+// Handler is a slog.Handler that drops lines instead of blocking.
 type Handler struct {
 	inner slog.Handler
 	core  *core
 }
 
-// core is what a handler and those derived from it share.
+// core is the state that a handler shares with the handlers derived from it by
+// WithAttrs and WithGroup. It is the writer of their JSON lines.
 type core struct {
 	clock   citronclock.Clock
 	lines   chan []byte
@@ -48,29 +50,31 @@
 
 	mu       sync.Mutex
 	buckets  map[int64]*bucket
-	reported time.Time
+	reported time.Time // when dropped lines were last reported
 }
 
+// bucket is the token bucket of one event.
 type bucket struct {
 	tokens float64
 	at     time.Time
 }
 
-// New returns a handler that writes to w until ctx ends. wait returns once
-// the lines of the queue are written.
+// New returns a handler that writes records of at least the given level to w
+// until ctx ends. wait blocks until ctx has ended and the queued lines are
+// written.
 func New(ctx context.Context, w io.Writer, clock citronclock.Clock, level slog.Level) (h *Handler, wait func()) {
 	c := &core{clock: clock, lines: make(chan []byte, queueLines), buckets: map[int64]*bucket{}}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.write(ctx, w)
+		c.drain(ctx, w)
 	}()
 	return &Handler{inner: slog.NewJSONHandler(c, &slog.HandlerOptions{Level: level}), core: c}, func() { <-done }
 }
 
-// write empties the queue. A line that cannot be written is counted as
-// dropped: there is nowhere else to say so.
-func (c *core) write(ctx context.Context, w io.Writer) {
+// drain writes queued lines to w until ctx ends, and then the lines still in the
+// queue.
+func (c *core) drain(ctx context.Context, w io.Writer) {
 	for {
 		select {
 		case line := <-c.lines:
@@ -88,13 +92,16 @@
 	}
 }
 
+// writeLine writes one line. A failed write counts as a dropped line, as there is
+// nowhere else to report it.
 func (c *core) writeLine(w io.Writer, line []byte) {
 	if _, err := w.Write(line); err != nil {
 		c.dropped.Add(1)
 	}
 }
 
-// Write queues one line; it implements io.Writer for the JSON handler.
+// Write queues one line, or drops it if the queue is full. It implements
+// io.Writer for the JSON handler.
 func (c *core) Write(line []byte) (int, error) {
 	select {
 	case c.lines <- append([]byte(nil), line...):
@@ -104,13 +111,14 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were dropped and not yet reported.
+// Dropped returns the number of lines that were dropped and not yet reported.
 func (h *Handler) Dropped() int64 { return h.core.dropped.Load() }
 
 // Enabled implements slog.Handler.
 func (h *Handler) Enabled(ctx context.Context, l slog.Level) bool { return h.inner.Enabled(ctx, l) }
 
-// Handle implements slog.Handler.
+// Handle implements slog.Handler. It drops the record if its event exceeds its
+// rate, and reports earlier drops when a report is due.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
 	var event int64
 	r.Attrs(func(a slog.Attr) bool {
@@ -124,17 +132,17 @@
 		h.core.dropped.Add(1)
 		return nil
 	}
-	if n := h.core.toReport(); n > 0 {
-		note := slog.NewRecord(r.Time, slog.LevelWarn, "log.dropped", 0)
-		note.Add("event", int(citronevent.LogDropped), "lines", n)
-		if err := h.inner.Handle(ctx, note); err != nil {
+	if n := h.core.takeDropped(); n > 0 {
+		report := slog.NewRecord(r.Time, slog.LevelWarn, "log.dropped", 0)
+		report.Add("event", int(citronevent.LogDropped), "lines", n)
+		if err := h.inner.Handle(ctx, report); err != nil {
 			return err
 		}
 	}
 	return h.inner.Handle(ctx, r)
 }
 
-// allow takes a token of the event's bucket.
+// allow takes a token from the event's bucket and reports whether there was one.
 func (c *core) allow(event int64) bool {
 	now := c.clock.Now()
 	c.mu.Lock()
@@ -153,15 +161,17 @@
 	return true
 }
 
-// toReport returns the drops to be reported now, if any.
-func (c *core) toReport() int64 {
+// takeDropped returns the number of dropped lines and resets it if a report is
+// due, and 0 otherwise. No report is due while more than half of the queue is
+// used or within reportInterval of the last report.
+func (c *core) takeDropped() int64 {
 	if c.dropped.Load() == 0 || len(c.lines) > queueLines/2 {
 		return 0
 	}
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.reported) < reportEvery {
+	if now.Sub(c.reported) < reportInterval {
 		return 0
 	}
 	c.reported = now
--- a/citronlog/log_test.go
+++ b/citronlog/log_test.go
@@ -15,20 +15,21 @@
 	"github.com/matryer/is"
 )
 
-// stuck is a reader that has stopped reading: writes to it never return.
-type stuck struct{ release chan struct{} }
+// blockedWriter blocks every write until release is closed, like a pipe whose
+// reader has stopped reading.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(b []byte) (int, error) {
-	<-s.release
+func (w blockedWriter) Write(b []byte) (int, error) {
+	<-w.release
 	return len(b), nil
 }
 
-// Whoever reads the log stops reading. Requests must go on: lines beyond
-// the queue are dropped and counted, and no call waits.
-func TestReaderThatDoesNotReadBlocksNothing(t *testing.T) {
+// The log reader stops reading. Requests must not block: lines that do not fit
+// into the queue are dropped and counted.
+func TestBlockedWriterDoesNotBlockLogging(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	w := stuck{release: make(chan struct{})}
+	w := blockedWriter{release: make(chan struct{})}
 	h, wait := citronlog.New(ctx, w, citronclock.Real{}, slog.LevelInfo)
 	log := slog.New(h)
 	done := make(chan struct{})
@@ -41,7 +42,7 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("logging waits for the reader")
+		t.Fatal("logging blocked for 20 s on a writer whose reader has stopped")
 	}
 	is.True(h.Dropped() > 0)
 	close(w.release)
@@ -49,6 +50,7 @@
 	wait()
 }
 
+// lockedBuffer is a bytes.Buffer that is safe for concurrent writes.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -60,9 +62,10 @@
 	return l.b.Write(p)
 }
 
-// A fault that fails every request: the event's lines are bounded, other
-// events are written as ever, and what was dropped is told.
-func TestOneEventCannotDrownTheOthers(t *testing.T) {
+// A fault that fails every request logs the same event over and over. Its lines
+// are limited to the burst, other events are still written, and the number of
+// dropped lines is logged.
+func TestRateLimitIsPerEvent(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(1000, 0))
 	ctx, cancel := context.WithCancel(context.Background())
--- a/citronstat/node.go
+++ b/citronstat/node.go
@@ -5,12 +5,13 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Node has r tell what a node knows, as of each time it is asked.
+// Node registers gauges of a node's state with r. Each gauge calls status when it
+// is collected.
 func Node(status func() citronnode.Status, r prometheus.Registerer) {
 	gauge := func(name, help string, value func(citronnode.Status) float64) {
 		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "citrondeck_" + name, Help: help}, func() float64 { return value(status()) }))
 	}
-	yes := func(b bool) float64 {
+	toFloat := func(b bool) float64 {
 		if b {
 			return 1
 		}
@@ -31,7 +32,7 @@
 	gauge("limited_engines", "Engines that name a rate limit.", func(s citronnode.Status) float64 { return float64(s.Limited) })
 	gauge("limits_rejected", "Messages of other nodes about rate limits of which nothing was taken.", func(s citronnode.Status) float64 { return float64(s.LimitsRejected) })
 	gauge("suspects_rejected", "Messages of other nodes about suspects of which nothing was taken.", func(s citronnode.Status) float64 { return float64(s.SuspectsRejected) })
-	gauge("watching", "1 while the node watches the store and the store answers.", func(s citronnode.Status) float64 { return yes(s.Watching) })
-	gauge("leads", "1 while the node holds the lease under which layers are placed.", func(s citronnode.Status) float64 { return yes(s.Leads) })
-	gauge("places", "1 while the node places layers.", func(s citronnode.Status) float64 { return yes(s.Places) })
+	gauge("watching", "1 while the node watches the store and the store answers.", func(s citronnode.Status) float64 { return toFloat(s.Watching) })
+	gauge("leads", "1 while the node holds the lease under which layers are placed.", func(s citronnode.Status) float64 { return toFloat(s.Leads) })
+	gauge("places", "1 while the node places layers.", func(s citronnode.Status) float64 { return toFloat(s.Places) })
 }
--- a/citronstat/stat_test.go
+++ b/citronstat/stat_test.go
@@ -15,8 +15,8 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-// When callers are late, the first question is whether the store answered and
-// how old is what the node went by; both have to be in the metrics by kind.
+// When requests are late, an operator first checks whether the store answered.
+// Its calls are therefore counted by kind and result.
 func TestStoreCallsAreCounted(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -44,6 +44,7 @@
 `)))
 }
 
+// The age of the state that a node acts on must be visible in its metrics.
 func TestNodeGauges(t *testing.T) {
 	is := is.New(t)
 	r := prometheus.NewRegistry()
--- a/citronstat/store.go
+++ b/citronstat/store.go
@@ -1,5 +1,5 @@
-// Package citronstat turns what a node does and believes into metrics: its
-// calls to the store, and what it knows and how old that is.
+// Package citronstat registers a node's Prometheus metrics: its calls to the
+// store, and its state and the age of that state.
 package citronstat
 
 import (
@@ -10,7 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// CountStore returns a store that counts its calls in r by kind and result.
+// CountStore returns a store that passes all calls on to s and counts them by
+// kind and result in a metric that it registers with r.
 func CountStore(s citronkv.Store, r prometheus.Registerer) citronkv.Store {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{Name: "citrondeck_store_calls_total", Help: "Calls to the store by kind and result."}, []string{"call", "result"})
 	r.MustRegister(calls)
@@ -19,18 +20,20 @@
 	})
 }
 
-// results are the errors that are told apart, in the order of their checks.
+// results are the errors that have a result of their own, in the order in which
+// they are checked.
 var results = []struct {
 	err  error
 	name string
 }{
-	{citronkv.ErrLeaseExpired, "leaseExpired"}, // also marked as not found
+	{citronkv.ErrLeaseExpired, "leaseExpired"}, // also matches ErrNotFound, so it is checked first
 	{citronkv.ErrNotFound, "notFound"},
 	{citronkv.ErrConflict, "conflict"},
 	{citronkv.ErrCompacted, "compacted"},
 }
 
-// result is the name of what a call came to.
+// result returns the value of the metric's result label for a call that returned
+// err.
 func result(err error) string {
 	if err == nil {
 		return "ok"
