--- a/citronload/caller.go
+++ b/citronload/caller.go
@@ -18,8 +18,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// submitBody and submitAnswer are the caller API's shapes.
-type submitBody struct {
+// submitRequest is the body of a request to a service in the caller API.
+type submitRequest struct {
 	Customer  string `json:"customer"`
 	Prompt    string `json:"prompt,omitempty"`
 	MaxTokens int    `json:"max_tokens,omitempty"`
@@ -27,7 +27,8 @@
 	Priority  int    `json:"priority,omitempty"`
 }
 
-type submitAnswer struct {
+// submitResponse is the body of the caller API's response.
+type submitResponse struct {
 	RequestID string   `json:"request_id"`
 	Outcome   string   `json:"outcome"`
 	Tokens    []string `json:"tokens"`
@@ -35,63 +36,66 @@
 	Code      string   `json:"code"`
 }
 
-type entriesAnswer struct {
+// entriesResponse is the list of entries that an entry returns.
+type entriesResponse struct {
 	Entries []struct {
 		Addr string `json:"addr"`
 	} `json:"entries"`
 	TTLSeconds int `json:"ttl_seconds"`
 }
 
-// directory is a caller's list of entries: asked for, and kept for its
-// time to live.
+// directory caches a caller's list of entries for its time to live.
 type directory struct {
 	hc   *http.Client
-	ask  string
+	seed string // the entry to ask first
 	zone string
 
 	mu      sync.Mutex
 	entries []string
-	until   time.Time
+	expires time.Time
 }
 
-// list returns the entries to use. Once the list has expired it asks the
-// entries on it, one after the other; if none answers it keeps the list.
+// list returns the entries to use. If the cached list has expired, it asks the
+// seed and then the entries on the list for a new one. If none returns a
+// non-empty list, it returns the old list with the last error and tries again
+// after a second.
 func (d *directory) list(ctx context.Context) ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if time.Now().Before(d.until) {
+	if time.Now().Before(d.expires) {
 		return d.entries, nil
 	}
-	var last error
-	for _, addr := range append([]string{d.ask}, d.entries...) {
+	var lastErr error
+	for _, addr := range append([]string{d.seed}, d.entries...) {
 		entries, ttl, err := Discover(ctx, d.hc, addr, d.zone)
 		if err != nil || len(entries) == 0 {
-			last = err
+			lastErr = err
 			continue
 		}
-		d.entries, d.until = entries, time.Now().Add(ttl)
+		d.entries, d.expires = entries, time.Now().Add(ttl)
 		return d.entries, nil
 	}
-	d.until = time.Now().Add(time.Second)
-	return d.entries, last
+	d.expires = time.Now().Add(time.Second)
+	return d.entries, lastErr
 }
 
-// discoverTimeout bounds asking one entry for the list.
+// discoverTimeout is the timeout for asking one entry for the list.
 const discoverTimeout = time.Second
 
-// Discover asks entry which entries to use.
+// Discover asks an entry which entries a caller in zone should use. It returns
+// their addresses and the time to live of the list.
 func Discover(ctx context.Context, hc *http.Client, entry, zone string) ([]string, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, discoverTimeout)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry+"/v1/entries?zone="+zone, nil)
 	res, err := hc.Do(req)
 	if err != nil {
-		return nil, 0, errors.Wrapf(err, "discover at %s", entry)
+		return nil, 0, errors.Wrapf(err, "ask %s for the list of entries", entry)
 	}
 	defer res.Body.Close()
-	var a entriesAnswer
+	var a entriesResponse
 	if err := json.NewDecoder(res.Body).Decode(&a); err != nil {
-		return nil, 0, errors.Wrapf(err, "decode discovery from %s", entry)
+		return nil, 0, errors.Wrapf(err, "decode the list of entries from %s", entry)
 	}
 	out := make([]string, 0, len(a.Entries))
 	for _, e := range a.Entries {
@@ -100,52 +104,52 @@
 	return out, time.Duration(a.TTLSeconds) * time.Second, nil
 }
 
-// one sends one request until it has its final answer or its tries are
-// used up.
-func one(ctx context.Context, hc *http.Client, p Plan, dir *directory, j job) outcome {
-	cust := p.Fleet.Customers[j.i%len(p.Fleet.Customers)].Name
-	b := submitBody{Customer: cust}
-	if float64(j.i%100) < 100*p.Urgent {
+// submit sends one request until it has a final response or its tries are used
+// up. Each try goes to another entry with the same idempotency key.
+func submit(ctx context.Context, hc *http.Client, p Plan, dir *directory, j job) outcome {
+	customer := p.Fleet.Customers[j.index%len(p.Fleet.Customers)].Name
+	b := submitRequest{Customer: customer}
+	if float64(j.index%100) < 100*p.Urgent {
 		b.Priority = urgentPriority
 	}
 	key := ""
 	if j.svc.Kind == citronfleet.Model {
-		b.Prompt = fmt.Sprintf("%s-prompt-%d", p.Prefix, j.i)
+		b.Prompt = fmt.Sprintf("%s-prompt-%d", p.Prefix, j.index)
 		b.MaxTokens = p.MaxTokens
 	} else {
-		b.Body = fmt.Sprintf("%s-body-%d", p.Prefix, j.i)
+		b.Body = fmt.Sprintf("%s-body-%d", p.Prefix, j.index)
 	}
 	o := outcome{final: "lost", nonIdempotent: !j.svc.IsIdempotent()}
 	if o.nonIdempotent {
-		key = fmt.Sprintf("%s-key-%d", p.Prefix, j.i)
+		key = fmt.Sprintf("%s-key-%d", p.Prefix, j.index)
 	}
 	payload, _ := json.Marshal(b)
 	tries := max(1, p.Tries)
 	tried := map[string]bool{}
 	for t := 0; t < tries; t++ {
-		entries, _ := dir.list(ctx) // on an error the list held so far
-		addr := next(entries, j.i+t, tried)
+		entries, _ := dir.list(ctx) // on an error, the old list
+		addr := pickEntry(entries, j.index+t, tried)
 		tried[addr] = true
 		res, a, err := post(ctx, hc, "http://"+addr+"/v1/services/"+j.svc.Name+"/requests", key, payload, p.TryTimeout)
 		if err != nil {
-			o.refused++ // refused, reset or timed out: try the next entry
+			o.failedTries++ // connection refused or reset, or timeout: try the next entry
 			continue
 		}
 		if res.StatusCode == http.StatusOK {
 			o.final = a.Outcome
 			o.tokens = len(a.Tokens)
-			o.misdelivered = !correct(j.svc, b, a)
+			o.misdelivered = !isCorrect(j.svc, b, a)
 			return o
 		}
 		o.final = a.Code
 		if a.Code == "" {
 			o.final = "http_" + strconv.Itoa(res.StatusCode)
 		}
-		ra, _ := strconv.Atoi(res.Header.Get("Retry-After"))
+		retryAfter, _ := strconv.Atoi(res.Header.Get("Retry-After"))
 		switch a.Code {
 		case "not_run", "draining", "overloaded", "in_progress", "outcome_unknown":
-			if ra > 0 && t < tries-1 {
-				time.Sleep(time.Duration(min(ra, 2)) * time.Second)
+			if retryAfter > 0 && t < tries-1 {
+				time.Sleep(time.Duration(min(retryAfter, 2)) * time.Second)
 			}
 			continue
 		}
@@ -154,9 +158,9 @@
 	return o
 }
 
-// next picks the entry of the t-th try: one that has not been tried, if any
-// is left.
-func next(entries []string, t int, tried map[string]bool) string {
+// pickEntry returns the entry for the t-th try: the first after position t that
+// has not been tried, or the one at position t if all have.
+func pickEntry(entries []string, t int, tried map[string]bool) string {
 	for i := range entries {
 		if addr := entries[(t+i)%len(entries)]; !tried[addr] {
 			return addr
@@ -165,17 +169,17 @@
 	return entries[t%len(entries)]
 }
 
-// post sends one try and reads its whole answer.
-func post(ctx context.Context, hc *http.Client, url, key string, payload []byte, timeout time.Duration) (*http.Response, submitAnswer, error) {
+// post sends the request once and reads the whole response.
+func post(ctx context.Context, hc *http.Client, url, key string, payload []byte, timeout time.Duration) (*http.Response, submitResponse, error) {
 	if timeout > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
-	var a submitAnswer
+	var a submitResponse
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(payload))
 	if err != nil {
-		return nil, a, errors.Wrap(err, "make request")
+		return nil, a, errors.Wrap(err, "create request")
 	}
 	req.Header.Set("Content-Type", "application/json")
 	if key != "" {
@@ -188,13 +192,14 @@
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return nil, a, errors.Wrapf(err, "read answer from %s", url)
+		return nil, a, errors.Wrapf(err, "read response from %s", url)
 	}
 	_ = json.Unmarshal(body, &a)
 	return res, a, nil
 }
 
-func correct(svc citronfleet.Service, b submitBody, a submitAnswer) bool {
+// isCorrect reports whether a is the response that the service must give to b.
+func isCorrect(svc citronfleet.Service, b submitRequest, a submitResponse) bool {
 	if svc.Kind == citronfleet.Model {
 		return slices.Equal(a.Tokens, citronengine.Oracle(b.Prompt, svc.Layers, b.MaxTokens))
 	}
--- a/citronload/load.go
+++ b/citronload/load.go
@@ -1,8 +1,8 @@
-// Package citronload is the caller side of experiments: it asks an entry
-// which entries to use, keeps that answer for its time to live, fires a
-// surge of requests at them and checks every answer against an oracle.
-// A caller whose entry refuses the connection moves to the next entry on
-// its list, with the same idempotency key, as a real caller would.
+// Package citronload is a load generator that checks every response. It asks an
+// entry for the list of entries, caches the list for its time to live, sends a
+// surge of requests to these entries and compares the responses with an oracle.
+// If an entry does not respond, the request is retried at the next entry with
+// the same idempotency key, as a real caller would do.
 package citronload
 
 import (
@@ -16,38 +16,41 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Plan is one surge.
+// Plan describes one surge of requests.
 type Plan struct {
-	Entry     string // an entry to ask for the list
-	Zone      string
+	Entry     string // the entry to ask for the list of entries
+	Zone      string // the caller's zone
 	Fleet     citronfleet.Fleet
-	Count     int
-	Rate      float64 // requests per second; 0 is as fast as Workers allow
-	Workers   int
-	MaxTokens int
-	// Tries bounds how often one request is sent (across entries), and
-	// TryTimeout how long one of them may take: an entry that is frozen
-	// never answers.
+	Count     int     // requests to send
+	Rate      float64 // requests per second; 0 means as fast as Workers allow
+	Workers   int     // concurrent callers
+	MaxTokens int     // tokens per model request
+	// Tries is the maximum number of times one request is sent, across
+	// entries. TryTimeout limits each of them, as a frozen entry never
+	// responds; 0 means no limit.
 	Tries      int
 	TryTimeout time.Duration
-	// Urgent is the share of the requests sent with urgentPriority.
+	// Urgent is the share of the requests sent with urgentPriority, from 0 to
+	// 1.
 	Urgent float64
-	// Service, when set, is the only one requests go to.
+	// Service, if set, is the only service that requests are sent to.
 	Service string
-	// Prefix makes prompts and keys unique to this run.
+	// Prefix makes the prompts, bodies and idempotency keys of this run unique.
 	Prefix string
 }
 
+// urgentPriority is the priority of urgent requests.
 const urgentPriority = 9
 
+// job is one request of a surge.
 type job struct {
-	i   int
-	svc citronfleet.Service
+	index int // position in the surge, from 0
+	svc   citronfleet.Service
 }
 
-// Run fires the surge and checks every answer.
+// Run sends the surge and checks every response.
 func Run(ctx context.Context, hc *http.Client, p Plan) (Report, error) {
-	dir := &directory{hc: hc, ask: p.Entry, zone: p.Zone}
+	dir := &directory{hc: hc, seed: p.Entry, zone: p.Zone}
 	entries, err := dir.list(ctx)
 	if err != nil {
 		return Report{}, err
@@ -75,29 +78,29 @@
 		go func() {
 			defer wg.Done()
 			for j := range jobs {
-				t0 := time.Now()
-				o := one(ctx, hc, p, dir, j)
+				began := time.Now()
+				o := submit(ctx, hc, p, dir, j)
 				mu.Lock()
-				_ = r.Latency.RecordValue(time.Since(t0).Microseconds())
+				_ = r.Latency.RecordValue(time.Since(began).Microseconds())
 				r.add(o)
 				mu.Unlock()
 			}
 		}()
 	}
-	var tick *time.Ticker
+	var ticker *time.Ticker
 	if p.Rate > 0 {
-		tick = time.NewTicker(time.Duration(float64(time.Second) / p.Rate))
-		defer tick.Stop()
+		ticker = time.NewTicker(time.Duration(float64(time.Second) / p.Rate))
+		defer ticker.Stop()
 	}
 	for i := range p.Count {
-		if tick != nil {
-			<-tick.C
+		if ticker != nil {
+			<-ticker.C
 		}
-		jobs <- job{i: i, svc: services[i%len(services)]}
+		jobs <- job{index: i, svc: services[i%len(services)]}
 	}
 	close(jobs)
 	wg.Wait()
 	r.Elapsed = time.Since(start)
-	r.Doubled, r.Unchecked = doubled(ctx, hc, p)
+	r.Doubled, r.Unchecked = countDoubled(ctx, hc, p)
 	return r, nil
 }
--- a/citronload/report.go
+++ b/citronload/report.go
@@ -12,35 +12,47 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is what a surge came to.
+// Report summarizes the results of a surge. Its counts are requests unless a
+// comment says otherwise.
 type Report struct {
+	// Replayed requests got a recorded response from the ledger. Lost requests
+	// got no response in any of their tries.
 	Sent, Served, Replayed int64
 	NotRun, Unknown, Lost  int64
-	Misdelivered, Doubled  int64
-	Tokens                 int64
-	Elapsed                time.Duration
-	Latency                *hdrhistogram.Histogram
-	BoundTokensPerSecond   float64
-	Entries                int
-	// FailedTries got no answer: refused, reset or timed out.
+	// Misdelivered requests got a wrong response. Doubled is the number of
+	// idempotency keys that ran more than once.
+	Misdelivered, Doubled int64
+	Tokens                int64
+	Elapsed               time.Duration
+	Latency               *hdrhistogram.Histogram // in microseconds
+	// BoundTokensPerSecond is the token rate that the hardware of the model
+	// services allows.
+	BoundTokensPerSecond float64
+	Entries              int // entries on the list at the start
+	// FailedTries is the number of tries without a response: connection
+	// refused or reset, or timeout.
 	FailedTries   int64
 	NonIdempotent int64
-	// Unchecked upstreams could not be asked what they ran, so Doubled
-	// says nothing of them.
+	// Unchecked is the number of upstreams that did not return what they ran.
+	// Doubled does not include their runs.
 	Unchecked int
 }
 
+// outcome is the result of one request. final is the outcome or error code of the
+// last response, "http_" and the status if that has neither, or "lost" without a
+// response.
 type outcome struct {
 	final         string
 	tokens        int
 	misdelivered  bool
-	refused       int64
+	failedTries   int64
 	nonIdempotent bool
 }
 
+// add counts one request.
 func (r *Report) add(o outcome) {
 	r.Sent++
-	r.FailedTries += o.refused
+	r.FailedTries += o.failedTries
 	if o.nonIdempotent {
 		r.NonIdempotent++
 	}
@@ -62,14 +74,15 @@
 	r.Tokens += int64(o.tokens)
 }
 
-// executionsTimeout bounds asking one upstream what it ran.
+// executionsTimeout is the timeout for asking one upstream what it ran.
 const executionsTimeout = 5 * time.Second
 
-// doubled asks every upstream of a non-idempotent plain service how often
-// each key of this run ran, and counts the keys that ran more than once.
-func doubled(ctx context.Context, hc *http.Client, p Plan) (n int64, unchecked int) {
+// countDoubled asks every upstream of the non-idempotent plain services how often
+// it ran each idempotency key. It returns the number of keys of this run that ran
+// more than once, and the number of upstreams that could not be asked.
+func countDoubled(ctx context.Context, hc *http.Client, p Plan) (n int64, unchecked int) {
 	runs := map[string]int{}
-	asked := map[string]bool{} // services may share upstreams: ask each once
+	asked := map[string]bool{} // services may share upstreams; ask each once
 	for _, s := range p.Fleet.Services {
 		if s.Kind != citronfleet.Plain || s.IsIdempotent() {
 			continue
@@ -97,13 +110,14 @@
 	return n, unchecked
 }
 
+// executions returns how often the upstream at addr ran each idempotency key.
 func executions(ctx context.Context, hc *http.Client, addr string) (map[string]int, error) {
 	ctx, cancel := context.WithTimeout(ctx, executionsTimeout)
 	defer cancel()
 	return citronplain.NewClient(hc, "http://"+addr).Executions(ctx)
 }
 
-// Print writes the report for a person.
+// Print writes the report as human-readable text.
 func (r Report) Print(w io.Writer) {
 	secs := r.Elapsed.Seconds()
 	fmt.Fprintf(w, "entries used        %d\n", r.Entries)
--- a/citronwire/wire.go
+++ b/citronwire/wire.go
@@ -1,8 +1,8 @@
-// Package citronwire holds what every citrondeck process needs to speak
-// connect-go to another: a JSON codec (so that wire types are plain Go
-// structs kept beside their handlers, with no generated protobuf code),
-// typed unary clients and handlers, and the error wrapping that names the
-// step and the peer at which an error arose.
+// Package citronwire provides what citrondeck processes share to call each other
+// with connect-go: codecs for JSON and CBOR, typed unary clients and handlers,
+// and errors that name the procedure and the peer. The codecs allow wire types
+// to be plain Go structs next to their handlers, without generated protobuf
+// code.
 //
 // A procedure is mounted with Handle and called through a Unary client:
 //
@@ -26,32 +26,33 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// codec encodes wire types as JSON with encoding/json. It takes the name
-// "json" so that it replaces connect's protobuf-JSON codec.
-type codec struct{}
+// jsonCodec encodes wire types with encoding/json. It is named "json" to replace
+// connect's protobuf-JSON jsonCodec.
+type jsonCodec struct{}
 
-func (codec) Name() string                  { return "json" }
-func (codec) Marshal(v any) ([]byte, error) { return json.Marshal(v) }
-func (codec) Unmarshal(b []byte, v any) error {
+func (jsonCodec) Name() string                  { return "json" }
+func (jsonCodec) Marshal(v any) ([]byte, error) { return json.Marshal(v) }
+func (jsonCodec) Unmarshal(b []byte, v any) error {
 	return json.Unmarshal(b, v)
 }
 
-// Option is the connect option that every handler and client takes.
-func Option() connect.Option { return connect.WithCodec(codec{}) }
+// Option returns the connect option that makes a handler or client use JSON.
+func Option() connect.Option { return connect.WithCodec(jsonCodec{}) }
 
-// compact encodes wire types as CBOR, for messages of many numbers, which JSON
-// makes long and slow to read.
-type compact struct{}
+// cborCodec encodes wire types as CBOR. It is meant for messages with many
+// numbers, which are long and slow to decode as JSON.
+type cborCodec struct{}
 
-func (compact) Name() string                    { return "cbor" }
-func (compact) Marshal(v any) ([]byte, error)   { return cbor.Marshal(v) }
-func (compact) Unmarshal(b []byte, v any) error { return cbor.Unmarshal(b, v) }
+func (cborCodec) Name() string                    { return "cbor" }
+func (cborCodec) Marshal(v any) ([]byte, error)   { return cbor.Marshal(v) }
+func (cborCodec) Unmarshal(b []byte, v any) error { return cbor.Unmarshal(b, v) }
 
-// Compact is the connect option of handlers and clients that speak CBOR.
-func Compact() connect.Option { return connect.WithCodec(compact{}) }
+// Compact returns the connect option that makes a handler or client use CBOR.
+func Compact() connect.Option { return connect.WithCodec(cborCodec{}) }
 
-// Client and handler options for small messages that are sent often: gzip
-// at its fastest level. The default level keeps most of a megabyte a writer.
+// FastGzipClient and FastGzipHandler are options for small, frequent messages.
+// They use gzip at its fastest level because a writer of the default level
+// occupies most of a megabyte.
 var (
 	FastGzipClient  = connect.WithAcceptCompression("gzip", newDecompressor, newCompressor)
 	FastGzipHandler = connect.WithCompression("gzip", newDecompressor, newCompressor)
@@ -62,20 +63,20 @@
 func newCompressor() connect.Compressor {
 	w, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
-		panic(err) // the level is a constant of the package
+		panic(err) // unreachable: the level is a valid constant
 	}
 	return w
 }
 
-// Handle mounts one unary procedure on mux.
-func Handle[Req, Res any](mux *http.ServeMux, procedure string, fn func(context.Context, *Req) (*Res, error), more ...connect.HandlerOption) {
+// Handle mounts fn on mux as the unary procedure.
+func Handle[Req, Res any](mux *http.ServeMux, procedure string, fn func(context.Context, *Req) (*Res, error), opts ...connect.HandlerOption) {
 	h := connect.NewUnaryHandler(procedure, func(ctx context.Context, r *connect.Request[Req]) (*connect.Response[Res], error) {
 		res, err := fn(ctx, r.Msg)
 		if err != nil {
 			return nil, err
 		}
 		return connect.NewResponse(res), nil
-	}, append([]connect.HandlerOption{Option()}, more...)...)
+	}, append([]connect.HandlerOption{Option()}, opts...)...)
 	mux.Handle(procedure, h)
 }
 
@@ -83,21 +84,21 @@
 type Unary[Req, Res any] struct {
 	client *connect.Client[Req, Res]
 	peer   string
-	step   string
+	step   string // the procedure, as errors name it
 }
 
-// NewUnary returns a client for procedure at base (a URL such as
-// http://127.0.0.1:7000).
-func NewUnary[Req, Res any](hc connect.HTTPClient, base, procedure string, more ...connect.ClientOption) *Unary[Req, Res] {
+// NewUnary returns a client for procedure at the base URL, such as
+// http://127.0.0.1:7000.
+func NewUnary[Req, Res any](hc connect.HTTPClient, base, procedure string, opts ...connect.ClientOption) *Unary[Req, Res] {
 	return &Unary[Req, Res]{
-		client: connect.NewClient[Req, Res](hc, base+procedure, append([]connect.ClientOption{Option()}, more...)...),
+		client: connect.NewClient[Req, Res](hc, base+procedure, append([]connect.ClientOption{Option()}, opts...)...),
 		peer:   base,
 		step:   procedure,
 	}
 }
 
-// Call sends req and returns the answer. Errors keep their connect code
-// (see connect.CodeOf) and carry the step and the peer.
+// Call sends req and returns the response. Its errors name the procedure and the
+// peer and keep their connect code (see connect.CodeOf).
 func (u *Unary[Req, Res]) Call(ctx context.Context, req *Req) (*Res, error) {
 	res, err := u.client.CallUnary(ctx, connect.NewRequest(req))
 	if err != nil {
@@ -106,8 +107,8 @@
 	return res.Msg, nil
 }
 
-// Wrap adds the step and the peer to err; the connect code survives, as
-// connect.CodeOf unwraps.
+// Wrap adds the step and the peer to the message of err. connect.CodeOf still
+// returns the code of err.
 func Wrap(err error, step, peer string) error {
 	if err == nil {
 		return nil
@@ -115,7 +116,7 @@
 	return errors.Wrapf(err, "%s at %s", step, peer)
 }
 
-// Code returns the connect code of err, or CodeUnknown.
+// Code returns the connect code of err, or connect.CodeUnknown if it has none.
 func Code(err error) connect.Code {
 	var ce *connect.Error
 	if errors.As(err, &ce) {
@@ -124,51 +125,54 @@
 	return connect.CodeUnknown
 }
 
-// Errorf returns a connect error with code c.
+// Errorf returns a connect error with code c and a formatted message.
 func Errorf(c connect.Code, format string, args ...any) error {
 	return connect.NewError(c, errors.Newf(format, args...))
 }
 
-// LeavingHeader marks an Unavailable answer from a back end that is
-// leaving: it took no new work, so the request did not run there.
+// LeavingHeader is the metadata key that marks an Unavailable error from a back
+// end that is leaving. Such a back end accepts no new work, so the request did
+// not run there.
 const LeavingHeader = "Citron-Leaving"
 
-// Leaving returns the error a leaving back end answers new work with.
+// Leaving returns the error with which the leaving back end name rejects new
+// work.
 func Leaving(name string) error {
 	err := connect.NewError(connect.CodeUnavailable, errors.Newf("%s is leaving", name))
 	err.Meta().Set(LeavingHeader, name)
 	return err
 }
 
-// Traffic counts the bytes of a client's connections.
+// Traffic counts the bytes that a client's connections read and write.
 type Traffic struct {
 	Read, Written expvar.Int
 }
 
-// Dial wraps dial so that what its connections carry is counted.
+// Dial wraps dial so that the bytes of its connections are counted.
 func (t *Traffic) Dial(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return &countedConn{Conn: c, t: t}, nil
+		return &countedConn{Conn: c, traffic: t}, nil
 	}
 }
 
+// countedConn is a connection whose bytes are counted in traffic.
 type countedConn struct {
 	net.Conn
-	t *Traffic
+	traffic *Traffic
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.t.Read.Add(int64(n))
+	c.traffic.Read.Add(int64(n))
 	return n, err
 }
 
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.t.Written.Add(int64(n))
+	c.traffic.Written.Add(int64(n))
 	return n, err
 }
