--- a/citroncli/apply.go
+++ b/citroncli/apply.go
@@ -1,10 +1,10 @@
 package citroncli
 
-// citrondeck check, apply and audit: the operators' commands. check reads
-// a fleet text and names the line and column of each problem. apply checks
-// it and puts it in force with compare-and-swap, so two operators editing
-// at once cannot overwrite each other unseen. audit prints who changed
-// what.
+// The operators' commands check, apply and audit. check reads a fleet text and
+// reports the line and column of each problem. apply checks the text and stores
+// it with compare-and-swap, so two operators who edit at the same time cannot
+// overwrite each other unnoticed. audit prints the author and the fleet of each
+// change.
 
 import (
 	"context"
@@ -21,6 +21,8 @@
 	"github.com/cockroachdb/errors"
 )
 
+// operatorTimeout bounds one operator command, including all calls to the KV
+// service.
 const operatorTimeout = 15 * time.Second
 
 type checkCmd struct {
@@ -31,7 +33,8 @@
 type applyCmd struct {
 	File string `short:"f" help:"Fleet text to apply." required:""`
 	KV   string `help:"Base URL of the KV service." default:"http://127.0.0.1:7000"`
-	// Expect pins the revision the operator edited from.
+	// Expect is the revision that the operator edited; apply fails if the active
+	// fleet has another one.
 	Expect citronkv.Revision `help:"Apply only if the fleet in force is at this revision (-1: whatever it is now)." default:"-1"`
 	Who    string            `help:"Operator name for the audit trail (default: the login name)."`
 }
@@ -46,6 +49,7 @@
 	Register(Plugin{Name: "audit", Help: "Print the audit trail: every change of configuration, oldest first.", New: func() any { return &auditCmd{} }})
 }
 
+// readFleet reads and parses the fleet text at path.
 func readFleet(path string) ([]byte, citronfleet.Fleet, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -55,6 +59,7 @@
 	return text, f, err
 }
 
+// config returns access to the configuration in the KV service at base.
 func config(base string) citronconfig.Config {
 	return citronconfig.Config{KV: citronkv.NewClient(httpClient(), base), Clock: citronclock.Real{}}
 }
@@ -88,7 +93,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
 	log := g.Logger().With("role", "apply")
-	ch, err := config(c.KV).Apply(ctx, c.File, text, c.who(), c.Expect)
+	ch, err := config(c.KV).Apply(ctx, c.File, text, c.operatorName(), c.Expect)
 	switch {
 	case errors.Is(err, citronconfig.ErrRace):
 		citronevent.Log(ctx, log, citronevent.ConfigApplyRace, "expected", c.Expect.String(), "err", err)
@@ -103,7 +108,9 @@
 	return nil
 }
 
-func (c *applyCmd) who() string {
+// operatorName returns the name for the audit trail: the flag if set, else the
+// login name.
+func (c *applyCmd) operatorName() string {
 	if c.Who != "" {
 		return c.Who
 	}
--- a/citroncli/cases_test.go
+++ b/citroncli/cases_test.go
@@ -11,10 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// Regression cases are data: a line "$ citrondeck ARGS" and below it what
-// that prints, up to an empty line. They stand in testdata/cases.txt and in
-// the console blocks of the operators' page, whose examples thus cannot
-// drift from the program. To take over new output, set UPDATE_CASES=1.
+// caseFiles are the files that hold regression cases: a line "$ citrondeck ARGS"
+// followed by the expected output, up to an empty line. The console blocks of the
+// operators' pages are cases too, so their examples cannot drift from the program.
+// Set UPDATE_CASES=1 to replace the expected output by the current output.
 var caseFiles = []string{"citroncli/testdata/cases.txt", "docs/OPERATORS.md", "docs/OPERATIONS.md"}
 
 var caseText = regexp.MustCompile(`(?m)^\$ citrondeck (.*)\n((?:.+\n)*?)(\n|` + "```" + `\n)`)
@@ -42,8 +42,8 @@
 
 var clockTime = regexp.MustCompile(`time=\S+ `)
 
-// run returns all a command prints, without times, trailing blanks and
-// empty lines.
+// run returns the output of a command without log times, trailing blanks and
+// empty lines. A non-zero exit code is appended as a line.
 func run(args string) string {
 	var out bytes.Buffer
 	code := citroncli.Main(strings.Fields(args), &out, &out)
--- a/citroncli/cli.go
+++ b/citroncli/cli.go
@@ -1,7 +1,6 @@
-// Package citroncli is the command line. Every subcommand is a plug-in
-// in a file of its own holding its usage text, its flags and its
-// implementation; each registers itself in the one lookup table below,
-// and Main builds the kong parser from that table.
+// Package citroncli implements the command line. Every subcommand is a plug-in
+// in its own file with its usage text, flags and implementation. Each plug-in
+// registers itself in one lookup table, from which Main builds the kong parser.
 package citroncli
 
 import (
@@ -34,12 +33,13 @@
 	New func() any
 }
 
-var table = map[string]Plugin{}
+// plugins holds the registered subcommands by name.
+var plugins = map[string]Plugin{}
 
 // Register adds a subcommand to the lookup table.
-func Register(p Plugin) { table[p.Name] = p }
+func Register(p Plugin) { plugins[p.Name] = p }
 
-// Globals are the flags every subcommand takes.
+// Globals holds the flags that every subcommand accepts and the output streams.
 type Globals struct {
 	LogLevel  string    `help:"Log level: debug, info, warn or error." default:"info" enum:"debug,info,warn,error"`
 	LogFormat string    `help:"Log format: text or json." default:"text" enum:"text,json"`
@@ -47,14 +47,14 @@
 	Err       io.Writer `kong:"-"`
 }
 
-// Level returns the log level.
+// Level returns the minimum level of logged records.
 func (g *Globals) Level() slog.Level {
 	var lvl slog.Level
-	_ = lvl.UnmarshalText([]byte(g.LogLevel)) // kong has checked the name
+	_ = lvl.UnmarshalText([]byte(g.LogLevel)) // kong has validated the name
 	return lvl
 }
 
-// Logger returns the process logger.
+// Logger returns a logger that writes to Err in the selected format.
 func (g *Globals) Logger() *slog.Logger {
 	opts := &slog.HandlerOptions{Level: g.Level()}
 	if g.LogFormat == "json" {
@@ -83,7 +83,7 @@
 		args = []string{"--help"}
 	}
 	g := Globals{Out: out, Err: errw}
-	exited := -1 // what kong exits with once it has printed help
+	exited := -1 // exit code that kong asks for after printing help
 	opts := []kong.Option{
 		kong.Name("citrondeck"),
 		kong.Description(description),
@@ -91,8 +91,8 @@
 		kong.Exit(func(code int) { exited = max(exited, code) }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 	}
-	for _, n := range slices.Sorted(maps.Keys(table)) {
-		opts = append(opts, kong.DynamicCommand(n, table[n].Help, "", table[n].New()))
+	for _, n := range slices.Sorted(maps.Keys(plugins)) {
+		opts = append(opts, kong.DynamicCommand(n, plugins[n].Help, "", plugins[n].New()))
 	}
 	parser, err := kong.New(&g, opts...)
 	if err != nil {
@@ -116,17 +116,18 @@
 
 // Exit codes.
 const (
-	exitFailed = 1 // the command ran and failed
-	exitUsage  = 2 // the command line was wrong
+	exitFailed = 1 // the command failed
+	exitUsage  = 2 // the command line is invalid
 )
 
-// signalContext ends on SIGINT or SIGTERM.
+// signalContext returns a context that is canceled on SIGINT or SIGTERM.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
-// loadSettings decodes a YAML settings file strictly into v; an unknown
-// field or a wrong type is an error naming the line and column.
+// loadSettings decodes the YAML settings file at path into v; an empty path leaves
+// v unchanged. Decoding is strict: an unknown field or a wrong type is an error
+// that names the line and column.
 func loadSettings(path string, v any) error {
 	if path == "" {
 		return nil
@@ -138,7 +139,7 @@
 	return citronyaml.Decode(path, text, v)
 }
 
-// serve listens on addr with mux plus /debug/vars until ctx ends.
+// serve serves mux and /debug/vars on addr until ctx is canceled.
 func serve(ctx context.Context, addr string, mux *http.ServeMux) error {
 	mux.Handle("/debug/vars", expvar.Handler())
 	ln, err := net.Listen("tcp", addr)
@@ -158,9 +159,10 @@
 	return nil
 }
 
+// httpClient returns a client whose byte counts are discarded.
 func httpClient() *http.Client { return countedClient(new(citronwire.Traffic)) }
 
-// countedClient returns a client whose bytes are counted in t.
+// countedClient returns a client that counts the bytes it reads and writes in t.
 func countedClient(t *citronwire.Traffic) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 256,
--- a/citroncli/engine.go
+++ b/citroncli/engine.go
@@ -1,9 +1,9 @@
 package citroncli
 
-// citrondeck engine: the stand-in model engine. It holds layers
-// [from, to) of a model, spends --capacity tokens a second, and on SIGTERM
-// marks itself leaving in the instance list, refuses new requests and
-// finishes those it holds before it exits.
+// The engine command runs the stand-in model engine. It holds layers [from, to)
+// of a model and processes up to --capacity tokens per second. On SIGTERM it
+// marks itself as leaving in the instance list, rejects new requests and finishes
+// its requests in flight before it exits.
 
 import (
 	"context"
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// drainUntil waits until idle reports true or limit passes.
+// drainUntil waits until idle returns true, at most for limit.
 func drainUntil(clock citronclock.Clock, limit time.Duration, idle func() bool) {
 	end := clock.Now().Add(limit)
 	for !idle() && clock.Now().Before(end) {
--- a/citroncli/entry.go
+++ b/citroncli/entry.go
@@ -1,8 +1,8 @@
 package citroncli
 
-// citrondeck entry: an entry instance. Settings come from a YAML file
-// (--settings) or flags; a flag given on the command line wins. On
-// SIGTERM the entry leaves discovery, finishes what it holds and exits.
+// The entry command runs an entry instance. Settings come from a YAML file
+// (--settings) and from flags; a flag overrides the file. On SIGTERM the entry
+// leaves discovery, finishes its requests in flight and exits.
 
 import (
 	"context"
@@ -46,7 +46,8 @@
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	// Control traffic has a client of its own, so that its cost shows.
+	// Control traffic uses a separate client, so that its volume is measured
+	// separately.
 	control := new(citronwire.Traffic)
 	kv := citronkv.NewClient(countedClient(control), c.KV)
 	e := citronentry.New(set, citronclock.Real{}, g.Logger().With("role", "entry"), kv, kv.Instances, httpClient())
--- a/citroncli/events.go
+++ b/citroncli/events.go
@@ -1,6 +1,6 @@
 package citroncli
 
-// citrondeck events: prints the catalogue of numbered log events, the
+// The events command prints the catalogue of numbered log events, which is the
 // text of docs/EVENTS.md.
 
 import "citrondeck.dev/citrondeck/citronevent"
--- a/citroncli/explain.go
+++ b/citroncli/explain.go
@@ -1,7 +1,8 @@
 package citroncli
 
-// citrondeck explain: the story of a request, an engine or a version of the
-// configuration, or what all callers lost, from the logs of all nodes.
+// The explain command reconstructs the history of a request, an engine or a
+// configuration version from the logs of all nodes, or summarizes the requests
+// that were late, rejected or broken off.
 
 import (
 	"io"
@@ -18,7 +19,7 @@
 	Print   string `help:"Fingerprint of a request, as the log gives it: what became of it under all its ids." xor:"subject" required:""`
 	Version int64  `help:"Configuration version: when each node put it in force." xor:"subject" required:""`
 	Losses  bool   `help:"Which requests were late, refused or broken off: a table by cause, zone and time." xor:"subject" required:""`
-	// Window is for Losses only.
+	// Window applies only with Losses.
 	Window time.Duration `help:"With --losses: the spans of time to count." default:"2s"`
 	Logs   []string      `arg:"" optional:"" type:"existingfile" help:"Log files of the nodes; none: standard input."`
 }
--- a/citroncli/instances.go
+++ b/citroncli/instances.go
@@ -1,7 +1,8 @@
 package citroncli
 
-// citrondeck instances: writes the back ends of a fleet text to the
-// instance-list stand-in, or changes one row; for experiments.
+// The instances command writes the back ends of a fleet text to the stand-in of
+// the instance list, or changes the state of one instance. It is for experiments
+// only.
 
 import (
 	"context"
--- a/citroncli/kv.go
+++ b/citroncli/kv.go
@@ -1,8 +1,8 @@
 package citroncli
 
-// citrondeck kv: the stand-in for the platform's key-value service and
-// its lagging instance list. It exists for tests and the demo; a real
-// deployment points --kv at the platform's service instead.
+// The kv command runs a stand-in for the platform's key-value service and its
+// lagging instance list. It is meant for tests and the demo; a real deployment
+// points --kv at the platform's service.
 
 import (
 	"context"
--- a/citroncli/load.go
+++ b/citroncli/load.go
@@ -1,8 +1,8 @@
 package citroncli
 
-// citrondeck load: fires a surge at the entries and checks every answer
-// against the oracle; exits non-zero if any answer was lost, doubled or
-// misdelivered.
+// The load command sends a surge of requests to the entries and compares every
+// answer with the expected one. It exits with a non-zero code if any answer is
+// lost, doubled or misdelivered.
 
 import (
 	"context"
@@ -43,7 +43,7 @@
 	if prefix == "" {
 		prefix = fmt.Sprintf("run%d", time.Now().UnixNano())
 	}
-	wait, err := untilHour(c.At, time.Now())
+	wait, err := untilTimeOfDay(c.At, time.Now())
 	if err != nil {
 		return err
 	}
@@ -64,15 +64,15 @@
 	return nil
 }
 
-// untilHour is the time from now until hour (HH:MM:SS) today; none when
-// hour is empty or past.
-func untilHour(hour string, now time.Time) (time.Duration, error) {
-	if hour == "" {
+// untilTimeOfDay returns the time from now until timeOfDay (HH:MM:SS)
+// today. It returns zero if timeOfDay is empty or has passed.
+func untilTimeOfDay(timeOfDay string, now time.Time) (time.Duration, error) {
+	if timeOfDay == "" {
 		return 0, nil
 	}
-	t, err := time.ParseInLocation(time.TimeOnly, hour, now.Location())
+	t, err := time.ParseInLocation(time.TimeOnly, timeOfDay, now.Location())
 	if err != nil {
-		return 0, errors.Newf("--at %q: want HH:MM:SS", hour)
+		return 0, errors.Newf("--at %q: want HH:MM:SS", timeOfDay)
 	}
 	y, m, d := now.Date()
 	at := time.Date(y, m, d, t.Hour(), t.Minute(), t.Second(), 0, now.Location())
--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -1,7 +1,7 @@
 package citroncli
 
-// citrondeck node: a node on the users' platform. Its settings file is
-// named by an environment variable or --settings.
+// The node command runs a node on the users' platform. An environment variable
+// or --settings names its settings file.
 
 import (
 	"context"
@@ -38,16 +38,20 @@
 }
 
 const (
-	// leaderLease outlives two lost renewals and is short enough that a
-	// dead leader is replaced well before engines' holes cost callers.
+	// leaderLease is the minimum duration of the leader's lease. It survives two
+	// lost renewals, and it is short enough that a dead leader is replaced well
+	// before missing layer ranges affect callers.
 	leaderLease = 2500 * time.Millisecond
-	// directoryTTL is how long callers keep an answer. Some keep it three
-	// times as long, and a node that is stopping takes streams for 2.5 s.
+	// directoryTTL is how long callers may cache an answer of the directory. Some
+	// callers cache it three times as long, and a stopping node accepts streams
+	// for 2.5 s.
 	directoryTTL = 700 * time.Millisecond
-	maxBody      = 64 << 20
-	// memoryLimitBytes is the part of each megabyte of the node's memory that
-	// the runtime may fill before it collects more often: a process over its
-	// limit is killed, and what the runtime does not count needs the rest.
+	// maxBody is the maximum size of a request body in bytes.
+	maxBody = 64 << 20
+	// memoryLimitBytes is the Go memory limit in bytes per megabyte of the node's
+	// memory; above it the runtime collects garbage more often. The rest is for
+	// memory that the runtime does not count, because a process over its limit is
+	// killed.
 	memoryLimitBytes = 600 << 10
 )
 
--- a/citroncli/plain.go
+++ b/citroncli/plain.go
@@ -1,8 +1,8 @@
 package citroncli
 
-// citrondeck plain: the stand-in plain service. It counts every execution
-// by idempotency key; on SIGTERM it marks itself leaving, refuses new
-// calls and exits once the calls it holds are done.
+// The plain command runs the stand-in plain service. It counts executions by
+// idempotency key. On SIGTERM it marks itself as leaving, rejects new calls and
+// exits after --drain, during which it finishes its calls in flight.
 
 import (
 	"context"
--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Command citrondeck is a router for model pipelines over mixed
+// Command citrondeck routes requests through model pipelines that run on mixed
 // accelerators. Each role is a subcommand; see `citrondeck --help`.
 package main
 
