--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -62,8 +62,8 @@
 		return err
 	}
 	logging, stopLogging := context.WithCancel(context.Background())
-	handler, written := citronlog.New(logging, g.Out, citronclock.Real{}, g.Level())
-	defer written()
+	handler, waitLogWritten := citronlog.New(logging, g.Out, citronclock.Real{}, g.Level())
+	defer waitLogWritten()
 	defer stopLogging()
 	if set.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(set.MemoryMB) * memoryLimitBytes)
