--- a/citronsoak/crash_test.go
+++ b/citronsoak/crash_test.go
@@ -13,18 +13,18 @@
 const (
 	// crashBody is the body of requests that crash the engines that run them,
 	// crashAfter into the run; another engine starts restartTime later.
-	crashBody   = "crash"
-	crashAfter  = 60 * time.Millisecond
-	restartTime = time.Second
+	crashBody    = "crash"
+	crashDelay   = 60 * time.Millisecond
+	restartDelay = time.Second
 	// crashPause is the time between two such requests, crashTime how long they
 	// come.
-	crashPause = 300 * time.Millisecond
-	crashTime  = 9 * time.Second
+	crashInterval = 300 * time.Millisecond
+	crashDuration = 9 * time.Second
 	// A request under which mostCrashes engines have ended may reach engines
 	// mostAfter times more from contact on.
-	mostCrashes = 3
-	mostAfter   = 3
-	contact     = 3 * time.Second
+	crashThreshold  = 3
+	maxLateRuns     = 3
+	propagationTime = 3 * time.Second
 )
 
 // One request of a customer ended each engine that began to run it, and came again
@@ -39,22 +39,22 @@
 	for range 3 {
 		w.addEngine("model", "card")
 	}
-	w.untilServing(startTime, "at the start")
-	var sound sync.WaitGroup
+	w.waitUntilServing(startTimeout, "at the start")
+	var streams sync.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
 	for i := range callers {
-		sound.Go(func() { w.streamUntil(ctx, i) })
+		streams.Go(func() { w.sendStreams(ctx, i) })
 	}
-	w.crashEngines(time.Now().Add(crashTime))
+	w.sendCrashingRequests(time.Now().Add(crashDuration))
 	cancel()
-	sound.Wait()
-	w.untilServing(recoverTime, "after the request that crashes engines")
+	streams.Wait()
+	w.waitUntilServing(recoverTimeout, "after the request that crashes engines")
 	w.checkCrashes()
 }
 
 // Guards against a request that crashes engines and is forgotten, or sent on, by
 // nodes that are killed, stopped, frozen or cut off from the store meanwhile.
-func TestSoakWithRequestThatCrashesEngines(t *testing.T) {
+func TestSoakWithCrashingRequest(t *testing.T) {
 	binary := build(t)
 	for i := range *soakSeeds {
 		seed := *soakSeed + uint64(i)
@@ -69,25 +69,25 @@
 }
 
 // streamUntil sends streams, each with a body of its own, one after the other.
-func (w *world) streamUntil(ctx context.Context, caller int) {
-	hc := &http.Client{Timeout: callTime}
+func (w *world) sendStreams(ctx context.Context, caller int) {
+	hc := &http.Client{Timeout: callTimeout}
 	for i := 0; ctx.Err() == nil; i++ {
 		n := w.nodes[(caller+i)%len(w.nodes)]
 		id := fmt.Sprintf("sound-%d-%d", caller, i)
-		w.check(n, "/stream/", id, w.askWith(hc, n, "/stream/", id, id))
+		w.checkAnswer(n, "/stream/", id, w.sendBody(hc, n, "/stream/", id, id))
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
 // crashEngines sends the request that crashes engines to one node after the other.
 // Its id tells whether the node had no trouble for long enough to know all.
-func (w *world) crashEngines(end time.Time) {
-	hc := &http.Client{Timeout: callTime}
+func (w *world) sendCrashingRequests(end time.Time) {
+	hc := &http.Client{Timeout: callTimeout}
 	for i := 0; time.Now().Before(end); i++ {
 		n := w.nodes[i%len(w.nodes)]
-		id := fmt.Sprintf("crash-%d-%t", i, n.inTouch(contact))
-		w.askWith(hc, n, "/stream/", id, crashBody)
-		time.Sleep(crashPause)
+		id := fmt.Sprintf("crash-%d-%t", i, n.faultFreeFor(propagationTime))
+		w.sendBody(hc, n, "/stream/", id, crashBody)
+		time.Sleep(crashInterval)
 	}
 }
 
@@ -98,17 +98,17 @@
 	defer w.runs.mu.Unlock()
 	runs := w.runs.crashes
 	w.t.Logf("%d engines ended under the request that crashes them; %v", len(runs), w.counts)
-	if len(runs) < mostCrashes {
+	if len(runs) < crashThreshold {
 		return
 	}
-	known := runs[mostCrashes-1].at.Add(contact)
+	known := runs[crashThreshold-1].at.Add(propagationTime)
 	after := 0
 	for _, r := range runs {
 		if r.at.After(known) && strings.HasSuffix(r.id, "true") {
 			after++
 		}
 	}
-	if after > mostAfter {
-		w.t.Errorf("a request under which %d engines had ended reached engines %d times more from %v on; %d ended in all", mostCrashes, after, contact, len(runs))
+	if after > maxLateRuns {
+		w.t.Errorf("a request under which %d engines had ended reached engines %d times more from %v on; %d ended in all", crashThreshold, after, propagationTime, len(runs))
 	}
 }
--- a/citronsoak/engine_test.go
+++ b/citronsoak/engine_test.go
@@ -18,22 +18,22 @@
 const (
 	// streamEvents is how many events a stream has, eventEvery the time
 	// between two.
-	streamEvents = 8
-	eventEvery   = 40 * time.Millisecond
+	streamEvents  = 8
+	eventInterval = 40 * time.Millisecond
 	// workTime is how long a plain call takes.
-	workTime = 15 * time.Millisecond
+	plainCallTime = 15 * time.Millisecond
 )
 
 // drainPromise is the time after which an engine whose entry has gone gets no
 // new work.
-const drainPromise = 2 * time.Second
+const drainDeadline = 2 * time.Second
 
 // runs counts, over all engines, how often each request ran.
-type runs struct {
-	mu sync.Mutex
-	by map[string]int
+type runLog struct {
+	mu     sync.Mutex
+	counts map[string]int
 	// late are requests that reached an engine after drainPromise.
-	late []string
+	lateArrivals []string
 	// crashes are the runs of a request that crashes engines.
 	crashes []crashedRun
 }
@@ -45,60 +45,60 @@
 	at time.Time
 }
 
-func (r *runs) crashed(id string) {
+func (r *runLog) recordCrash(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.crashes = append(r.crashes, crashedRun{id, time.Now()})
 }
 
 // arrived notes when a request reached an engine whose entry had gone.
-func (r *runs) arrived(id, engine string, since time.Duration) {
-	if since < drainPromise {
+func (r *runLog) recordLate(id, engine string, since time.Duration) {
+	if since < drainDeadline {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.late = append(r.late, fmt.Sprintf("%s at %s after %v", id, engine, since))
+	r.lateArrivals = append(r.lateArrivals, fmt.Sprintf("%s at %s after %v", id, engine, since))
 }
 
-func (r *runs) add(id string) {
+func (r *runLog) recordRun(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.by[id]++
+	r.counts[id]++
 }
 
-func (r *runs) of(id string) int {
+func (r *runLog) count(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.by[id]
+	return r.counts[id]
 }
 
 // engine is one incarnation of an engine: a model's if it has a kind, else of
 // a plain service.
 type engine struct {
-	id, addr, service, kind string
-	store                   citronkv.Store
-	runs                    *runs
-	hs                      *http.Server
-	mu                      sync.Mutex
-	from, to                int
-	accepted, beats, born   int64
-	leaving, ended          bool
+	id, addr, service, kind         string
+	store                           citronkv.Store
+	runs                            *runLog
+	hs                              *http.Server
+	mu                              sync.Mutex
+	from, to                        int
+	accepted, heartbeats, startedMS int64
+	leaving, stopped                bool
 	// gone is when its entry went without a word; zero while it is there.
-	gone time.Time
+	removedAt time.Time
 	// limit is the rate limit that it names.
 	limit limit
 	// restart brings another engine in the place of one that a request crashed.
 	restart func()
 }
 
-func startEngine(t *testing.T, store citronkv.Store, r *runs, id, service, kind string) *engine {
+func startEngine(t *testing.T, store citronkv.Store, r *runLog, id, service, kind string) *engine {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &engine{id: id, addr: ln.Addr().String(), service: service, kind: kind, store: store, runs: r, born: time.Now().UnixMilli()}
+	e := &engine{id: id, addr: ln.Addr().String(), service: service, kind: kind, store: store, runs: r, startedMS: time.Now().UnixMilli()}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/report", e.report)
 	mux.HandleFunc("/order", e.order)
@@ -116,10 +116,10 @@
 	if e.leaving {
 		state = "draining"
 	}
-	e.beats++
+	e.heartbeats++
 	entry := map[string]any{
 		"service": e.service, "address": e.addr, "zone": "z", "state": state, "slotCount": 64,
-		"version": "v1", "coldLeftMs": 0, "sequence": e.beats, "born": e.born,
+		"version": "v1", "coldLeftMs": 0, "sequence": e.heartbeats, "born": e.startedMS,
 	}
 	if e.kind != "" {
 		entry["kind"] = e.kind
@@ -136,7 +136,7 @@
 // crash ends the engine; its entry goes a second later.
 func (e *engine) crash() {
 	e.mu.Lock()
-	e.ended = true
+	e.stopped = true
 	e.mu.Unlock()
 	_ = e.hs.Close()
 	time.AfterFunc(time.Second, func() {
@@ -145,16 +145,16 @@
 }
 
 // crashUnder has a request that has begun to run crash the engine.
-func (e *engine) crashUnder(w http.ResponseWriter, id string) {
-	e.runs.crashed(id)
+func (e *engine) crashDuringRun(w http.ResponseWriter, id string) {
+	e.runs.recordCrash(id)
 	w.WriteHeader(http.StatusOK)
 	_ = http.NewResponseController(w).Flush()
-	time.Sleep(crashAfter)
+	time.Sleep(crashDelay)
 	e.crash()
 	e.mu.Lock()
 	restart := e.restart
 	e.mu.Unlock()
-	time.AfterFunc(restartTime, restart)
+	time.AfterFunc(restartDelay, restart)
 }
 
 // leave has the engine say that it leaves, serve on for a while, and end.
@@ -168,34 +168,34 @@
 
 // vanish has the engine's entry go without a word. It serves on, well beyond
 // drainPromise.
-func (e *engine) vanish() {
+func (e *engine) removeEntry() {
 	_ = e.store.Delete(context.Background(), "servers/"+e.id, citronkv.AnyRevision)
 	e.mu.Lock()
-	e.gone = time.Now()
+	e.removedAt = time.Now()
 	e.mu.Unlock()
 }
 
 // writes reports whether the engine keeps its entry.
-func (e *engine) writes() bool {
+func (e *engine) keepsEntry() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.ended && e.gone.IsZero()
+	return !e.stopped && e.removedAt.IsZero()
 }
 
 // sinceGone is how long the engine's entry has been missing, zero if it is there.
-func (e *engine) sinceGone() time.Duration {
+func (e *engine) sinceRemoval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gone.IsZero() {
+	if e.removedAt.IsZero() {
 		return 0
 	}
-	return time.Since(e.gone)
+	return time.Since(e.removedAt)
 }
 
 func (e *engine) report(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(map[string]any{"born": e.born, "kind": e.kind, "sequence": e.accepted, "pace": 1.0, "layers": map[string]int{"from": e.from, "target": e.to}})
+	_ = json.NewEncoder(w).Encode(map[string]any{"born": e.startedMS, "kind": e.kind, "sequence": e.accepted, "pace": 1.0, "layers": map[string]int{"from": e.from, "target": e.to}})
 }
 
 func (e *engine) order(w http.ResponseWriter, r *http.Request) {
@@ -233,26 +233,26 @@
 		return
 	}
 	h.Set("X-Server-Stamp", e.id)
-	e.limit.arrived(h, r)
-	e.runs.add(id)
-	e.runs.arrived(id, e.id, e.sinceGone())
+	e.limit.recordArrival(h, r)
+	e.runs.recordRun(id)
+	e.runs.recordLate(id, e.id, e.sinceRemoval())
 	if e.kind == "" {
-		time.Sleep(workTime)
-		_, _ = fmt.Fprint(w, answerTo(id))
+		time.Sleep(plainCallTime)
+		_, _ = fmt.Fprint(w, answerText(id))
 		return
 	}
 	h.Set("Content-Type", "text/event-stream")
 	if body, _ := io.ReadAll(r.Body); string(body) == crashBody {
-		e.crashUnder(w, id)
+		e.crashDuringRun(w, id)
 		return
 	}
 	begin, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // none: from the first
 	for i := begin + 1; i <= streamEvents; i++ {
-		if _, err := fmt.Fprint(w, eventOf(id, i)); err != nil || http.NewResponseController(w).Flush() != nil {
+		if _, err := fmt.Fprint(w, eventText(id, i)); err != nil || http.NewResponseController(w).Flush() != nil {
 			return
 		}
 		select {
-		case <-time.After(eventEvery):
+		case <-time.After(eventInterval):
 		case <-r.Context().Done():
 			return
 		}
@@ -260,6 +260,6 @@
 }
 
 // answerTo and eventOf are what a request with an id is answered.
-func answerTo(id string) string { return "answer to " + id }
+func answerText(id string) string { return "answer to " + id }
 
-func eventOf(id string, i int) string { return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", i, id, i) }
+func eventText(id string, i int) string { return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", i, id, i) }
--- a/citronsoak/nodes_test.go
+++ b/citronsoak/nodes_test.go
@@ -22,17 +22,17 @@
 	mu                sync.Mutex
 	cmd               *exec.Cmd
 	// life counts the processes.
-	life int
+	process int
 	// away: a fault is at work here. trouble is when one last was.
-	away    bool
-	trouble time.Time
+	faulty    bool
+	lastFault time.Time
 	// paused is when its process was last killed, stopped or frozen.
-	paused time.Time
-	log    *os.File
+	lastInterrupted time.Time
+	log             *os.File
 }
 
 // grace is the time between SIGTERM and SIGKILL that the settings tell.
-const grace = 3 * time.Second
+const shutdownGrace = 3 * time.Second
 
 // freeAddr is a loopback address that is held for a node to listen on.
 func freeAddr(t *testing.T) string {
@@ -46,7 +46,7 @@
 }
 
 // newNodes writes the settings of some nodes and starts them.
-func newNodes(t *testing.T, binary, store string, count int) []*node {
+func startNodes(t *testing.T, binary, store string, count int) []*node {
 	t.Helper()
 	nodes := make([]*node, count)
 	peers := make([]string, count)
@@ -77,7 +77,7 @@
 [platform]
 address = %q
 ttlMinMs = 1000
-`, n.name, strings.Join(peers, `","`), n.front, n.ready, peers[i], freeAddr(t), int(grace.Seconds()), n.proxy.addr())
+`, n.name, strings.Join(peers, `","`), n.front, n.ready, peers[i], freeAddr(t), int(shutdownGrace.Seconds()), n.proxy.addr())
 		if err := os.WriteFile(filepath.Join(n.dir, "local.toml"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 		}
 		nodes[i] = n
 		n.start(t)
-		t.Cleanup(n.end)
+		t.Cleanup(n.killProcess)
 	}
 	return nodes
 }
@@ -98,7 +98,7 @@
 	n.cmd = exec.Command(n.binary, "node")
 	n.cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "CITRONDECK_SETTINGS=" + filepath.Join(n.dir, "local.toml")}
 	n.cmd.Stdout, n.cmd.Stderr = n.log, n.log
-	n.life++
+	n.process++
 	if err := n.cmd.Start(); err != nil {
 		t.Errorf("start %s: %v", n.name, err)
 	}
@@ -118,57 +118,57 @@
 	_ = cmd.Wait() // it was killed, or told to stop
 }
 
-func (n *node) end() {
+func (n *node) killProcess() {
 	n.signal(syscall.SIGKILL)
 	n.wait()
 }
 
 // kill ends the process, at once or after its grace, and starts another.
-func (n *node) kill(t *testing.T, polite bool, pause time.Duration) {
-	if polite {
+func (n *node) restart(t *testing.T, graceful bool, pause time.Duration) {
+	if graceful {
 		n.signal(syscall.SIGTERM)
-		hard := time.AfterFunc(grace, func() { n.signal(syscall.SIGKILL) })
+		killTimer := time.AfterFunc(shutdownGrace, func() { n.signal(syscall.SIGKILL) })
 		n.wait()
-		hard.Stop()
+		killTimer.Stop()
 	} else {
-		n.end()
+		n.killProcess()
 	}
 	time.Sleep(pause)
 	n.start(t)
 }
 
-func (n *node) setAway(away bool) {
+func (n *node) setFaulty(faulty bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.away = away
-	n.trouble = time.Now()
-	n.paused = n.trouble
+	n.faulty = faulty
+	n.lastFault = time.Now()
+	n.lastInterrupted = n.lastFault
 }
 
 // troubled notes that the node's link to the store was harmed until now.
-func (n *node) troubled() {
+func (n *node) recordLinkFault() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.trouble = time.Now()
+	n.lastFault = time.Now()
 }
 
 // inTouch reports whether the node has been without trouble for so long.
-func (n *node) inTouch(d time.Duration) bool {
+func (n *node) faultFreeFor(d time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.away && time.Since(n.trouble) > d
+	return !n.faulty && time.Since(n.lastFault) > d
 }
 
 // ran reports whether its process has run for so long.
-func (n *node) ran(d time.Duration) bool {
+func (n *node) runningFor(d time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.away && time.Since(n.paused) > d
+	return !n.faulty && time.Since(n.lastInterrupted) > d
 }
 
 // state is the process that runs and whether a fault is at work.
-func (n *node) state() (life int, away bool) {
+func (n *node) state() (process int, faulty bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.life, n.away
+	return n.process, n.faulty
 }
--- a/citronsoak/proxy_test.go
+++ b/citronsoak/proxy_test.go
@@ -10,19 +10,19 @@
 )
 
 // trouble is what a proxy does to the bytes that pass through it.
-type trouble int32
+type linkState int32
 
 const (
-	well   trouble = iota
-	slow           // each piece arrives slowLink later
-	silent         // nothing arrives, and nothing ends
-	oneWay         // requests arrive, answers do not
-	broken         // connections are reset
+	healthy linkState = iota
+	slow              // each piece arrives slowLink later
+	stalled           // nothing arrives, and nothing ends
+	oneWay            // requests arrive, answers do not
+	broken            // connections are reset
 )
 
 // slowLink is longer than a call to a sound store takes and shorter than its
 // time limit.
-const slowLink = 300 * time.Millisecond
+const slowLinkDelay = 300 * time.Millisecond
 
 // proxy passes connections on to one address.
 type proxy struct {
@@ -55,9 +55,9 @@
 
 func (p *proxy) addr() string { return p.ln.Addr().String() }
 
-func (p *proxy) is(s trouble) bool { return trouble(p.state.Load()) == s }
+func (p *proxy) is(s linkState) bool { return linkState(p.state.Load()) == s }
 
-func (p *proxy) set(s trouble) {
+func (p *proxy) set(s linkState) {
 	p.state.Store(int32(s))
 	if s != broken {
 		return
@@ -77,38 +77,38 @@
 	_ = c.Close()
 }
 
-func (p *proxy) serve(near net.Conn) {
+func (p *proxy) serve(client net.Conn) {
 	if p.is(broken) {
-		reset(near)
+		reset(client)
 		return
 	}
-	far, err := net.Dial("tcp", p.to)
+	server, err := net.Dial("tcp", p.to)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
 	p.mu.Lock()
-	p.conns[near] = true
+	p.conns[client] = true
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.pass(far, near, false) })
-	both.Go(func() { p.pass(near, far, true) })
+	both.Go(func() { p.forward(server, client, false) })
+	both.Go(func() { p.forward(client, server, true) })
 	both.Wait()
 	p.mu.Lock()
-	delete(p.conns, near)
+	delete(p.conns, client)
 	p.mu.Unlock()
-	_, _ = near.Close(), far.Close()
+	_, _ = client.Close(), server.Close()
 }
 
-func (p *proxy) pass(to io.Writer, from net.Conn, answers bool) {
+func (p *proxy) forward(to io.Writer, from net.Conn, answers bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		for p.is(silent) || answers && p.is(oneWay) {
+		for p.is(stalled) || answers && p.is(oneWay) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if p.is(slow) {
-			time.Sleep(slowLink)
+			time.Sleep(slowLinkDelay)
 		}
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
--- a/citronsoak/soak_test.go
+++ b/citronsoak/soak_test.go
@@ -34,10 +34,10 @@
 	// startTime is how long nodes and the first placement may take, and
 	// recoverTime how long a fleet may need after the last fault; a slow
 	// machine must not fail the soak.
-	startTime   = 60 * time.Second
-	recoverTime = 60 * time.Second
+	startTimeout   = 60 * time.Second
+	recoverTimeout = 60 * time.Second
 	// callTime is how long callers wait.
-	callTime = 4 * time.Second
+	callTimeout = 4 * time.Second
 )
 
 // world is one run of the soak.
@@ -45,18 +45,18 @@
 	t       *testing.T
 	store   *citronkv.Server
 	nodes   []*node
-	runs    *runs
+	runs    *runLog
 	mu      sync.Mutex
 	engines map[string][]*engine
 	// all are the engines that ever were.
-	all     []*engine
-	made    int
-	version atomic.Int64
+	all         []*engine
+	engineCount int
+	version     atomic.Int64
 	// writing is held while the operator writes.
 	writing sync.Mutex
 	// served are, for each life of a node, the newest version whose effect
 	// a caller saw there.
-	served map[string]int64
+	newestServed map[string]int64
 	// notRun are the requests of which a caller was told so.
 	notRun []string
 	counts map[string]int
@@ -65,7 +65,7 @@
 	// limiting: engines name rate limits.
 	limiting bool
 	// returning: the store comes back from older copies.
-	returning bool
+	restoring bool
 }
 
 // Nodes are killed, stopped, paused and restarted, engines die and leave, and
@@ -99,22 +99,22 @@
 	store := newStore(ctx)
 	hs := httptest.NewServer(store)
 	t.Cleanup(hs.CloseClientConnections)
-	w := &world{t: t, store: store.kv, runs: &runs{by: map[string]int{}}, engines: map[string][]*engine{}, served: map[string]int64{}, counts: map[string]int{}}
-	w.configure()
+	w := &world{t: t, store: store.kv, runs: &runLog{counts: map[string]int{}}, engines: map[string][]*engine{}, newestServed: map[string]int64{}, counts: map[string]int{}}
+	w.writeNextConfig()
 	for range 3 {
 		w.addEngine("model", "card")
 	}
 	w.addEngine("app", "")
 	w.addEngine("app", "")
-	w.nodes = newNodes(t, binary, strings.TrimPrefix(hs.URL, "http://"), nodeCount)
+	w.nodes = startNodes(t, binary, strings.TrimPrefix(hs.URL, "http://"), nodeCount)
 	return w
 }
 
 func (w *world) addEngine(service, kind string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.made++
-	e := startEngine(w.t, w.store, w.runs, fmt.Sprintf("i-%d", w.made), service, kind)
+	w.engineCount++
+	e := startEngine(w.t, w.store, w.runs, fmt.Sprintf("i-%d", w.engineCount), service, kind)
 	e.mu.Lock()
 	e.restart = func() { w.replaceCrashed(e) }
 	e.mu.Unlock()
@@ -133,7 +133,7 @@
 }
 
 // takeEngine removes one engine of a service, oldest first, if others stay.
-func (w *world) takeEngine(service string) *engine {
+func (w *world) removeOldest(service string) *engine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	es := w.engines[service]
@@ -145,7 +145,7 @@
 }
 
 // configure writes the next version; it has a route of its own.
-func (w *world) configure() {
+func (w *world) writeNextConfig() {
 	w.writing.Lock()
 	defer w.writing.Unlock()
 	w.writeConfig(w.version.Load() + 1)
@@ -156,7 +156,7 @@
 	route := func(prefix, kind, service string, attempts int) map[string]any {
 		return map[string]any{
 			"name": prefix, "host": "h", "prefix": prefix, "kind": kind, "service": service, "maxAttempts": attempts,
-			"timeoutMs": callTime.Milliseconds(), "targetLatencyMs": 500, "gapTargetMs": 250, "resumable": kind == "streaming",
+			"timeoutMs": callTimeout.Milliseconds(), "targetLatencyMs": 500, "gapTargetMs": 250, "resumable": kind == "streaming",
 		}
 	}
 	routes := []any{route("/safe/", "safe", "app", 2), route("/once/", "unsafe", "app", 1), route("/stream/", "streaming", "model", 2)}
@@ -180,33 +180,33 @@
 }
 
 func (w *world) soak(seed uint64) {
-	w.untilServing(startTime, "at the start")
+	w.waitUntilServing(startTimeout, "at the start")
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for i := range callers {
-		all.Go(func() { w.call(ctx, rand.New(rand.NewPCG(seed, uint64(i))), i) })
+		all.Go(func() { w.runCaller(ctx, rand.New(rand.NewPCG(seed, uint64(i))), i) })
 	}
 	r := rand.New(rand.NewPCG(seed, 1000))
 	var faults sync.WaitGroup
 	end := time.Now().Add(time.Duration(*soakSeconds) * time.Second)
 	if w.crashing {
-		all.Go(func() { w.crashEngines(end) })
+		all.Go(func() { w.sendCrashingRequests(end) })
 	}
 	if w.limiting {
-		all.Go(func() { w.pressOn(ctx) })
-		all.Go(func() { w.nameLimits(rand.New(rand.NewPCG(seed, 3000)), end) })
+		all.Go(func() { w.sendLoad(ctx) })
+		all.Go(func() { w.announceLimits(rand.New(rand.NewPCG(seed, 3000)), end) })
 	}
-	if w.returning {
-		all.Go(func() { w.returns(rand.New(rand.NewPCG(seed, 2000)), end) })
+	if w.restoring {
+		all.Go(func() { w.restoreStore(rand.New(rand.NewPCG(seed, 2000)), end) })
 	}
 	for time.Now().Before(end) {
-		f := w.fault(r)
+		f := w.randomFault(r)
 		faults.Go(f)
 		time.Sleep(time.Duration(100+r.IntN(700)) * time.Millisecond)
 	}
 	faults.Wait()
-	w.untilServing(recoverTime, "after the last fault")
-	w.leaveAfterStandstill()
+	w.waitUntilServing(recoverTimeout, "after the last fault")
+	w.checkRemovalAfterFreeze()
 	cancel()
 	all.Wait()
 	w.checkNotRun()
@@ -215,41 +215,41 @@
 
 const (
 	// standstill is longer than the leader's lease lives.
-	standstill = 3 * time.Second
+	freezeTime = 3 * time.Second
 	// afterStandstill is when the engine leaves: the node that stood still is
 	// bound by the promise again when the time of the promise is over.
-	afterStandstill = time.Second
+	afterFreeze = time.Second
 )
 
 // leaveAfterStandstill has the node that leads stand still until its lease has
 // run out, and an engine leave without a word soon after. However the node takes
 // what it finds when it goes on, callers must not be sent to that engine.
-func (w *world) leaveAfterStandstill() {
+func (w *world) checkRemovalAfterFreeze() {
 	n := w.leader()
 	n.signal(syscall.SIGSTOP)
-	time.Sleep(standstill)
+	time.Sleep(freezeTime)
 	n.signal(syscall.SIGCONT)
-	time.Sleep(afterStandstill)
-	w.replace("app", "", (*engine).vanish)
-	time.Sleep(drainPromise)
-	w.press()
+	time.Sleep(afterFreeze)
+	w.replace("app", "", (*engine).removeEntry)
+	time.Sleep(drainDeadline)
+	w.sendBurst()
 	w.runs.mu.Lock()
 	defer w.runs.mu.Unlock()
-	for _, late := range w.runs.late {
+	for _, late := range w.runs.lateArrivals {
 		w.t.Errorf("a request reached an engine after its entry had gone: %s; %s had led and stood still", late, n.name)
 	}
 }
 
 // press asks every node a hundred times, a few requests at once so that each of
 // its engines gets some.
-func (w *world) press() {
+func (w *world) sendBurst() {
 	var all sync.WaitGroup
 	for _, n := range w.nodes {
 		for k := range 5 {
 			all.Go(func() {
-				hc := &http.Client{Timeout: callTime}
+				hc := &http.Client{Timeout: callTimeout}
 				for i := range 20 {
-					w.ask(hc, n, "/safe/", fmt.Sprintf("press-%s-%d-%d", n.name, k, i))
+					w.send(hc, n, "/safe/", fmt.Sprintf("press-%s-%d-%d", n.name, k, i))
 				}
 			})
 		}
@@ -259,7 +259,7 @@
 
 // leader is the node that places layers.
 func (w *world) leader() *node {
-	for end := time.Now().Add(recoverTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(recoverTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		it, err := w.store.Get(context.Background(), "deck/leader")
 		for _, n := range w.nodes {
 			if err == nil && string(it.Value) == n.name {
@@ -267,67 +267,67 @@
 			}
 		}
 	}
-	w.t.Fatalf("no node leads within %v", recoverTime)
+	w.t.Fatalf("no node leads within %v", recoverTimeout)
 	return nil
 }
 
 // fault draws a fault; the result brings it about and ends it.
-func (w *world) fault(r *rand.Rand) func() {
+func (w *world) randomFault(r *rand.Rand) func() {
 	n := w.nodes[r.IntN(len(w.nodes))]
 	d := time.Duration(200+r.IntN(1500)) * time.Millisecond
-	link := []trouble{slow, silent, oneWay, broken}[r.IntN(4)]
+	link := []linkState{slow, stalled, oneWay, broken}[r.IntN(4)]
 	service := []string{"model", "app"}[r.IntN(2)]
 	kind := map[string]string{"model": "card"}[service]
 	switch r.IntN(8) {
 	case 0:
-		return func() { w.on(n, func() { n.kill(w.t, false, d/2) }) }
+		return func() { w.injectAt(n, func() { n.restart(w.t, false, d/2) }) }
 	case 1:
-		return func() { w.on(n, func() { n.kill(w.t, true, d/2) }) }
+		return func() { w.injectAt(n, func() { n.restart(w.t, true, d/2) }) }
 	case 2:
 		return func() {
-			w.on(n, func() {
+			w.injectAt(n, func() {
 				n.signal(syscall.SIGSTOP)
 				time.Sleep(d)
 				n.signal(syscall.SIGCONT)
 			})
 		}
 	case 3:
-		return func() { w.link([]*node{n}, link, d) }
+		return func() { w.impairLinks([]*node{n}, link, d) }
 	case 4:
-		return func() { w.link(w.nodes, link, d) }
+		return func() { w.impairLinks(w.nodes, link, d) }
 	case 5:
 		return func() { w.replace(service, kind, (*engine).crash) }
 	case 6:
 		return func() { w.replace(service, kind, (*engine).leave) }
 	}
-	return w.configure
+	return w.writeNextConfig
 }
 
 // on brings a fault about at a node that has none.
-func (w *world) on(n *node, fault func()) {
-	if _, away := n.state(); away {
+func (w *world) injectAt(n *node, fault func()) {
+	if _, faulty := n.state(); faulty {
 		return
 	}
-	n.setAway(true)
-	defer n.setAway(false)
+	n.setFaulty(true)
+	defer n.setFaulty(false)
 	fault()
 }
 
-func (w *world) link(nodes []*node, s trouble, d time.Duration) {
+func (w *world) impairLinks(nodes []*node, s linkState, d time.Duration) {
 	for _, n := range nodes {
 		n.proxy.set(s)
-		n.troubled()
+		n.recordLinkFault()
 	}
 	time.Sleep(d)
 	for _, n := range nodes {
-		n.proxy.set(well)
-		n.troubled()
+		n.proxy.set(healthy)
+		n.recordLinkFault()
 	}
 }
 
 // replace takes an engine away in some manner and brings another.
 func (w *world) replace(service, kind string, end func(*engine)) {
-	e := w.takeEngine(service)
+	e := w.removeOldest(service)
 	w.addEngine(service, kind)
 	if e != nil {
 		end(e)
@@ -335,17 +335,17 @@
 }
 
 // untilServing waits until every node serves every kind of request.
-func (w *world) untilServing(patience time.Duration, when string) {
+func (w *world) waitUntilServing(timeout time.Duration, when string) {
 	for i, n := range w.nodes {
 		for _, path := range []string{"/safe/", "/once/", "/stream/", fmt.Sprintf("/v%d/", w.version.Load())} {
-			end := time.Now().Add(patience)
+			end := time.Now().Add(timeout)
 			for k := 0; ; k++ {
-				a := w.ask(&http.Client{Timeout: callTime}, n, path, fmt.Sprintf("%s-%d-%d-%s", when, i, k, path))
-				if a.status == http.StatusOK && a.whole {
+				a := w.send(&http.Client{Timeout: callTimeout}, n, path, fmt.Sprintf("%s-%d-%d-%s", when, i, k, path))
+				if a.status == http.StatusOK && a.complete {
 					break
 				}
 				if time.Now().After(end) {
-					w.t.Fatalf("%s: %s not served by %s within %v (last status %d); log %s", when, path, n.name, patience, a.status, n.log.Name())
+					w.t.Fatalf("%s: %s not served by %s within %v (last status %d); log %s", when, path, n.name, timeout, a.status, n.log.Name())
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -356,47 +356,47 @@
 type answer struct {
 	status int
 	// whole: the body is the request's own and complete.
-	whole bool
-	body  string
+	complete bool
+	body     string
 	// cut: the answer broke off.
-	cut bool
+	truncated bool
 }
 
 // call sends requests of all kinds to nodes drawn at random and checks the
 // answers.
-func (w *world) call(ctx context.Context, r *rand.Rand, caller int) {
-	hc := &http.Client{Timeout: callTime, Transport: &http.Transport{}}
+func (w *world) runCaller(ctx context.Context, r *rand.Rand, caller int) {
+	hc := &http.Client{Timeout: callTimeout, Transport: &http.Transport{}}
 	for i := 0; ctx.Err() == nil; i++ {
 		n := w.nodes[r.IntN(len(w.nodes))]
 		version := w.version.Load()
 		path := []string{"/safe/", "/once/", "/stream/", fmt.Sprintf("/v%d/", 1+r.Int64N(version))}[r.IntN(4)]
 		id := fmt.Sprintf("c%d-%d", caller, i)
-		life, _ := n.state()
-		seen := w.newest(n, life)
-		a := w.ask(hc, n, path, id)
-		if now, _ := n.state(); now == life {
-			w.checkVersion(n, life, path, seen, a)
+		process, _ := n.state()
+		seen := w.newestVersion(n, process)
+		a := w.send(hc, n, path, id)
+		if now, _ := n.state(); now == process {
+			w.checkVersion(n, process, path, seen, a)
 		}
-		w.check(n, path, id, a)
+		w.checkAnswer(n, path, id, a)
 		time.Sleep(time.Duration(r.IntN(30)) * time.Millisecond)
 	}
 }
 
-func (w *world) ask(hc *http.Client, n *node, path, id string) answer {
-	return w.askWith(hc, n, path, id, "body")
+func (w *world) send(hc *http.Client, n *node, path, id string) answer {
+	return w.sendBody(hc, n, path, id, "body")
 }
 
 // askWith sends a request with a body.
-func (w *world) askWith(hc *http.Client, n *node, path, id, text string) answer {
+func (w *world) sendBody(hc *http.Client, n *node, path, id, text string) answer {
 	req, err := http.NewRequest(http.MethodPost, "http://"+n.front+path+"x", strings.NewReader(text))
 	if err != nil {
 		return answer{}
 	}
 	req.Host = "h"
 	req.Header.Set("X-Attempt-Id", id)
-	req.Header.Set("X-Deadline-Ms", fmt.Sprint(callTime.Milliseconds()))
+	req.Header.Set("X-Deadline-Ms", fmt.Sprint(callTimeout.Milliseconds()))
 	req.Header.Set("X-Token-Counts", "10,32")
-	req.Header.Set(headerSender, n.sender())
+	req.Header.Set(headerSender, n.senderHeader())
 	req.GetBody = nil // the caller's own client must not send it twice
 	res, err := hc.Do(req)
 	if err != nil {
@@ -404,64 +404,64 @@
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
-	a := answer{status: res.StatusCode, body: string(body), cut: err != nil}
-	want := answerTo(id)
+	a := answer{status: res.StatusCode, body: string(body), truncated: err != nil}
+	want := answerText(id)
 	if strings.HasPrefix(path, "/stream/") {
 		want = ""
 		for i := 1; i <= streamEvents; i++ {
-			want += eventOf(id, i)
+			want += eventText(id, i)
 		}
 	}
-	a.whole = !a.cut && a.body == want
+	a.complete = !a.truncated && a.body == want
 	return a
 }
 
-func (w *world) check(n *node, path, id string, a answer) {
+func (w *world) checkAnswer(n *node, path, id string, a answer) {
 	w.mu.Lock()
-	w.counts[fmt.Sprintf("%.5s %d cut=%t", path, a.status, a.cut)]++
+	w.counts[fmt.Sprintf("%.5s %d cut=%t", path, a.status, a.truncated)]++
 	if strings.HasPrefix(path, "/once/") && a.status == http.StatusServiceUnavailable {
 		w.notRun = append(w.notRun, id)
 	}
 	w.mu.Unlock()
-	if a.status == http.StatusOK && !a.cut && !a.whole {
+	if a.status == http.StatusOK && !a.truncated && !a.complete {
 		w.t.Errorf("%s: %s %s: a success that is not the request's own whole answer: %q", n.name, path, id, a.body)
 	}
-	if a.cut && a.status == http.StatusOK && strings.HasPrefix(path, "/stream/") && !isPart(id, a.body) {
+	if a.truncated && a.status == http.StatusOK && strings.HasPrefix(path, "/stream/") && !isStreamPrefix(id, a.body) {
 		w.t.Errorf("%s: stream %s has a gap or a repeat: %q", n.name, id, a.body)
 	}
-	if k := w.runs.of(id); strings.HasPrefix(path, "/once/") && k > 1 {
+	if k := w.runs.count(id); strings.HasPrefix(path, "/once/") && k > 1 {
 		w.t.Errorf("%s: %s ran %d times", n.name, id, k)
 	}
 }
 
 // isPart reports whether a stream that broke off has the first events in
 // order, the last perhaps in part.
-func isPart(id, body string) bool {
+func isStreamPrefix(id, body string) bool {
 	want := ""
 	for i := 1; i <= streamEvents; i++ {
-		want += eventOf(id, i)
+		want += eventText(id, i)
 	}
 	return strings.HasPrefix(want, body)
 }
 
-func (w *world) newest(n *node, life int) int64 {
+func (w *world) newestVersion(n *node, process int) int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.served[fmt.Sprint(n.name, life)]
+	return w.newestServed[fmt.Sprint(n.name, process)]
 }
 
 // checkVersion fails if a process handles a request as only an older version
 // allows than one whose effect it has shown before the request was sent.
-func (w *world) checkVersion(n *node, life int, path string, seen int64, a answer) {
+func (w *world) checkVersion(n *node, process int, path string, seen int64, a answer) {
 	var v int64
 	if _, err := fmt.Sscanf(path, "/v%d/", &v); err != nil {
 		return
 	}
-	key := fmt.Sprint(n.name, life)
+	key := fmt.Sprint(n.name, process)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if a.status == http.StatusOK {
-		w.served[key] = max(w.served[key], v)
+		w.newestServed[key] = max(w.newestServed[key], v)
 	}
 	if a.status == http.StatusNotFound && v <= seen {
 		w.t.Errorf("%s: version %d was in force, and its route is unknown again", n.name, seen)
@@ -473,7 +473,7 @@
 func (w *world) checkNotRun() {
 	time.Sleep(500 * time.Millisecond)
 	for _, id := range w.notRun {
-		if w.runs.of(id) > 0 {
+		if w.runs.count(id) > 0 {
 			w.t.Errorf("%s: the caller was told that it did not run, but it did", id)
 		}
 	}
