--- a/citronsoak/crash_test.go
+++ b/citronsoak/crash_test.go
@@ -11,29 +11,31 @@
 )
 
 const (
-	// crashBody is the body of requests that crash the engines that run them,
-	// crashAfter into the run; another engine starts restartTime later.
+	// crashBody is the body of a request that crashes every engine that runs it.
+	// The engine crashes crashDelay after the run began, and a replacement starts
+	// restartDelay later.
 	crashBody    = "crash"
 	crashDelay   = 60 * time.Millisecond
 	restartDelay = time.Second
-	// crashPause is the time between two such requests, crashTime how long they
-	// come.
+	// crashInterval is the time between two such requests. They are sent for
+	// crashDuration.
 	crashInterval = 300 * time.Millisecond
 	crashDuration = 9 * time.Second
-	// A request under which mostCrashes engines have ended may reach engines
-	// mostAfter times more from contact on.
+	// After a request has crashed crashThreshold engines and propagationTime has
+	// passed, it may reach engines at most maxLateRuns more times. propagationTime is
+	// the time within which all nodes without a fault learn of the crashes.
 	crashThreshold  = 3
 	maxLateRuns     = 3
 	propagationTime = 3 * time.Second
 )
 
-// One request of a customer ended each engine that began to run it, and came again
-// every two seconds, at any node. Three engines ended at 37.19, 37.30 and 37.39 s,
-// three more at 39.16, 39.28 and 39.36 s, and so on, each about 60 ms after the
-// request began to run there; 22 ended under one request and 13 of its sends came
-// after all nodes could have known. Each attempt began from zero: nothing of it
-// outlived the attempt, and nothing was told to other nodes. Meanwhile five of six
-// streams of everybody else were refused or broken.
+// Guards against a request that crashes engines without limit. A customer retried
+// such a request every two seconds at any node, and each engine crashed about 60 ms
+// after it began to run it: three at 37.19, 37.30 and 37.39 s, three more at 39.16,
+// 39.28 and 39.36 s, and so on. It crashed 22 engines, and 13 of its sends came after
+// all nodes could have known. The nodes kept no record of a crash beyond the attempt
+// and told other nodes nothing. Meanwhile five of six streams of other callers were
+// rejected or broken.
 func TestRequestThatCrashesEnginesIsStopped(t *testing.T) {
 	w := newWorld(t, build(t))
 	for range 3 {
@@ -52,8 +54,8 @@
 	w.checkCrashes()
 }
 
-// Guards against a request that crashes engines and is forgotten, or sent on, by
-// nodes that are killed, stopped, frozen or cut off from the store meanwhile.
+// Guards against nodes that forget a request that crashes engines, or send it again,
+// because they are killed, stopped, frozen or cut off from the store meanwhile.
 func TestSoakWithCrashingRequest(t *testing.T) {
 	binary := build(t)
 	for i := range *soakSeeds {
@@ -68,7 +70,8 @@
 	}
 }
 
-// streamUntil sends streams, each with a body of its own, one after the other.
+// sendStreams sends streaming requests with distinct bodies, one after the other,
+// until ctx is canceled.
 func (w *world) sendStreams(ctx context.Context, caller int) {
 	hc := &http.Client{Timeout: callTimeout}
 	for i := 0; ctx.Err() == nil; i++ {
@@ -79,8 +82,9 @@
 	}
 }
 
-// crashEngines sends the request that crashes engines to one node after the other.
-// Its id tells whether the node had no trouble for long enough to know all.
+// sendCrashingRequests sends the request that crashes engines to one node after the
+// other until end. Its id ends in "true" if the node has been without a fault for
+// long enough to know of earlier crashes.
 func (w *world) sendCrashingRequests(end time.Time) {
 	hc := &http.Client{Timeout: callTimeout}
 	for i := 0; time.Now().Before(end); i++ {
@@ -92,12 +96,12 @@
 }
 
 // checkCrashes fails if the request reached engines too often after all nodes had
-// time to know that it crashes them.
+// time to learn that it crashes them.
 func (w *world) checkCrashes() {
 	w.runs.mu.Lock()
 	defer w.runs.mu.Unlock()
 	runs := w.runs.crashes
-	w.t.Logf("%d engines ended under the request that crashes them; %v", len(runs), w.counts)
+	w.t.Logf("%d engines crashed under the request that crashes them; %v", len(runs), w.counts)
 	if len(runs) < crashThreshold {
 		return
 	}
@@ -109,6 +113,6 @@
 		}
 	}
 	if after > maxLateRuns {
-		w.t.Errorf("a request under which %d engines had ended reached engines %d times more from %v on; %d ended in all", crashThreshold, after, propagationTime, len(runs))
+		w.t.Errorf("a request under which %d engines had crashed reached engines %d more times, later than %v after these crashes; %d engines crashed in total", crashThreshold, after, propagationTime, len(runs))
 	}
 }
--- a/citronsoak/engine_test.go
+++ b/citronsoak/engine_test.go
@@ -16,42 +16,45 @@
 )
 
 const (
-	// streamEvents is how many events a stream has, eventEvery the time
-	// between two.
+	// streamEvents is the number of events of a stream, and eventInterval the time
+	// between two events.
 	streamEvents  = 8
 	eventInterval = 40 * time.Millisecond
-	// workTime is how long a plain call takes.
+	// plainCallTime is the duration of a plain call at an engine.
 	plainCallTime = 15 * time.Millisecond
 )
 
-// drainPromise is the time after which an engine whose entry has gone gets no
-// new work.
+// drainDeadline is the time after the removal of an engine's entry from which on the
+// engine must get no new requests.
 const drainDeadline = 2 * time.Second
 
-// runs counts, over all engines, how often each request ran.
+// runLog records what reached the engines, over all engines.
 type runLog struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// counts holds the number of runs of each request id.
 	counts map[string]int
-	// late are requests that reached an engine after drainPromise.
+	// lateArrivals describes the requests that reached an engine after drainDeadline.
 	lateArrivals []string
-	// crashes are the runs of a request that crashes engines.
+	// crashes holds the runs of the request that crashes engines, oldest first.
 	crashes []crashedRun
 }
 
-// crashedRun is one run of a request that crashes engines: its id, and when it
-// began.
+// crashedRun is one run of a request that crashes engines.
 type crashedRun struct {
 	id string
-	at time.Time
+	at time.Time // when the run began
 }
 
+// recordCrash records that a run of the request that crashes engines began.
 func (r *runLog) recordCrash(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.crashes = append(r.crashes, crashedRun{id, time.Now()})
 }
 
-// arrived notes when a request reached an engine whose entry had gone.
+// recordLate records a request that reached an engine although its entry had been
+// removed. since is the time since the removal; a request that arrives before
+// drainDeadline is not recorded.
 func (r *runLog) recordLate(id, engine string, since time.Duration) {
 	if since < drainDeadline {
 		return
@@ -61,37 +64,44 @@
 	r.lateArrivals = append(r.lateArrivals, fmt.Sprintf("%s at %s after %v", id, engine, since))
 }
 
+// recordRun counts a run of request id.
 func (r *runLog) recordRun(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts[id]++
 }
 
+// count returns the number of runs of request id.
 func (r *runLog) count(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts[id]
 }
 
-// engine is one incarnation of an engine: a model's if it has a kind, else of
-// a plain service.
+// engine is one incarnation of a fake engine. It serves a model if it has a kind,
+// else a plain service.
 type engine struct {
-	id, addr, service, kind         string
-	store                           citronkv.Store
-	runs                            *runLog
-	hs                              *http.Server
-	mu                              sync.Mutex
-	from, to                        int
+	id, addr, service, kind string
+	store                   citronkv.Store
+	runs                    *runLog
+	hs                      *http.Server
+	mu                      sync.Mutex
+	// from and to are the layer range [from, to) that the engine holds.
+	from, to int
+	// accepted counts the orders that the engine accepted, heartbeats is its heartbeat
+	// counter, and startedMS is its start time in Unix milliseconds.
 	accepted, heartbeats, startedMS int64
 	leaving, stopped                bool
-	// gone is when its entry went without a word; zero while it is there.
+	// removedAt is when the entry was removed while the engine went on serving; zero
+	// while the entry is in the store.
 	removedAt time.Time
-	// limit is the rate limit that it names.
+	// limit is the rate limit that the engine announces.
 	limit limit
-	// restart brings another engine in the place of one that a request crashed.
+	// restart starts a replacement after a request has crashed the engine.
 	restart func()
 }
 
+// startEngine starts an engine on a loopback port and writes its entry.
 func startEngine(t *testing.T, store citronkv.Store, r *runLog, id, service, kind string) *engine {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -109,7 +119,7 @@
 	return e
 }
 
-// register writes the engine's entry; a store that is away gets it later.
+// register writes the engine's entry to the store with the next heartbeat.
 func (e *engine) register() {
 	e.mu.Lock()
 	state := "ready"
@@ -133,7 +143,7 @@
 	_, _ = e.store.Put(context.Background(), "servers/"+e.id, text, citronkv.AnyRevision, 0)
 }
 
-// crash ends the engine; its entry goes a second later.
+// crash stops the engine at once; its entry is deleted a second later.
 func (e *engine) crash() {
 	e.mu.Lock()
 	e.stopped = true
@@ -144,7 +154,8 @@
 	})
 }
 
-// crashUnder has a request that has begun to run crash the engine.
+// crashDuringRun begins the answer to a request, crashes the engine while the
+// request runs, and starts a replacement.
 func (e *engine) crashDuringRun(w http.ResponseWriter, id string) {
 	e.runs.recordCrash(id)
 	w.WriteHeader(http.StatusOK)
@@ -157,7 +168,8 @@
 	time.AfterFunc(restartDelay, restart)
 }
 
-// leave has the engine say that it leaves, serve on for a while, and end.
+// leave announces in the entry that the engine is leaving. The engine serves for a
+// while longer and then stops.
 func (e *engine) leave() {
 	e.mu.Lock()
 	e.leaving = true
@@ -166,8 +178,8 @@
 	time.AfterFunc(2500*time.Millisecond, e.crash)
 }
 
-// vanish has the engine's entry go without a word. It serves on, well beyond
-// drainPromise.
+// removeEntry deletes the engine's entry without announcing that the engine leaves.
+// The engine keeps serving, well beyond drainDeadline.
 func (e *engine) removeEntry() {
 	_ = e.store.Delete(context.Background(), "servers/"+e.id, citronkv.AnyRevision)
 	e.mu.Lock()
@@ -175,14 +187,15 @@
 	e.mu.Unlock()
 }
 
-// writes reports whether the engine keeps its entry.
+// keepsEntry reports whether the engine is running and its entry was not removed.
 func (e *engine) keepsEntry() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !e.stopped && e.removedAt.IsZero()
 }
 
-// sinceGone is how long the engine's entry has been missing, zero if it is there.
+// sinceRemoval returns the time since the engine's entry was removed, or zero if it
+// was not.
 func (e *engine) sinceRemoval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -192,12 +205,15 @@
 	return time.Since(e.removedAt)
 }
 
+// report answers a node's request for the state of the engine.
 func (e *engine) report(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(map[string]any{"born": e.startedMS, "kind": e.kind, "sequence": e.accepted, "pace": 1.0, "layers": map[string]int{"from": e.from, "target": e.to}})
 }
 
+// order accepts an order to hold a layer range, if it expects the current count of
+// accepted orders.
 func (e *engine) order(w http.ResponseWriter, r *http.Request) {
 	var o struct {
 		Operation    string
@@ -223,6 +239,7 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
+// serve answers a request that a node has forwarded.
 func (e *engine) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Attempt-Id")
 	h := w.Header()
@@ -246,7 +263,7 @@
 		e.crashDuringRun(w, id)
 		return
 	}
-	begin, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // none: from the first
+	begin, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // without the header: from the first event
 	for i := begin + 1; i <= streamEvents; i++ {
 		if _, err := fmt.Fprint(w, eventText(id, i)); err != nil || http.NewResponseController(w).Flush() != nil {
 			return
@@ -259,7 +276,8 @@
 	}
 }
 
-// answerTo and eventOf are what a request with an id is answered.
+// answerText returns the body of the plain answer to request id.
 func answerText(id string) string { return "answer to " + id }
 
+// eventText returns event i of the stream that answers request id.
 func eventText(id string, i int) string { return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", i, id, i) }
--- a/citronsoak/limit_test.go
+++ b/citronsoak/limit_test.go
@@ -13,32 +13,37 @@
 )
 
 const (
-	// headerSender names the process that a request was sent to, and whether it has run
-	// for long enough to be bound by limits. Nodes pass it on to engines.
+	// headerSender names the node process to which the caller sends a request, and tells
+	// whether limits bind that process already. Nodes forward the header to engines.
 	headerSender = "X-Soak-Sender"
-	// Of the requests that come from processes which got an engine's limit toldAfter ago
-	// or before, the engine gets one and a half times what the limit allows and
-	// limitSlack in any limitWindow.
+	// A process learns an engine's limit from the first answer that carries it. Its
+	// requests count from limitGrace later on. In any limitWindow, an engine may get one
+	// and a half times as many of these requests as its limit allows, plus limitSlack.
 	limitGrace  = 500 * time.Millisecond
 	limitWindow = 4 * time.Second
 	limitSlack  = 5
-	// limitExcuse is how long a process is excused after it was started or stood still; a
-	// store out of reach excuses none.
+	// startupGrace is the time after a process was started or resumed during which its
+	// requests do not count. An unreachable store is no excuse.
 	startupGrace = time.Second
-	// limitPause is the time between two engines that name limits.
+	// limitInterval is the time between the announcements of two limits.
 	limitInterval = time.Second
 )
 
-// limit is the rate limit that an engine names for a time, and who has been told.
+// limit is the rate limit that an engine announces for a period. It records the
+// requests that arrive in that period.
 type limit struct {
-	mu           sync.Mutex
-	perSecond    float64
+	mu        sync.Mutex
+	perSecond float64
+	// since and until are the period [since, until) in which answers carry the limit.
 	since, until time.Time
-	firstTold    map[string]time.Time
-	arrivals     []time.Time
+	// firstTold holds, for each node process, when it first received the limit.
+	firstTold map[string]time.Time
+	// arrivals are the times of the requests that count against the limit.
+	arrivals []time.Time
 }
 
-// name has the engine name a limit from now on, once in its life.
+// announce makes the engine announce a limit from now on. Each engine announces only
+// one limit in its life; later calls have no effect.
 func (l *limit) announce(perSecond float64, lasts time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +54,7 @@
 	l.until = l.since.Add(lasts)
 }
 
-// end has the engine name no limit any more.
+// withdraw ends the announcement of the limit.
 func (l *limit) withdraw() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +63,8 @@
 	}
 }
 
-// arrived notes a request and puts the limit into its answer.
+// recordArrival sets the limit in the header of the answer to r, and records the
+// arrival of r if it counts against the limit.
 func (l *limit) recordArrival(h http.Header, r *http.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,8 +83,8 @@
 	}
 }
 
-// most is the most that the engine got in any window that ends later than contact after
-// it named its limit, and what is allowed.
+// maxInWindow returns the maximum number of counted requests in any window that ends
+// later than propagationTime after the announcement, and the number that is allowed.
 func (l *limit) maxInWindow() (got, allowed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,7 +100,8 @@
 	return got, int(1.5*l.perSecond*limitWindow.Seconds()) + limitSlack
 }
 
-// sender is what a request says of the process that it is sent to.
+// senderHeader returns the value of headerSender for requests to the node's current
+// process.
 func (n *node) senderHeader() string {
 	process, _ := n.state()
 	s := fmt.Sprintf("%s-%d", n.name, process)
@@ -104,7 +111,8 @@
 	return s
 }
 
-// nameLimits has engines drawn at random name limits until the end.
+// announceLimits makes randomly chosen engines announce random limits until end, and
+// then withdraws all limits.
 func (w *world) announceLimits(r *rand.Rand, end time.Time) {
 	for time.Now().Before(end) {
 		w.mu.Lock()
@@ -121,10 +129,10 @@
 	}
 }
 
-// pressCallers is how many callers ask without a pause.
+// loadCallers is the number of callers that sendLoad runs concurrently.
 const loadCallers = 8
 
-// pressOn has callers ask the plain service without a pause until ctx ends.
+// sendLoad sends requests to the plain service at a high rate until ctx is canceled.
 func (w *world) sendLoad(ctx context.Context) {
 	var all sync.WaitGroup
 	for c := range loadCallers {
@@ -141,7 +149,8 @@
 	all.Wait()
 }
 
-// checkLimits fails for each engine that got more than its limit allows.
+// checkLimits reports an error for each engine that got more requests than its limit
+// allows.
 func (w *world) checkLimits() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -152,15 +161,15 @@
 			announced++
 		}
 		if got > allowed {
-			w.t.Errorf("%s, which had named a limit of %g a second, got %d requests in %v from processes that it had told; %d allowed", e.id, e.limit.perSecond, got, limitWindow, allowed)
+			w.t.Errorf("%s announced a limit of %g requests per second and got %d requests in %v from processes that knew it; %d are allowed", e.id, e.limit.perSecond, got, limitWindow, allowed)
 		}
 	}
-	w.t.Logf("%d engines named limits", announced)
+	w.t.Logf("%d engines announced limits", announced)
 }
 
-// Guards against nodes that send an engine more than the rate limit that it names, while
-// they and those who deal out permits are killed, stopped, frozen or cut off, engines come
-// and go, and the limits begin and end.
+// Guards against nodes that exceed the rate limit that an engine announces while nodes,
+// also those that issue permits, are killed, stopped, frozen or cut off, engines start
+// and leave, and limits begin and end.
 func TestSoakWithRateLimits(t *testing.T) {
 	binary := build(t)
 	for i := range *soakSeeds {
--- a/citronsoak/nodes_test.go
+++ b/citronsoak/nodes_test.go
@@ -14,27 +14,30 @@
 	"citrondeck.dev/citrondeck/citronport"
 )
 
-// node is a machine on which one node process after the other runs.
+// node is an instance that runs one node process after the other.
 type node struct {
 	name, dir, binary string
 	front, ready      string
-	proxy             *proxy
-	mu                sync.Mutex
-	cmd               *exec.Cmd
-	// life counts the processes.
+	// proxy is the node's link to the store.
+	proxy *proxy
+	mu    sync.Mutex
+	cmd   *exec.Cmd
+	// process is the number of processes started so far, which identifies the current one.
 	process int
-	// away: a fault is at work here. trouble is when one last was.
+	// faulty reports whether a fault of the process is active: it is killed, stopped or
+	// frozen. lastFault is when a fault of the process or of its link last began or ended.
 	faulty    bool
 	lastFault time.Time
-	// paused is when its process was last killed, stopped or frozen.
+	// lastInterrupted is when a fault of the process last began or ended.
 	lastInterrupted time.Time
 	log             *os.File
 }
 
-// grace is the time between SIGTERM and SIGKILL that the settings tell.
+// shutdownGrace is the time between SIGTERM and SIGKILL; the node's settings state it too.
 const shutdownGrace = 3 * time.Second
 
-// freeAddr is a loopback address that is held for a node to listen on.
+// freeAddr returns a loopback address that stays reserved during the test, so that a
+// node can listen on it.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	r, err := citronport.Reserve()
@@ -45,7 +48,7 @@
 	return r.Addr()
 }
 
-// newNodes writes the settings of some nodes and starts them.
+// startNodes writes the settings of count nodes and starts them.
 func startNodes(t *testing.T, binary, store string, count int) []*node {
 	t.Helper()
 	nodes := make([]*node, count)
@@ -92,6 +95,7 @@
 	return nodes
 }
 
+// start starts the next process.
 func (n *node) start(t *testing.T) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -104,26 +108,29 @@
 	}
 }
 
-// signal sends a signal to the process that this soak has started.
+// signal sends s to the current process.
 func (n *node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	_ = n.cmd.Process.Signal(s)
 }
 
+// wait waits until the current process has exited.
 func (n *node) wait() {
 	n.mu.Lock()
 	cmd := n.cmd
 	n.mu.Unlock()
-	_ = cmd.Wait() // it was killed, or told to stop
+	_ = cmd.Wait() // the process was killed or asked to stop
 }
 
+// killProcess kills the current process and waits until it has exited.
 func (n *node) killProcess() {
 	n.signal(syscall.SIGKILL)
 	n.wait()
 }
 
-// kill ends the process, at once or after its grace, and starts another.
+// restart ends the process and starts another one after a pause. A graceful restart
+// sends SIGTERM, and SIGKILL only when shutdownGrace has passed.
 func (n *node) restart(t *testing.T, graceful bool, pause time.Duration) {
 	if graceful {
 		n.signal(syscall.SIGTERM)
@@ -137,6 +144,7 @@
 	n.start(t)
 }
 
+// setFaulty records that a fault of the process begins or ends.
 func (n *node) setFaulty(faulty bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -145,28 +153,29 @@
 	n.lastInterrupted = n.lastFault
 }
 
-// troubled notes that the node's link to the store was harmed until now.
+// recordLinkFault records that a fault of the node's link to the store begins or ends.
 func (n *node) recordLinkFault() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lastFault = time.Now()
 }
 
-// inTouch reports whether the node has been without trouble for so long.
+// faultFreeFor reports whether the process and its link to the store have been without
+// a fault for longer than d.
 func (n *node) faultFreeFor(d time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.faulty && time.Since(n.lastFault) > d
 }
 
-// ran reports whether its process has run for so long.
+// runningFor reports whether the process has run without interruption for longer than d.
 func (n *node) runningFor(d time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.faulty && time.Since(n.lastInterrupted) > d
 }
 
-// state is the process that runs and whether a fault is at work.
+// state returns the number of the current process and whether it has an active fault.
 func (n *node) state() (process int, faulty bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/citronsoak/proxy_test.go
+++ b/citronsoak/proxy_test.go
@@ -9,30 +9,31 @@
 	"time"
 )
 
-// trouble is what a proxy does to the bytes that pass through it.
+// linkState is the condition of the link through a proxy.
 type linkState int32
 
 const (
 	healthy linkState = iota
-	slow              // each piece arrives slowLink later
-	stalled           // nothing arrives, and nothing ends
+	slow              // each chunk of data arrives slowLinkDelay later
+	stalled           // no data arrives, and connections stay open
 	oneWay            // requests arrive, answers do not
 	broken            // connections are reset
 )
 
-// slowLink is longer than a call to a sound store takes and shorter than its
-// time limit.
+// slowLinkDelay is longer than a call to a healthy store takes and shorter than the
+// time limit of such a call.
 const slowLinkDelay = 300 * time.Millisecond
 
-// proxy passes connections on to one address.
+// proxy forwards connections to one address and injects faults into them.
 type proxy struct {
 	ln    net.Listener
-	to    string
+	to    string // address to which connections are forwarded
 	state atomic.Int32
 	mu    sync.Mutex
 	conns map[net.Conn]bool
 }
 
+// newProxy starts a proxy on a loopback port that forwards to the address to.
 func newProxy(t *testing.T, to string) *proxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,10 +54,14 @@
 	return p
 }
 
+// addr returns the address that the proxy listens on.
 func (p *proxy) addr() string { return p.ln.Addr().String() }
 
+// is reports whether the link is in condition s.
 func (p *proxy) is(s linkState) bool { return linkState(p.state.Load()) == s }
 
+// set changes the condition of the link. Condition broken resets all open
+// connections.
 func (p *proxy) set(s linkState) {
 	p.state.Store(int32(s))
 	if s != broken {
@@ -69,7 +74,7 @@
 	}
 }
 
-// reset closes a connection without an end of its stream.
+// reset closes c with a TCP reset, so that the peer sees no regular end of the stream.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -77,6 +82,7 @@
 	_ = c.Close()
 }
 
+// serve forwards one connection until both directions have ended.
 func (p *proxy) serve(client net.Conn) {
 	if p.is(broken) {
 		reset(client)
@@ -100,6 +106,7 @@
 	_, _ = client.Close(), server.Close()
 }
 
+// forward copies one direction of a connection and applies the condition of the link.
 func (p *proxy) forward(to io.Writer, from net.Conn, answers bool) {
 	buf := make([]byte, 32<<10)
 	for {
--- a/citronsoak/return_test.go
+++ b/citronsoak/return_test.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// copyAge is how old the copy may be from which the store returns, storeAway
-	// how long it is away before.
+	// maxCopyAge is the maximum age of the copy from which the store is restored, and
+	// outageTime the time for which the store is unreachable before that.
 	maxCopyAge = 4 * time.Second
 	outageTime = 400 * time.Millisecond
-	// rewriteTime is the time in which engines and the operator write again what
-	// the copy lacks, and heartbeatTime the time after which the entries of engines
-	// that have ended are gone.
+	// rewriteTime is the time within which the engines and the operator write again
+	// what the copy lacks. expiryTime is the time after which the entries of
+	// stopped engines expire.
 	rewriteTime = 800 * time.Millisecond
 	expiryTime  = 1500 * time.Millisecond
 )
 
-// Guards against all promises being broken when the store comes back from an older
-// copy, beside all other faults: engines that left in the gap, or leave after it,
-// new ones, versions written in the gap, who leads.
+// Guards against broken guarantees when the store is restored from an older copy while
+// all other faults are injected too. The copy misses what was written after it: engines
+// that started or left, configuration versions, and the leader. Engines also leave after
+// the store is restored.
 func TestSoakWithRestoredStore(t *testing.T) {
 	binary := build(t)
 	for i := range *soakSeeds {
@@ -35,12 +36,12 @@
 			w := newWorld(t, binary)
 			w.restoring = true
 			w.soak(seed)
-			t.Logf("the store returned %d times", w.store.Era())
+			t.Logf("the store was restored %d times", w.store.Era())
 		})
 	}
 }
 
-// returns has the store come back from older copies until end.
+// restoreStore restores the store from older copies again and again until end.
 func (w *world) restoreStore(r *rand.Rand, end time.Time) {
 	for time.Now().Before(end) {
 		snapshot := w.store.Copy()
@@ -49,6 +50,8 @@
 	}
 }
 
+// restoreFrom cuts all nodes off from the store, restores it from a copy, and then has
+// engines and the operator write again what the copy lacks.
 func (w *world) restoreFrom(snapshot citronkv.Copy) {
 	for _, n := range w.nodes {
 		n.proxy.set(stalled)
@@ -66,7 +69,8 @@
 	w.expireEntries()
 }
 
-// rewrite has the operator and the engines write again what they had written.
+// rewrite writes the current configuration and the entries of all running engines
+// again.
 func (w *world) rewrite() {
 	w.writing.Lock()
 	w.writeConfig(w.version.Load())
@@ -76,14 +80,14 @@
 	}
 }
 
-// living are the engines that keep their entries.
+// running returns the engines that keep their entries.
 func (w *world) running() []*engine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(w.all), func(e *engine) bool { return !e.keepsEntry() })
 }
 
-// expire removes the entries of engines that have ended.
+// expireEntries deletes the entries of engines that no longer keep them.
 func (w *world) expireEntries() {
 	items, _, err := w.store.Range(context.Background(), "servers/")
 	if err != nil {
@@ -95,7 +99,7 @@
 	}
 	for _, it := range items {
 		if id := strings.TrimPrefix(it.Key, "servers/"); !running[id] {
-			_ = w.store.Delete(context.Background(), it.Key, citronkv.AnyRevision) // it may have gone meanwhile
+			_ = w.store.Delete(context.Background(), it.Key, citronkv.AnyRevision) // another goroutine may have deleted it
 		}
 	}
 }
--- a/citronsoak/soak_test.go
+++ b/citronsoak/soak_test.go
@@ -23,58 +23,68 @@
 )
 
 var (
-	soakSeeds   = flag.Int("soak.seeds", 1, "how many seeds to run, one after the other")
+	soakSeeds   = flag.Int("soak.seeds", 1, "number of seeds to run, one after the other")
 	soakSeed    = flag.Uint64("soak.seed", 1, "the first seed")
-	soakSeconds = flag.Int("soak.seconds", 6, "how long faults are injected for each seed")
+	soakSeconds = flag.Int("soak.seconds", 6, "seconds of fault injection per seed")
 )
 
 const (
 	nodeCount = 3
 	callers   = 8
-	// startTime is how long nodes and the first placement may take, and
-	// recoverTime how long a fleet may need after the last fault; a slow
-	// machine must not fail the soak.
+	// startTimeout bounds the start of the nodes and the first placement, and
+	// recoverTimeout the recovery after the last fault. Both are generous so that a
+	// slow machine does not fail the soak.
 	startTimeout   = 60 * time.Second
 	recoverTimeout = 60 * time.Second
-	// callTime is how long callers wait.
+	// callTimeout is the callers' time limit for a request. Callers also send it as the
+	// deadline.
 	callTimeout = 4 * time.Second
 )
 
-// world is one run of the soak.
+// world is the environment of one run of the soak: the store, the nodes, the engines,
+// and what callers and engines have observed.
 type world struct {
-	t       *testing.T
-	store   *citronkv.Server
-	nodes   []*node
-	runs    *runLog
-	mu      sync.Mutex
+	t     *testing.T
+	store *citronkv.Server
+	nodes []*node
+	runs  *runLog
+	mu    sync.Mutex
+	// engines holds the current engines of each service, oldest first.
 	engines map[string][]*engine
-	// all are the engines that ever were.
+	// all holds every engine that was ever started, and engineCount is their number.
 	all         []*engine
 	engineCount int
-	version     atomic.Int64
-	// writing is held while the operator writes.
+	// version is the newest configuration version.
+	version atomic.Int64
+	// writing is held while the operator writes the configuration.
 	writing sync.Mutex
-	// served are, for each life of a node, the newest version whose effect
-	// a caller saw there.
+	// newestServed holds, for each node process, the newest configuration version whose
+	// effect a caller observed.
 	newestServed map[string]int64
-	// notRun are the requests of which a caller was told so.
+	// notRun holds the ids of requests that were reported as not executed.
 	notRun []string
+	// counts holds the number of answers of each kind, for the log.
 	counts map[string]int
-	// crashing: a request that crashes engines comes again and again.
+	// crashing enables sending a request that crashes engines.
 	crashing bool
-	// limiting: engines name rate limits.
+	// limiting enables engines that announce rate limits.
 	limiting bool
-	// returning: the store comes back from older copies.
+	// restoring enables restoring the store from older copies.
 	restoring bool
 }
 
-// Nodes are killed, stopped, paused and restarted, engines die and leave, and
-// the store is slow, silent, cut one way or resets connections, for one node
-// or for all, in series and overlapping. Callers must see meanwhile: only
-// whole answers of their own; a non-idempotent request that ran once at most,
-// and not at all if they were told so; streams without a gap or a repeat; no
-// configuration that reverts at a process; and after the last fault every
-// node must serve every kind of request again.
+// Guards against broken guarantees under faults that occur one after the other and at
+// the same time. Nodes are killed, stopped, frozen and restarted, and engines crash and
+// leave. The link to the store is slow, stalled, cut in one direction or resets
+// connections, for one node or for all. Meanwhile:
+//
+//   - a successful answer is complete and belongs to its request;
+//   - a non-idempotent request runs at most once, and never if its caller was told that
+//     it did not run;
+//   - a stream has no gap and no duplicate event;
+//   - no process reverts to an older configuration.
+//
+// After the last fault, every node must serve every kind of request again.
 func TestSoak(t *testing.T) {
 	binary := build(t)
 	for i := range *soakSeeds {
@@ -83,7 +93,7 @@
 	}
 }
 
-// build makes the binary of which all nodes are processes.
+// build compiles the citrondeck binary, which all nodes run, and returns its path.
 func build(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "citrondeck")
@@ -93,6 +103,7 @@
 	return binary
 }
 
+// newWorld starts a store, engines and nodes.
 func newWorld(t *testing.T, binary string) *world {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -110,6 +121,7 @@
 	return w
 }
 
+// addEngine starts another engine of a service.
 func (w *world) addEngine(service, kind string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -123,7 +135,7 @@
 	w.all = append(w.all, e)
 }
 
-// replaceCrashed brings an engine in the place of one that ended.
+// replaceCrashed starts an engine in place of e, which has crashed.
 func (w *world) replaceCrashed(e *engine) {
 	w.mu.Lock()
 	es := w.engines[e.service]
@@ -132,7 +144,8 @@
 	w.addEngine(e.service, e.kind)
 }
 
-// takeEngine removes one engine of a service, oldest first, if others stay.
+// removeOldest removes the oldest engine of a service from the current engines and
+// returns it. It returns nil if the service has no other engine.
 func (w *world) removeOldest(service string) *engine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -144,14 +157,15 @@
 	return es[0]
 }
 
-// configure writes the next version; it has a route of its own.
+// writeNextConfig writes the next configuration version, which adds a route.
 func (w *world) writeNextConfig() {
 	w.writing.Lock()
 	defer w.writing.Unlock()
 	w.writeConfig(w.version.Load() + 1)
 }
 
-// writeConfig writes a version.
+// writeConfig writes configuration version v, which has one route per version up to v.
+// The caller holds writing.
 func (w *world) writeConfig(v int64) {
 	route := func(prefix, kind, service string, attempts int) map[string]any {
 		return map[string]any{
@@ -174,11 +188,12 @@
 		panic(err) // plain values
 	}
 	if _, err := w.store.Put(context.Background(), "op/config", text, citronkv.AnyRevision, 0); err != nil {
-		w.t.Errorf("configure: %v", err)
+		w.t.Errorf("write configuration: %v", err)
 	}
 	w.version.Store(v)
 }
 
+// soak injects random faults while callers send requests, and checks all guarantees.
 func (w *world) soak(seed uint64) {
 	w.waitUntilServing(startTimeout, "at the start")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -214,16 +229,18 @@
 }
 
 const (
-	// standstill is longer than the leader's lease lives.
+	// freezeTime is how long the leader is frozen. It is longer than the duration of
+	// the leader's lease.
 	freezeTime = 3 * time.Second
-	// afterStandstill is when the engine leaves: the node that stood still is
-	// bound by the promise again when the time of the promise is over.
+	// afterFreeze is the time between the end of the freeze and the removal of an
+	// engine's entry. The node that was frozen must know of the removal again
+	// once drainDeadline has passed.
 	afterFreeze = time.Second
 )
 
-// leaveAfterStandstill has the node that leads stand still until its lease has
-// run out, and an engine leave without a word soon after. However the node takes
-// what it finds when it goes on, callers must not be sent to that engine.
+// checkRemovalAfterFreeze freezes the leader until its lease has expired, and soon
+// after removes the entry of an engine. However the node interprets what it finds when
+// it resumes, it must not send requests to that engine after drainDeadline.
 func (w *world) checkRemovalAfterFreeze() {
 	n := w.leader()
 	n.signal(syscall.SIGSTOP)
@@ -236,12 +253,12 @@
 	w.runs.mu.Lock()
 	defer w.runs.mu.Unlock()
 	for _, late := range w.runs.lateArrivals {
-		w.t.Errorf("a request reached an engine after its entry had gone: %s; %s had led and stood still", late, n.name)
+		w.t.Errorf("a request reached an engine after its entry was removed: %s; %s was the leader and was frozen before", late, n.name)
 	}
 }
 
-// press asks every node a hundred times, a few requests at once so that each of
-// its engines gets some.
+// sendBurst sends a hundred requests to every node, five at a time, so that each
+// engine gets some of them.
 func (w *world) sendBurst() {
 	var all sync.WaitGroup
 	for _, n := range w.nodes {
@@ -257,7 +274,8 @@
 	all.Wait()
 }
 
-// leader is the node that places layers.
+// leader returns the node that is the leader, which assigns layers to engines. It
+// waits for one for at most recoverTimeout.
 func (w *world) leader() *node {
 	for end := time.Now().Add(recoverTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		it, err := w.store.Get(context.Background(), "deck/leader")
@@ -267,11 +285,11 @@
 			}
 		}
 	}
-	w.t.Fatalf("no node leads within %v", recoverTimeout)
+	w.t.Fatalf("no node became the leader within %v", recoverTimeout)
 	return nil
 }
 
-// fault draws a fault; the result brings it about and ends it.
+// randomFault chooses a random fault and returns a function that injects it and ends it.
 func (w *world) randomFault(r *rand.Rand) func() {
 	n := w.nodes[r.IntN(len(w.nodes))]
 	d := time.Duration(200+r.IntN(1500)) * time.Millisecond
@@ -303,7 +321,7 @@
 	return w.writeNextConfig
 }
 
-// on brings a fault about at a node that has none.
+// injectAt injects a fault at node n, unless another fault of its process is active.
 func (w *world) injectAt(n *node, fault func()) {
 	if _, faulty := n.state(); faulty {
 		return
@@ -313,6 +331,7 @@
 	fault()
 }
 
+// impairLinks puts the links of nodes to the store into condition s for d.
 func (w *world) impairLinks(nodes []*node, s linkState, d time.Duration) {
 	for _, n := range nodes {
 		n.proxy.set(s)
@@ -325,7 +344,8 @@
 	}
 }
 
-// replace takes an engine away in some manner and brings another.
+// replace starts a new engine of a service and calls end for the oldest one, unless
+// that was the only one.
 func (w *world) replace(service, kind string, end func(*engine)) {
 	e := w.removeOldest(service)
 	w.addEngine(service, kind)
@@ -334,7 +354,8 @@
 	}
 }
 
-// untilServing waits until every node serves every kind of request.
+// waitUntilServing waits until every node serves every kind of request. It fails the
+// test if one is not served within timeout.
 func (w *world) waitUntilServing(timeout time.Duration, when string) {
 	for i, n := range w.nodes {
 		for _, path := range []string{"/safe/", "/once/", "/stream/", fmt.Sprintf("/v%d/", w.version.Load())} {
@@ -345,7 +366,7 @@
 					break
 				}
 				if time.Now().After(end) {
-					w.t.Fatalf("%s: %s not served by %s within %v (last status %d); log %s", when, path, n.name, timeout, a.status, n.log.Name())
+					w.t.Fatalf("%s: %s is not served by %s within %v (last status %d); its log is %s", when, path, n.name, timeout, a.status, n.log.Name())
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -353,17 +374,18 @@
 	}
 }
 
+// answer is what a caller received; it is zero if the caller received no answer.
 type answer struct {
 	status int
-	// whole: the body is the request's own and complete.
+	// complete reports whether the body is complete and belongs to the request.
 	complete bool
 	body     string
-	// cut: the answer broke off.
+	// truncated reports whether the body ended with an error.
 	truncated bool
 }
 
-// call sends requests of all kinds to nodes drawn at random and checks the
-// answers.
+// runCaller sends requests of all kinds to randomly chosen nodes and checks the
+// answers, until ctx is canceled.
 func (w *world) runCaller(ctx context.Context, r *rand.Rand, caller int) {
 	hc := &http.Client{Timeout: callTimeout, Transport: &http.Transport{}}
 	for i := 0; ctx.Err() == nil; i++ {
@@ -382,11 +404,13 @@
 	}
 }
 
+// send sends a request with an ordinary body to node n.
 func (w *world) send(hc *http.Client, n *node, path, id string) answer {
 	return w.sendBody(hc, n, path, id, "body")
 }
 
-// askWith sends a request with a body.
+// sendBody sends a request with the body text to node n, and compares the answer
+// with the expected one.
 func (w *world) sendBody(hc *http.Client, n *node, path, id, text string) answer {
 	req, err := http.NewRequest(http.MethodPost, "http://"+n.front+path+"x", strings.NewReader(text))
 	if err != nil {
@@ -397,7 +421,7 @@
 	req.Header.Set("X-Deadline-Ms", fmt.Sprint(callTimeout.Milliseconds()))
 	req.Header.Set("X-Token-Counts", "10,32")
 	req.Header.Set(headerSender, n.senderHeader())
-	req.GetBody = nil // the caller's own client must not send it twice
+	req.GetBody = nil // the caller's HTTP client must not send the request twice
 	res, err := hc.Do(req)
 	if err != nil {
 		return answer{}
@@ -416,6 +440,7 @@
 	return a
 }
 
+// checkAnswer counts an answer and checks it, and the number of runs of its request.
 func (w *world) checkAnswer(n *node, path, id string, a answer) {
 	w.mu.Lock()
 	w.counts[fmt.Sprintf("%.5s %d cut=%t", path, a.status, a.truncated)]++
@@ -424,18 +449,18 @@
 	}
 	w.mu.Unlock()
 	if a.status == http.StatusOK && !a.truncated && !a.complete {
-		w.t.Errorf("%s: %s %s: a success that is not the request's own whole answer: %q", n.name, path, id, a.body)
+		w.t.Errorf("%s: %s %s: status 200 without the complete answer to this request: %q", n.name, path, id, a.body)
 	}
 	if a.truncated && a.status == http.StatusOK && strings.HasPrefix(path, "/stream/") && !isStreamPrefix(id, a.body) {
-		w.t.Errorf("%s: stream %s has a gap or a repeat: %q", n.name, id, a.body)
+		w.t.Errorf("%s: stream %s has a gap or a duplicate event: %q", n.name, id, a.body)
 	}
 	if k := w.runs.count(id); strings.HasPrefix(path, "/once/") && k > 1 {
-		w.t.Errorf("%s: %s ran %d times", n.name, id, k)
+		w.t.Errorf("%s: non-idempotent request %s ran %d times", n.name, id, k)
 	}
 }
 
-// isPart reports whether a stream that broke off has the first events in
-// order, the last perhaps in part.
+// isStreamPrefix reports whether body is a prefix of the complete stream that answers
+// request id. Its last event may be incomplete.
 func isStreamPrefix(id, body string) bool {
 	want := ""
 	for i := 1; i <= streamEvents; i++ {
@@ -444,14 +469,17 @@
 	return strings.HasPrefix(want, body)
 }
 
+// newestVersion returns the newest configuration version whose effect a caller observed
+// at the given process of node n.
 func (w *world) newestVersion(n *node, process int) int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.newestServed[fmt.Sprint(n.name, process)]
 }
 
-// checkVersion fails if a process handles a request as only an older version
-// allows than one whose effect it has shown before the request was sent.
+// checkVersion reports an error if a process does not know the route of version v,
+// although before the request was sent a caller observed that version or a newer one
+// there.
 func (w *world) checkVersion(n *node, process int, path string, seen int64, a answer) {
 	var v int64
 	if _, err := fmt.Sscanf(path, "/v%d/", &v); err != nil {
@@ -464,12 +492,12 @@
 		w.newestServed[key] = max(w.newestServed[key], v)
 	}
 	if a.status == http.StatusNotFound && v <= seen {
-		w.t.Errorf("%s: version %d was in force, and its route is unknown again", n.name, seen)
+		w.t.Errorf("%s: version %d was in effect, and its route or an older one is unknown again", n.name, seen)
 	}
 }
 
-// checkNotRun fails for each request that ran although its caller was told
-// that it did not, also if it ran later.
+// checkNotRun reports an error for each request that ran, even after its answer,
+// although its caller was told that it did not run.
 func (w *world) checkNotRun() {
 	time.Sleep(500 * time.Millisecond)
 	for _, id := range w.notRun {
--- a/citronsoak/store_test.go
+++ b/citronsoak/store_test.go
@@ -13,16 +13,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// storeServer speaks the platform's store protocol before the product's own
-// stand-in of a store.
+// storeServer serves the platform's store protocol from a citronkv.Server.
 type storeServer struct{ kv *citronkv.Server }
 
+// newStore returns a fake store that runs until ctx is canceled.
 func newStore(ctx context.Context) *storeServer {
 	kv := citronkv.NewServer(citronclock.Real{}, 0)
 	go kv.Run(ctx)
 	return &storeServer{kv: kv}
 }
 
+// wireItem is an item of the store in the JSON of the store protocol.
 type wireItem struct {
 	Key      string `json:"key"`
 	Payload  []byte `json:"payload"`
@@ -39,6 +40,7 @@
 	return out
 }
 
+// txn is the body of a transaction in the store protocol.
 type txn struct {
 	Expected []struct {
 		Key      string `json:"key"`
@@ -53,7 +55,8 @@
 }
 
 func (s *storeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// A call that meets the return of the store is answered as of before it.
+	// The era is the number of times the store has been restored from an older copy.
+	// A call during which the store is restored reports the era before.
 	w.Header().Set("Store-Era", strconv.FormatInt(s.kv.Era(), 10))
 	v, err := s.call(r)
 	switch {
@@ -71,6 +74,7 @@
 	}
 }
 
+// call runs one call of the store protocol and returns the JSON value of its answer.
 func (s *storeServer) call(r *http.Request) (any, error) {
 	q, ctx := r.URL.Query(), r.Context()
 	id, hasID := strings.CutPrefix(r.URL.Path, "/kv-keep/")
@@ -100,22 +104,25 @@
 func number(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		return 0 // the callers here send numbers
+		return 0 // all callers send numbers
 	}
 	return n
 }
 
+// watch waits at most waitMS milliseconds for changes below prefix after a revision.
 func (s *storeServer) watch(ctx context.Context, prefix string, after, waitMS int64) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(waitMS)*time.Millisecond)
 	defer cancel()
 	from := citronkv.RevisionOf(s.kv.Era(), after)
 	items, rev, err := s.kv.Watch(ctx, prefix, from)
 	if err != nil && ctx.Err() != nil {
-		items, rev, err = nil, from, nil // the wait ended without events
+		items, rev, err = nil, from, nil // no change arrived in time
 	}
 	return map[string]any{"events": wire(items), "storeRevision": rev.Number()}, err
 }
 
+// commit runs a transaction. It checks each expected revision with the write of its
+// key, so it is not atomic.
 func (s *storeServer) commit(ctx context.Context, r *http.Request) (any, error) {
 	var t txn
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
