--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -72,10 +72,10 @@
 	ZoneCost map[string]float64
 }
 
-// Costs are in milliseconds of one token step, the unit of StepTime.
+// Costs are in milliseconds per token step, like the result of StepTime.
 const (
-	// hopCost is the fixed delay of a hop: network latency and, on average, half
-	// a pass of waiting for the engine.
+	// hopCost is the fixed delay of a hop: network latency, and the wait until the
+	// engine ends its current pass, which is half a pass on average.
 	hopCost = 0.5
 	// otherZoneCost is the cost of starting in another zone: latency and the
 	// transfer of request and response. It is small, but larger than the cost
@@ -83,7 +83,7 @@
 	otherZoneCost = 6
 	// newHopCost is the cost of a hop that is not on the request's current path.
 	// Token steps take about equally long on engines that hold the same layers,
-	// so healthy hops are kept.
+	// so this cost outweighs the difference and healthy hops are kept.
 	newHopCost = 3
 	// crossZoneCost is the cost of sending a token's activations to another
 	// zone. The traffic of a whole zone would nearly saturate the link between
@@ -94,9 +94,10 @@
 	typicalRequests = 120
 	typicalContext  = 110_000
 	// highUtilization is the utilization of an engine above which a further
-	// request risks preemption or refusal. overloadCost, which is about the cost
-	// of a token step through a whole zone, makes another zone preferable before
-	// the engine is full.
+	// request risks preemption or refusal. Above it, using all layers of the
+	// engine costs overloadCost more per unit of utilization. overloadCost is
+	// about the cost of a token step through a whole zone, so that another zone
+	// becomes preferable before the engine is full.
 	highUtilization = 0.8
 	overloadCost    = 60
 )
@@ -115,15 +116,15 @@
 }
 
 // priorTokens is the weight, in tokens, of the assumption that requests spread
-// evenly over the engines. It equals a few requests. Beyond it the observed
-// distribution of this node's own requests dominates.
+// evenly over the engines. It equals the tokens of a few requests. Once this
+// node's own requests have more tokens, their observed distribution dominates.
 const priorTokens = 4000
 
 // trafficShare estimates the share of a zone's requests that pass through an
 // engine. All nodes choose by the same rules, so the estimate is taken from this
 // node's own requests. Assuming an even spread over the engines that hold the
-// same layers would hide that all nodes prefer the faster one: its streams would
-// be late while the other has free capacity.
+// same layers would hide that all nodes prefer the fastest of them: its streams
+// would be late while the others have free capacity.
 func (q Query) trafficShare(e *citronpool.Engine) float64 {
 	return min(1, (float64(e.Tokens())+priorTokens/max(1, e.Copies))/(float64(q.Own[e.Zone])+priorTokens))
 }
@@ -168,8 +169,8 @@
 // candidate is an engine that is eligible for the path.
 type candidate struct {
 	*citronpool.Engine
-	// zone is the number of the engine's zone, counted from 1. Zone 0 is the start
-	// of every path.
+	// zone is the number of the engine's zone, counted from 1. Zone 0 stands for
+	// the caller, where every path starts.
 	zone int
 	// layerCost is the cost of one layer, endIndex the index of the layer
 	// boundary at which the engine's layers end.
@@ -178,7 +179,8 @@
 }
 
 // Choose returns the cheapest path for q over the given engines. It returns
-// false if no usable engine holds some layer.
+// false if there is none, for example because one of the layers is held by no
+// usable engine.
 func Choose(engines []*citronpool.Engine, q Query) (Path, bool) {
 	usable := make([]candidate, 0, len(engines))
 	isBoundary := make([]bool, q.Spec.Layers+1)
@@ -262,7 +264,7 @@
 }
 
 // transferCost returns the cost of passing a request from a zone to an engine
-// that continues at layer pos. Zone 0 stands for the caller.
+// that continues at layer pos. from is the number of the zone, see candidate.
 func (q Query) transferCost(pos, from int, to *candidate) float64 {
 	switch {
 	case pos == 0 && to.Zone != q.Zone:
--- a/citronpermit/choose.go
+++ b/citronpermit/choose.go
@@ -6,9 +6,9 @@
 )
 
 // DealerFor returns the node that issues the permits for an engine. It prefers nodes in
-// the engine's zone, because they send the engine the most requests, and among those the
-// nodes that have processor time to spare. Rendezvous hashing decides between the rest.
-// It returns false if all nodes are leaving.
+// the engine's zone, because they send the engine the most requests, and within or outside
+// that zone the nodes that have processor time to spare. Rendezvous hashing decides
+// between nodes that are equal in both. It returns false if all nodes are leaving.
 func DealerFor(engine, zone string, nodes []citronpeer.Member) (citronpeer.Member, bool) {
 	var best citronpeer.Member
 	var bestRank rank
--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -12,8 +12,8 @@
 //	                       |                \---denied-----> another upstream, or rejected
 //	                       +-- the issuer's own requests, too
 //
-// The issuer is chosen by rendezvous hashing among the live nodes, so nodes that know the
-// same members agree on it without communication. Permits are not stored: when an issuer
+// The issuer is chosen among the live nodes by their properties and a rendezvous hash
+// (DealerFor), so nodes that know the same members agree on it without communication. Permits are not stored: when an issuer
 // is lost, the next one starts with an empty bucket.
 package citronpermit
 
@@ -51,17 +51,19 @@
 	// warmUp is how long a new issuer issues only half of the limit. Its predecessor may
 	// still be issuing permits to nodes that have not learned of the change.
 	warmUp = 4 * time.Second
-	// minPerSecond is the rate at which permits are issued for lower limits. Without any
-	// requests the nodes would never learn that the limit has ended, because only a
-	// response says so.
+	// minPerSecond is the minimum rate at which permits are issued, even if the limit is
+	// lower. Without any requests the nodes would never learn that the limit has ended,
+	// because only a response says so.
 	minPerSecond = 0.25
-	// requestsPerPermit is how often the denied nodes together should request each permit.
+	// requestsPerPermit is how many permit requests all nodes together should send per
+	// issued permit. If they send more, denied nodes pause longer.
 	requestsPerPermit = 4
 	// minPause and maxPause bound the time after which a denied node asks again.
 	minPause = 20 * time.Millisecond
 	maxPause = 2 * time.Second
 	// pauseStep is the factor by which the pause grows or shrinks with each denial.
-	// rateWindow is the time constant of the average request rate that decides which.
+	// rateWindow is the time constant of the average request rate, which decides whether
+	// it grows.
 	pauseStep  = 1.25
 	rateWindow = time.Second
 	// bucketTTL is how long a bucket is kept after the last permit request for it.
--- a/citronpermit/model_test.go
+++ b/citronpermit/model_test.go
@@ -22,7 +22,7 @@
 // limit.
 func allowed(perSecond float64) int { return int(1.5*perSecond*window.Seconds()) + 5 }
 
-// maxInWindow returns the maximum number of times within any window.
+// maxInWindow returns the maximum number of the given times that fall into one window.
 func maxInWindow(at []time.Time) int {
 	out, from := 0, 0
 	for to := range at {
@@ -113,9 +113,9 @@
 }
 
 // Guards against a strategy that respects the limit only with few nodes, or that leaves
-// the engine idle when only few nodes have requests for it. The share used is
-// measured after the first seconds, in which nodes do not know the limit or have only just
-// learned of it, and the issuer warms up.
+// the engine idle when only few nodes have requests for it. The used share of the limit is
+// measured after the first seconds, in which the issuer warms up and nodes do not know the
+// limit or have only just learned of it.
 func TestPermitsKeepLimitAtAnyFleetSize(t *testing.T) {
 	const duration, stabilized = 60 * time.Second, 5 * time.Second
 	for _, nodes := range []int{1, 9, 65, 295, 1200} {
