--- a/citronlimit/book.go
+++ b/citronlimit/book.go
@@ -19,7 +19,8 @@
 	"citrondeck.dev/citrondeck/citronupstream"
 )
 
-// minLimitDuration is how long a limit stays in effect at least after it was last stated.
+// minLimitDuration is the minimum time that a limit stays in effect after a response last
+// stated it.
 // Otherwise, an upstream that sets and lifts its limit several times a second would receive
 // all requests that arrive in between.
 const minLimitDuration = time.Second
@@ -30,8 +31,8 @@
 	// per second that it accepts from all nodes together.
 	Limited   bool
 	PerSecond float64
-	// Version orders the records of one upstream, because the nodes do not share a
-	// clock.
+	// Version orders the records of one upstream. Times could not order them, because
+	// the nodes do not share a clock.
 	Version int64
 }
 
@@ -61,8 +62,9 @@
 	mu sync.Mutex
 	// isListed reports whether an engine is in the engine list.
 	isListed func(engine string) bool
-	// changedAt is when a record last changed on this node, which decides whether it is
-	// recent. limitedAt is when a limit was last stated, for minLimitDuration.
+	// changedAt is when a record last changed on this node; it decides whether Recent
+	// returns the record. limitedAt is when a limit was last stated; minLimitDuration
+	// counts from then.
 	changedAt, limitedAt map[string]time.Time
 	// pending holds less strict records that take effect after minLimitDuration.
 	pending map[string]Record
--- a/citronlimit/gossip.go
+++ b/citronlimit/gossip.go
@@ -21,7 +21,8 @@
 	// maxRecords is the maximum number of records in a message from another node.
 	maxRecords = 8192
 	// maxVersionStep is how far the version of a received record may be ahead of the
-	// known one. No later record could supersede a record with the highest version.
+	// known one. Without this bound a faulty node could send the highest possible
+	// version, and no later record could supersede that one.
 	maxVersionStep = 1 << 20
 )
 
@@ -39,6 +40,7 @@
 	return citronpeer.Limit{Engine: engine, Limited: r.Limited, PerSecond: r.PerSecond, Version: r.Version}
 }
 
+// decode returns the record that another node sent, or an error if it is invalid.
 func (b *Book) decode(l citronpeer.Limit) (Record, error) {
 	r := Record{Limited: l.Limited, PerSecond: l.PerSecond, Version: l.Version}
 	switch {
@@ -47,7 +49,7 @@
 	case math.IsNaN(l.PerSecond) || math.IsInf(l.PerSecond, 0) || l.PerSecond < 0:
 		return r, errors.Newf("rate limit of %g requests per second is not a finite, non-negative number", l.PerSecond)
 	case l.Version < 0 || l.Version > b.Of(l.Engine).Version+maxVersionStep:
-		return r, errors.Newf("rate limit has version %d, which is negative or too far ahead of the known version", l.Version)
+		return r, errors.Newf("rate limit has version %d, which is negative or more than %d ahead of the known version", l.Version, maxVersionStep)
 	}
 	return r, nil
 }
@@ -59,7 +61,7 @@
 		return nil
 	}
 	if len(received) > maxRecords {
-		return errors.Newf("%d rate limits exceed the maximum per message", len(received))
+		return errors.Newf("message has %d rate limits, at most %d are allowed", len(received), maxRecords)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -22,8 +22,8 @@
 	return b
 }
 
-// Guards against a limit that is set and lifted several times a second and does not apply
-// to the requests in between.
+// An upstream sets and lifts its limit several times a second. The limit must also apply
+// to the requests that are sent while it is lifted.
 func TestLimitStaysInEffectForAtLeastOneSecond(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
@@ -39,7 +39,7 @@
 	b.Tick()
 	is.True(b.Of("i-1").Limited)
 	clock.Advance(500 * time.Millisecond)
-	b.Tick() // no response since the last one without a limit has set a limit
+	b.Tick() // the last response had no limit, and the limit was last stated more than a second ago
 	is.True(!b.Of("i-1").Limited)
 }
 
@@ -79,8 +79,8 @@
 	}
 }
 
-// Guards against nodes that do not converge: whatever responses they receive, and in
-// whatever order they exchange messages, they end up with the same records.
+// Whatever responses nodes receive, and in whatever order they exchange messages, they
+// must end up with the same records.
 func TestBooksAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(0, 0))
