--- a/citronquarantine/doc.go
+++ b/citronquarantine/doc.go
@@ -15,6 +15,7 @@
 // after a while, one run at a time, and each further crash doubles the quarantine.
 // A request that is quarantined by mistake is cleared by its next successful run.
 //
-// A suspect is a request under which engines have crashed. A trial run is the only
-// run of a suspect that a node admits at a time.
+// A suspect is a request under which so many engines have crashed that it is
+// quarantined or that one more crash would quarantine it. A trial run is the only run
+// of a suspect that a node admits at a time.
 package citronquarantine
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -71,9 +71,9 @@
 	// changedAt is when the record last changed on this node.
 	changedAt time.Time
 	onTrial   bool
-	// observed is set if this node itself observed a crash of the request. Such a
-	// node has to save the record in durable storage. saved is the record as last
-	// saved.
+	// observed is set if this node itself observed a crash of the request. This node
+	// then has to save the record in durable storage once the request is quarantined.
+	// saved is the record as last saved.
 	observed bool
 	saved    Record
 }
@@ -263,16 +263,16 @@
 // validate rejects a message as a whole if any part of it is invalid.
 func (l *Ledger) validate(received []Entry) error {
 	if len(received) > MaxGossipRecords {
-		return errors.Newf("%d records exceed the maximum per message", len(received))
+		return errors.Newf("message has %d records, at most %d are allowed", len(received), MaxGossipRecords)
 	}
 	now := l.clock.Now()
 	for _, in := range received {
 		if n := len(in.crashes); n == 0 || n > MostCrashes {
-			return errors.Newf("record has %d crashes: none, or more than the maximum", n)
+			return errors.Newf("record has %d crashes, must have 1 to %d", n, MostCrashes)
 		}
 		for _, c := range in.crashes {
 			if age := now.Sub(c.At); age < 0 || age > OldestCrash {
-				return errors.Newf("crash has age %v: negative, or more than the maximum", age)
+				return errors.Newf("crash has age %v, must be between 0 and %v", age, OldestCrash)
 			}
 		}
 	}
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// Guards against nodes that end up with different records of a request, depending on
-// the order and number of the messages between them.
+// Nodes must end up with the same records, whatever the order and number of the messages
+// between them.
 func TestNodesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(1_000_000, 0))
--- a/citronquarantine/model_test.go
+++ b/citronquarantine/model_test.go
@@ -32,7 +32,8 @@
 )
 
 // modelRun is a request in progress. If engine is negative, the request waits for its
-// caller to retry it.
+// caller to retry it, and since is the time of the retry. Otherwise since is the start of
+// the run.
 type modelRun struct {
 	fingerprint citronquarantine.Print
 	crashing    bool
@@ -81,7 +82,7 @@
 }
 
 // crash ends an engine and all its runs. Runs that had just started count as crashed.
-// A request is sent on at once after its first attempt, unless it is a suspect.
+// A request is retried at once after its first attempt, unless it is a suspect.
 // Otherwise the caller of a harmless request retries it later, up to four attempts in
 // total.
 func (m *model) crash(engine int) {
@@ -149,8 +150,8 @@
 	}
 }
 
-// run runs the simulation. It calls fault at random times, on average once per the
-// given interval.
+// run runs the simulation for modelTime. It calls fault at random times, on average
+// once per interval every.
 func (m *model) run(every time.Duration, fault func(m *model)) {
 	for range modelTime / modelStep {
 		if m.rand.Int64N(int64(every)) < int64(modelStep) {
@@ -189,7 +190,7 @@
 			}
 			t.Logf("%d of %d harmless requests quarantined; %d engines ended under crashing requests", quarantined, sent, ended)
 			if share := float64(quarantined) / float64(sent); share > maxQuarantinedShare {
-				t.Errorf("%.4f of harmless requests were quarantined, more than the maximum", share)
+				t.Errorf("a share of %.4f of harmless requests was quarantined, want at most %.4f", share, maxQuarantinedShare)
 			}
 		})
 	}
--- a/citronquarantine/print.go
+++ b/citronquarantine/print.go
@@ -13,9 +13,9 @@
 // can construct two requests with the same fingerprint, and short enough to gossip.
 const fingerprintSize = 16
 
-// Print is the fingerprint of a request. Two requests of a customer for the same
-// thing have the same fingerprint, whichever node receives them and whatever their
-// IDs are.
+// Print is the fingerprint of a request. Two requests with the same customer, method,
+// host, target and body have the same fingerprint, whichever node receives them and
+// whatever their IDs are.
 type Print [fingerprintSize]byte
 
 // PrintOf returns the fingerprint of a request.
@@ -30,8 +30,8 @@
 	return p
 }
 
-// hashField hashes the length of a field and then the field, so that no two lists of
-// fields hash the same bytes.
+// hashField hashes the length of a field and then the field, so that different lists of
+// fields never result in the same bytes to hash.
 func hashField(h hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
--- a/citronquarantine/record.go
+++ b/citronquarantine/record.go
@@ -17,9 +17,11 @@
 	// doubles it, up to maxQuarantine.
 	initialQuarantine = time.Minute
 	maxQuarantine     = 32 * time.Minute
-	// retention is how long a record is kept after the request may run again.
-	// clearedRetention is how long it is kept if no crash counts any more, so that
-	// the other nodes learn that the request is cleared.
+	// retention is how long a record is kept after the quarantine ends, or after the
+	// last crash if the request is not quarantined. clearedRetention is how long after
+	// the last crash it is kept once all crashes are refuted, so that the other nodes
+	// learn that the request is cleared. If the request is cleared later than that, the
+	// record expires at once.
 	retention        = 10 * time.Minute
 	clearedRetention = time.Minute
 	// MostCrashes is the maximum number of crashes in a record.
@@ -124,9 +126,9 @@
 	return n
 }
 
-// significant reports whether the record has enough crashes, refuted or not, that the
-// request is or was quarantined, or that one more crash could quarantine it. All
-// nodes have to agree on significant records.
+// significant reports whether the request is or was quarantined, or whether one more
+// crash could quarantine it. Refuted crashes count too. All nodes have to agree on
+// significant records.
 func (r Record) significant() bool { return len(r.crashes) >= quarantineThreshold-1 }
 
 // lastCrash returns the time of the newest crash that is not refuted. If all crashes
@@ -162,7 +164,8 @@
 	return r.lastCrash().Add(retention)
 }
 
-// equal reports whether two records have the same crashes, ignoring their times.
+// equal reports whether two records have the same crashes. It ignores the times of the
+// crashes.
 func (r Record) equal(o Record) bool {
 	return slices.EqualFunc(r.Crashes(), o.Crashes(), func(a, b Crash) bool {
 		return a.Engine == b.Engine && a.Refuted == b.Refuted
--- a/citronquarantine/verdict.go
+++ b/citronquarantine/verdict.go
@@ -15,7 +15,8 @@
 	End func()
 }
 
-// Barred rejects a quarantined request.
+// Barred rejects a request that is quarantined, or that has to wait for the end of a
+// trial run.
 type Barred struct {
 	// Left is the time after which the request may be retried.
 	Left time.Duration
