--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -65,7 +65,8 @@
 	return barred
 }
 
-// suspect reports whether the request is a suspect: one more crash would quarantine it.
+// suspect reports whether the request is a suspect: it is quarantined, or one more crash
+// would quarantine it.
 func (j *job) suspect() bool {
 	return !j.f.Quarantine.Empty() && j.f.Quarantine.Suspect(j.fingerprint())
 }
--- a/citronforward/leaving.go
+++ b/citronforward/leaving.go
@@ -6,9 +6,9 @@
 // running through it. A leaving engine keeps serving for a period that the operator
 // configures. Moving a stream means that its tokens are read again. Moving all streams
 // at once delays them and the streams on the engines that they move to. Streams
-// therefore stay until the engine's layers can have been placed on another engine of
-// the zone, and then move at random times within the rest of the period. Many of them
-// have ended by then.
+// therefore stay for as long as it takes to place the engine's layers on another engine
+// of the zone, and then move at random times within the rest of the period. Many of
+// them end before they have to move.
 
 import (
 	"math/rand/v2"
@@ -51,8 +51,9 @@
 	return defaultDrain
 }
 
-// leavingPart returns the index of the first hop whose engine is leaving, once this
-// stream is due to move, or -1.
+// leavingPart returns the index of the first hop whose engine is leaving or no longer
+// in the engine list. It returns -1 if there is none or this stream is not yet due to
+// move.
 func (w *watch) leavingPart(now time.Time) int {
 	view := w.s.f.Current().View
 	for i, h := range w.s.path {
@@ -72,9 +73,9 @@
 	return -1
 }
 
-// mayWaitToLeave reports whether a stream stays a little longer because no other engine
-// in its zone holds the leaving engine's layers. If so, it sets the time of the next
-// check.
+// mayWaitToLeave reports whether a stream that would have to move to another zone may
+// stay a little longer, because its own zone may soon have a complete replica again. If
+// so, it sets the time of the next check.
 func (w *watch) mayWaitToLeave(now time.Time) bool {
 	if now.Sub(w.leftAt) >= maxZoneWait(w.s.f.drainPeriod()) {
 		return false
--- a/citronforward/leaving_test.go
+++ b/citronforward/leaving_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// movedStreams simulates 1000 streams that run for up to five seconds and have a random
-// part of that left. It returns how many of them are still running on the leaving
-// engine when they are due to move.
+// movedStreams simulates 1000 streams on an engine that begins to leave. Each has a
+// random remaining time of up to five seconds. It returns how many of them are still
+// running when they are due to move.
 func movedStreams(window time.Duration) int {
 	const streams, maxDuration = 1000, 5 * time.Second
 	drawn := rand.New(rand.NewPCG(1, 2))
--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -44,13 +44,13 @@
 	// wait for a permit.
 	mayWait bool
 	denials int
-	// freeIn is the shortest time after which an engine that denied a permit has one
-	// again.
+	// freeIn is the shortest time after which a permit becomes available for one of
+	// the engines for which a permit was denied.
 	freeIn time.Duration
 }
 
-// permitted takes a permit for each of the engines that has a rate limit. It reports
-// whether the request may be sent to all of them.
+// permitted takes a permit for each of the given engines that has a rate limit. It
+// reports whether the request may be sent to all of them.
 func (j *job) permitted(ctx context.Context, engines ...*citronpool.Engine) bool {
 	for _, e := range engines {
 		if j.f.Limits.Of(e.ID).Limited && !j.takePermit(ctx, e) {
@@ -151,7 +151,7 @@
 }
 
 // limitsUsedUp reports whether the request is refused because of rate limits. If so, it
-// sets retryAfter to a time at which a permit should be free.
+// sets retryAfter to a delay after which a permit should be available.
 func (j *job) limitsUsedUp() bool {
 	if j.permits.denials == 0 {
 		return false
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -14,8 +14,8 @@
 )
 
 // limit makes engines announce a rate limit and answers permit requests with the
-// decision given per engine. It returns the waits that each engine's permits were
-// requested with.
+// decision given per engine. For each engine, asked holds the maxWait of every permit
+// request so far.
 func (r *rig) limit(decide map[string]citronpermit.Decision) (asked map[string][]time.Duration) {
 	asked = map[string][]time.Duration{}
 	for id := range decide {
@@ -52,7 +52,7 @@
 			for _, c := range r.engines.seen() {
 				is.True(c.engine == "p2" || c.engine == "m2")
 			}
-			is.True(len(asked["p1"]) <= 1) // not asked again for as long as the denial said
+			is.True(len(asked["p1"]) <= 1) // after a denial, no permit is requested before Denied.Again has passed
 			is.True(len(asked["m1"]) <= 1)
 		})
 	}
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -202,8 +202,9 @@
 const (
 	// assumedLatency is the latency assumed for an engine that has not answered yet.
 	assumedLatency = 15 * time.Millisecond
-	// otherZoneCost is added to engines in other zones. They are selected only when the
-	// nearest engine is half as fast or already has a request running.
+	// otherZoneCost is added to the cost of engines in other zones. At latencies around
+	// assumedLatency, they are selected only if the engines of this zone are half as
+	// fast or already have a request running.
 	otherZoneCost = 8 * time.Millisecond
 )
 
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// Fresh is the usual maximum age of an engine's report that is shared between
-	// streams.
+	// Fresh is the usual maximum age of a report that a stream takes over from
+	// another stream's probe.
 	Fresh = 500 * time.Millisecond
 	// probeTimeout is the time after which an engine that does not respond to a
 	// probe counts as dead. A healthy engine responds within a few milliseconds.
@@ -35,8 +35,7 @@
 	byAddr map[string]*sharedProbe
 }
 
-// sharedProbe is one probe of an engine, the result of which several streams wait
-// for. report and err are set before done is closed.
+// sharedProbe is one probe of an engine, whose result several streams may use. report and err are set before done is closed.
 type sharedProbe struct {
 	done   chan struct{}
 	at     time.Time
@@ -44,9 +43,9 @@
 	err    error
 }
 
-// Ask returns the report of the engine at addr. The result of an earlier probe is
-// used if that probe started no longer than maxAge ago. The report and the error
-// are both empty if this node was paused during the probe.
+// Ask returns the report of the engine at addr. It uses the result of the previous
+// probe if that probe started at most maxAge ago. The report and the error are both
+// empty if this node was paused during the probe.
 func (p *Prober) Ask(ctx context.Context, up citronupstream.Engines, addr string, maxAge time.Duration) (citronupstream.Report, error) {
 	p.mu.Lock()
 	if p.byAddr == nil {
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -58,7 +58,8 @@
 	Customer string
 	// Left is the remaining time that the engine may use.
 	Left time.Duration
-	// After is the ID of the last event that the caller received.
+	// After is the ID of the last event that the caller has received by the time
+	// of the call, or ResumeAfter if it has received none since its request.
 	After string
 	// Once is true if the transport must not retry the call and must not reuse
 	// a connection of an earlier call.
@@ -74,8 +75,8 @@
 	Body   io.ReadCloser
 	// NotRun is true if the engine reports that it did not run the request.
 	NotRun bool
-	// Fault is the address of the engine on the path that caused the failure, as
-	// named in the response.
+	// Fault is the address of the accused engine: the engine on the path that the
+	// response names as the cause of the failure.
 	Fault string
 	// Signed is true if the response carries the stamp of an engine, so that it
 	// was not produced by a proxy in between.
@@ -119,7 +120,7 @@
 	// Report asks the engine at addr for its state.
 	Report(ctx context.Context, addr string) (Report, error)
 	// Repath moves the running request with this ID to another path with the
-	// same first engine. It returns ErrUnknownRequest or a *PartError if the
+	// same first engine, whose address is first. It returns ErrUnknownRequest or a *PartError if the
 	// engines decline the move.
 	Repath(ctx context.Context, first, id string, path citronpath.Path) error
 }
