--- a/citronadmit/admit_test.go
+++ b/citronadmit/admit_test.go
@@ -61,10 +61,10 @@
 	return order
 }
 
-// A large customer queues a burst, then a small customer sends one request and
-// another request arrives with higher priority. The request with priority is
-// admitted first, the small customer does not wait for the whole burst, and
-// customers are served in proportion to their weights.
+// Each case queues requests in the given order and lists the order in which they must
+// be admitted. Requests with higher priority must come first. A small customer must
+// not wait for the whole burst of a large one, and customers must be served in
+// proportion to their weights.
 func TestAdmissionOrder(t *testing.T) {
 	burst := func(customer string, weight, n int) []citronadmit.Request {
 		out := make([]citronadmit.Request, n)
@@ -113,7 +113,7 @@
 			left[o]--
 			for other, n := range left {
 				if n > 0 && served[o] > served[other]+1 {
-					rt.Fatalf("customer %d served %d times, %d, still waiting, %d times", o, served[o], other, served[other])
+					rt.Fatalf("customer %d was served %d times while customer %d, which still waits, was served %d times; want at most one more", o, served[o], other, served[other])
 				}
 			}
 		}
