--- a/citronpath/path_test.go
+++ b/citronpath/path_test.go
@@ -69,17 +69,17 @@
 		q.Avoid = avoid
 		p, ok := citronpath.Choose(view(engines...), q)
 		if ok != all {
-			t.Fatalf("path found: %v, all layers held: %v", ok, all)
+			t.Fatalf("Choose found a path: %v; the usable engines hold all layers: %v", ok, all)
 		}
 		at, seen := 0, map[string]bool{}
 		for _, h := range p {
 			if h.Span.From != at || h.Span.Empty() || !h.Engine.Layers.Covers(h.Span) || seen[h.Engine.ID] || h.Engine.Leaving || avoid[h.Engine.ID] {
-				t.Fatalf("bad hop %s in %s", h.Engine.ID, ids(p))
+				t.Fatalf("hop %s of path %s has the wrong layers, or its engine is used twice, leaving or avoided", h.Engine.ID, ids(p))
 			}
 			at, seen[h.Engine.ID] = h.Span.To, true
 		}
 		if ok && at != spec.Layers {
-			t.Fatalf("path ends at layer %d: %s", at, ids(p))
+			t.Fatalf("path ends at layer %d, want %d: %s", at, spec.Layers, ids(p))
 		}
 	})
 }
--- a/citronpath/seed_test.go
+++ b/citronpath/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// The seed of rapid is fixed so that CI runs are reproducible. Use
-// -rapid.seed=N to try another one.
+// init fixes rapid's seed so that CI runs are reproducible. Use -rapid.seed=N to try
+// another seed.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
