--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -12,9 +12,10 @@
 //	                       |                \---denied-----> another upstream, or rejected
 //	                       +-- the issuer's own requests, too
 //
-// The issuer is chosen among the live nodes by their properties and a rendezvous hash
-// (DealerFor), so nodes that know the same members agree on it without communication. Permits are not stored: when an issuer
-// is lost, the next one starts with an empty bucket.
+// The issuer is chosen among the live nodes by their zone, their spare processor time and a
+// rendezvous hash (DealerFor), so nodes that know the same members agree on it without
+// communication. Permits are not stored: when an issuer is lost, the next one starts with
+// an empty bucket.
 package citronpermit
 
 import (
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -35,7 +35,8 @@
 	byAddr map[string]*sharedProbe
 }
 
-// sharedProbe is one probe of an engine, whose result several streams may use. report and err are set before done is closed.
+// sharedProbe is one probe of an engine, whose result several streams may use.
+// report and err are set before done is closed.
 type sharedProbe struct {
 	done   chan struct{}
 	at     time.Time
--- a/citronquarantine/print.go
+++ b/citronquarantine/print.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// fingerprintSize is the length of a Print in bytes. It is long enough that nobody
-// can construct two requests with the same fingerprint, and short enough to gossip.
+// fingerprintSize is the length of a Print in bytes. It is long enough that two
+// requests with the same fingerprint cannot be constructed, and short enough to gossip.
 const fingerprintSize = 16
 
 // Print is the fingerprint of a request. Two requests with the same customer, method,
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -120,8 +120,8 @@
 	// Report asks the engine at addr for its state.
 	Report(ctx context.Context, addr string) (Report, error)
 	// Repath moves the running request with this ID to another path with the
-	// same first engine, whose address is first. It returns ErrUnknownRequest or a *PartError if the
-	// engines decline the move.
+	// same first engine, whose address is first. It returns ErrUnknownRequest
+	// or a *PartError if the engines decline the move.
 	Repath(ctx context.Context, first, id string, path citronpath.Path) error
 }
 
