--- a/citronforward/accused.go
+++ b/citronforward/accused.go
@@ -6,9 +6,10 @@
 // When an engine dies at peak load and stops responding, the engine before it refuses
 // new requests at once and names it. Streams that already run through the dead engine
 // just stall. Neither sign alone proves that the engine is dead: it may be full or be
-// unloading layers, and a stream pauses now and then. If both hold and the engine does
-// not answer a probe, the stream is moved, long before its silence alone would cause
-// that. If no other engine in the zone holds the layers, the stream still waits.
+// unloading layers, and a stream pauses now and then. If an accused engine does not
+// answer a probe while the stream stalls, the stream is moved, long before its stall
+// alone would cause a move. If no other engine in the zone holds the layers, the stream
+// still waits.
 
 import "time"
 
--- a/citronforward/admit_test.go
+++ b/citronforward/admit_test.go
@@ -31,7 +31,7 @@
 		return 1500*time.Millisecond + time.Duration(drawn*float64(4500*time.Millisecond))
 	})
 	late := refusedAgain(surge, func(drawn float64) time.Duration { return spreadRetryAfter(left, drawn) })
-	t.Logf("refused again: %d of 100,000 if told 1.5 to 6 s, %d as told", early, late)
+	t.Logf("refused again: %d of 100,000 with retry delays of 1.5 to 6 s, %d with spreadRetryAfter", early, late)
 	is.True(late < early/2)
 }
 
--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -3,11 +3,11 @@
 // Requests that crash engines.
 //
 // A client may send a request that crashes every engine that begins to run it, and may
-// send it again to any node. Retried from engine to engine, such a request takes down
-// one zone after the other. Each engine whose process ends shortly after it began a run
-// is therefore recorded under the request's fingerprint and shared with all nodes
-// (citronquarantine). A request that would be quarantined after one more crash is a
-// suspect: it is not retried after a failed run. A quarantined request is refused
+// send it again to any node. Retried from engine to engine, such a request stops the
+// engines of one zone after the other. Each engine whose process ends shortly after it
+// began a run is therefore recorded under the request's fingerprint and shared with all
+// nodes (citronquarantine). A request that would be quarantined after one more crash is
+// a suspect: it is not retried after a failed run. A quarantined request is refused
 // before it is sent.
 
 import (
--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -109,8 +109,8 @@
 	is.True(r.Quarantine.Empty())
 }
 
-// Guards against blaming a crash on requests that had been running on the engine for
-// long. Such a stream is retried on a second and a third engine, which crash too, and
+// Guards against counting a crash against requests that had been running on the engine
+// for long. Such a stream is retried on a second and a third engine, which crash too, and
 // must still be served in the end. Each engine restarts at once, so that it is certain
 // that the previous process has ended.
 func TestStreamThatRanWellIsNotSuspect(t *testing.T) {
--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -105,10 +105,10 @@
 	answers atomic.Int64
 }
 
-// sampleEvery is the number of completed requests per log line.
+// sampleEvery is the number of completed requests for each one that is logged.
 const sampleEvery = 50
 
-// answered logs every sampleEvery-th completed request.
+// answered logs the first of every sampleEvery completed requests.
 func (j *job) answered(args ...any) {
 	if j.f.answers.Add(1)%sampleEvery == 1 {
 		citronevent.Log(context.Background(), j.f.Log, citronevent.AnswerSampled, append([]any{"request", j.ID, "route", j.route.Name, "version", j.version, "list", j.list.String(), "took", j.f.Clock.Now().Sub(j.Received)}, args...)...)
@@ -131,7 +131,8 @@
 	deadline time.Time
 	// zoneJitter is a random extra cost per zone, drawn once for this request.
 	zoneJitter map[string]float64
-	// avoid holds the IDs of engines that failed or refused this request.
+	// avoid holds the IDs of engines that this request must not use, for example because
+	// they failed, refused it or were found dead.
 	avoid map[string]bool
 	// runs counts the engines that may have run the request; refused counts the engines
 	// that did not run it.
@@ -172,8 +173,7 @@
 	attemptsUsed retryLimit = "attempts"
 	// budgetUsed: this node's share of the retry budget is used up.
 	budgetUsed retryLimit = "budget"
-	// crashesUsed: the request has crashed engines, and one more crash would quarantine
-	// it.
+	// crashesUsed: the request is a suspect.
 	crashesUsed retryLimit = "crashes"
 	// refusalsUsed: enough engines refused the request that others are expected to do
 	// so too.
--- a/citronforward/list_test.go
+++ b/citronforward/list_test.go
@@ -20,8 +20,8 @@
 
 // Guards against a retry that uses an outdated engine list. The list changes while a
 // request fails at its first engine: of the two other engines, the preferred one begins
-// to leave. The third engine must serve the client, and the log must name the list that each
-// engine was selected from.
+// to leave. The third engine must serve the client, and the log must name the list that
+// each engine was selected from.
 func TestRetryUsesTheActiveList(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, plain("e1", "a"), plain("e2", "a"), plain("e3", "b"))
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -205,8 +205,9 @@
 	return keepRun
 }
 
-// deadHop returns the index of the first hop whose engine was found dead since the
-// stream last made progress, or -1.
+// deadHop returns the index of the first hop whose engine was found dead after since,
+// the time at which the stream last made progress, or at most checkInterval before it.
+// It returns -1 if there is none.
 func (w *watch) deadHop(since time.Time) int {
 	view := w.s.f.Current().View
 	for i, h := range w.s.path {
@@ -358,8 +359,8 @@
 }
 
 // resume ends the run if a new run may continue after the last event. Otherwise it
-// postpones the next try. A path with an engine that is only leaving still works, so
-// it is kept.
+// keeps the run and postpones the next check. A path with an engine that is only
+// leaving still works, so it is kept.
 func (w *watch) resume() action {
 	s := w.s
 	_, ok := s.job.path(s.f.Current(), "")
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -405,14 +405,14 @@
 		_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxAnswerBytes)) // so that the connection can be reused
 		s.refusedBy(first, reply)
 		s.f.Metrics.Attempts.WithLabelValues(notRun.String()).Inc()
-		s.logAttempt(first, result{outcome: notRun, status: reply.Status, err: errors.Newf("engine did not run the request, at fault: %s", reply.Fault)})
+		s.logAttempt(first, result{outcome: notRun, status: reply.Status, err: errors.Newf("engine did not run the request, accused engine: %q", reply.Fault)})
 		return runRefused
 	}
 	if reply.Status != http.StatusOK {
 		return s.handleEngineFailure(ctx, reply)
 	}
 	if !reply.Signed || reply.Header.Get("Content-Encoding") != "" {
-		s.logRun(first, result{outcome: unknown, status: reply.Status, err: errors.New("answer is not the engine's own")})
+		s.logRun(first, result{outcome: unknown, status: reply.Status, err: errors.New("response lacks the engine's signature or has a content encoding")})
 		s.avoid[first.ID] = true
 		return runBroken
 	}
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -486,8 +486,8 @@
 // An engine in the middle of a path hangs at peak load: it neither refuses connections
 // nor responds. The next request sent through it is refused with the engine named as the
 // cause (the engine is accused), while running streams through it only stall. The two
-// signs together must move a stream within about 150 ms. When streams waited for the
-// probe to time out, they paused for 0.6 to 0.9 s.
+// signs together must move a stream within about 150 ms. If streams waited for the probe
+// to time out, they would pause for 0.6 to 0.9 s.
 func TestStalledStreamLeavesAccusedEngine(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 4), engine("m2", "a", 4, 8), engine("m3", "a", 4, 8))
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -143,10 +143,10 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes))
 	if err != nil {
-		return j.judge(e, errors.Wrap(err, "read answer"))
+		return j.judge(e, errors.Wrap(err, "read response"))
 	}
 	if !reply.Signed && reply.Status < 300 || reply.Header.Get("Content-Encoding") != "" {
-		return result{outcome: unknown, status: reply.Status, err: errors.New("answer is not the engine's own")}
+		return result{outcome: unknown, status: reply.Status, err: errors.New("response lacks the engine's signature or has a content encoding")}
 	}
 	res := result{outcome: answered, status: reply.Status, header: reply.Header, body: body}
 	if reply.Status >= 500 {
--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -14,8 +14,8 @@
 
 var errReset = errors.New("connection reset")
 
-// Guards against a promise that a request did not run when it may have run. An engine
-// accepts a request and never answers. If the response at the deadline said that the
+// Guards against telling the client that a request did not run when it may have run. An
+// engine accepts a request and never answers. If the response at the deadline said that the
 // request had not run, the client would send it again and it would be executed twice.
 func TestAnswerLostUntilDeadlineIsNeverNotRun(t *testing.T) {
 	is := is.New(t)
@@ -30,8 +30,8 @@
 	is.Equal(len(r.engines.seen()), 1)
 }
 
-// Guards against the same promise for a stream whose engines accepted it and sent
-// nothing until the deadline.
+// Guards against telling the client that a stream did not run when its engines accepted
+// it and sent nothing until the deadline.
 func TestSilentStreamAtDeadlineIsNeverNotRun(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8))
