--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -143,10 +143,10 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes))
 	if err != nil {
-		return j.judge(e, errors.Wrap(err, "read answer"))
+		return j.judge(e, errors.Wrap(err, "read response"))
 	}
 	if !reply.Signed && reply.Status < 300 || reply.Header.Get("Content-Encoding") != "" {
-		return result{outcome: unknown, status: reply.Status, err: errors.New("answer is not the engine's own")}
+		return result{outcome: unknown, status: reply.Status, err: errors.New("response lacks the engine's signature or has a content encoding")}
 	}
 	res := result{outcome: answered, status: reply.Status, header: reply.Header, body: body}
 	if reply.Status >= 500 {
@@ -202,8 +202,9 @@
 const (
 	// assumedLatency is the latency assumed for an engine that has not answered yet.
 	assumedLatency = 15 * time.Millisecond
-	// otherZoneCost is added to engines in other zones. They are selected only when the
-	// nearest engine is half as fast or already has a request running.
+	// otherZoneCost is added to the cost of engines in other zones. At latencies around
+	// assumedLatency, they are selected only if the engines of this zone are half as
+	// fast or already have a request running.
 	otherZoneCost = 8 * time.Millisecond
 )
 
