--- a/citronnode/config.go
+++ b/citronnode/config.go
@@ -5,9 +5,9 @@
 // Under load, many versions, each with hundreds of routes, arrive from the store and
 // from several nodes at once while engines die. The loop used to decode every copy of
 // every version between its other inputs, and a version took effect more than three
-// seconds after its acknowledgement. Therefore a version is decoded only once, outside
-// the loop, one at a time. Versions that have been superseded are not decoded, and the
-// loop takes the newest version before any other input.
+// seconds after its acknowledgement. Therefore each version is decoded only once, outside
+// the loop, and only one at a time. Versions that have been superseded are not decoded,
+// and the loop takes the newest version before any other input.
 
 import (
 	"context"
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -55,8 +55,8 @@
 	source         string
 }
 
-// membersSeen is an update about other nodes: complete entries, gauges, or only a sign
-// that a node is alive, together with the zone totals.
+// membersSeen is an update about other nodes: complete entries, gauges, or only the
+// heartbeat counters in a digest, together with the zone totals.
 type membersSeen struct {
 	// from is the node that sent the update. told is what it knows about others.
 	from   citronpeer.Member
@@ -90,8 +90,8 @@
 	// listSince is when the first list arrived. listAt and configAt are when the list
 	// and the configuration last changed.
 	listSince, listAt, configAt time.Time
-	// storeAway reports that the store was unavailable to all nodes during the last
-	// seconds.
+	// storeAway reports that the store is unavailable to all nodes, or was within the
+	// last citronhealth.LapseGrace.
 	storeAway bool
 	// configChanged means that the view must be rebuilt for a new configuration.
 	// collectDue means that the state of the other nodes must be collected for the next
@@ -254,8 +254,8 @@
 	c.collectDue = true
 }
 
-// updateStoreStatus publishes how the store serves this node, and tells the list of
-// engines whether the store was unavailable to all nodes.
+// updateStoreStatus publishes whether the store serves this node, and tells the list of
+// engines whether the store is, or recently was, unavailable to all nodes.
 func (c *control) updateStoreStatus(ctx context.Context, now time.Time) {
 	c.self.Store = c.n.health.Status(now)
 	statuses := []citronhealth.Status{c.self.Store}
--- a/citronnode/directory.go
+++ b/citronnode/directory.go
@@ -15,9 +15,9 @@
 
 // Addresses returns the addresses where callers of a zone should connect: nodes of their
 // own zone, and nodes of other zones only if there are too few. Nodes that are stopping
-// are never returned, even if all nodes are stopping: callers then keep their addresses
-// until a node is back, and are better spread over those than over the few nodes that
-// stopped last.
+// are never returned, even if all nodes are stopping: callers then keep the addresses
+// that they have until a node is back. Those spread the callers better than the addresses
+// of the few nodes that stopped last would.
 func (n *Node) Addresses(zone string) []string {
 	s := n.snap.Load()
 	var near, far []string
--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -75,7 +75,8 @@
 
 // Guards against refused requests that are not retried although the retry budget has
 // capacity. One node has used up its share of the retry budget while the others need
-// none of theirs: it borrows from them. Once they are gone, its attempts fail at once.
+// none of theirs: it borrows from them. Once they have stopped, its attempts to borrow
+// fail at once.
 func TestNodeBorrowsRetryBudget(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -104,9 +105,9 @@
 
 // Guards against a store overloaded by a fleet that starts all at once, as after a
 // power failure. A node would make six calls if it watched the store, then found that
-// others already do, and also wrote its address and read the others'. The store serves
-// a limited number of calls per second, and each call is paid for. Only the two that
-// callers wait for are needed.
+// others already do, and also wrote its address and read the addresses of the others. The
+// store serves a limited number of calls per second, and each call is paid for. Only the
+// two calls that callers wait for are needed.
 func TestFleetStartMakesFewStoreCalls(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
@@ -135,9 +136,9 @@
 	is.True(calls < 3*nodes)
 }
 
-// Guards against a slow start of a node while the store answers. Callers wait for a
-// machine that lost power, so the node must have the configuration at once instead of
-// looking for other nodes that may have it.
+// Guards against a slow start of a node while the store answers. After a machine has lost
+// power, callers wait for its node, so the node must read the configuration at once
+// instead of looking for other nodes that may have it.
 func TestStartupDoesNotWaitForOtherNodes(t *testing.T) {
 	const discoveryTime = 500 * time.Millisecond
 	for range 5 {
@@ -241,8 +242,8 @@
 	}
 }
 
-// BenchmarkChangingFleet measures the same while engines in the list change ten times a
-// second, as they do while layers are placed.
+// BenchmarkChangingFleet measures what BenchmarkIdleFleet does, while engines in the list
+// change ten times a second, as when layers are placed.
 func BenchmarkChangingFleet(b *testing.B) {
 	for _, c := range []struct{ nodes, engines int }{{100, 200}, {30, 1000}, {30, 3000}} {
 		b.Run(fmt.Sprintf("%d nodes %d engines", c.nodes, c.engines), func(b *testing.B) { benchmarkChangingFleet(b, c.nodes, c.engines) })
--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -7,8 +7,9 @@
 // a leader that cannot renew its lease continues as long as it hears from more than
 // half of the nodes among which it was elected and no other node leads. If the store
 // rejects only this node and another node is elected, gossip reports that within a
-// second. Orders that two leaders give in that second are resolved by the order counts
-// of the engines: an engine refuses an order that was meant for an earlier state.
+// second. Conflicting orders that two leaders give in that second do no harm: an order
+// states how many orders its engine has accepted so far, and the engine refuses one that
+// was meant for an earlier state.
 
 import (
 	"context"
@@ -41,8 +42,8 @@
 	lowCPUDelay    = 700 * time.Millisecond
 )
 
-// weak reports whether a node has too little processor time for tasks that a few nodes
-// do for all.
+// weak reports whether a node has too little processor time for the tasks that a few
+// nodes perform for the whole fleet.
 func (s Settings) weak() bool { return s.Cores > 0 && s.Cores < minLeaderCores }
 
 // errHeld means that another node holds the leader key.
@@ -96,10 +97,10 @@
 	return n.clock.Now().Sub(*since)
 }
 
-// actAsLeader places layers without a lease, as the acting leader. It runs when the
-// leader died while the store was unavailable: no node can take the lease then, and the
-// layers of a dead engine would stay unserved until the store is back. It ends when the
-// store answers or another node leads.
+// actAsLeader places layers without a lease, as the acting leader, until the store
+// answers or another node leads. It runs when the leader died while the store was
+// unavailable: no node can take the lease then, and without an acting leader the layers
+// of a dead engine would stay unserved until the store is back.
 func (n *Node) actAsLeader(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -118,8 +119,8 @@
 	wait()
 }
 
-// leaderKnown reports whether another node declares itself the leader. The store is
-// asked only if none does.
+// leaderKnown reports whether another node declares itself the leader in gossip. It makes
+// no call to the store: callers read the leader key there only if no node does.
 func (n *Node) leaderKnown() bool {
 	for _, m := range n.snap.Load().members {
 		if m.Leads && !m.Leaving {
--- a/citronnode/leaving_test.go
+++ b/citronnode/leaving_test.go
@@ -88,9 +88,9 @@
 // Guards against an error answer of the store that is taken for an outage of the store.
 // A leader was suspended until its lease expired. When it resumed, the store answered
 // its renewal with "key not found", and the node treated that answer as an outage. An
-// engine left a second later without notice: its entry went, and all nodes heard of it
-// within 10 ms. The former leader attributed the missing entry to the outage and sent
-// requests to the engine for another 2.5 s. Its log, with times in seconds:
+// engine left a second later without notice: its entry was removed, and all nodes heard
+// of it within 10 ms. The former leader attributed the missing entry to the outage and
+// sent requests to the engine for another 2.5 s. Its log, with times in seconds:
 //
 //	13.57 leader.resigned err="POST /kv-keep/61062109581936: key not found"
 //	14.81 engines.changed peer=10.3.64.42:8145 missing=true
@@ -103,15 +103,15 @@
 	held, err := f.store.Get(context.Background(), "deck/leader")
 	is.NoErr(err)
 	is.NoErr(f.store.Revoke(context.Background(), held.Lease))
-	eventually(t, "it no longer leads", func() bool { return !formerLeader.Status().Leads })
+	eventually(t, "the former leader no longer leads", func() bool { return !formerLeader.Status().Leads })
 	left := time.Now()
 	f.remove("e3")
 	f.requireUsable(left, 11)
 }
 
 // Guards against a leaving engine that is kept in use because of an unrelated fault,
-// one that does not keep engines from writing their entries. Whatever a node has been
-// through, it must not send callers to the engine after the drain deadline.
+// one that does not keep engines from writing their entries. No node may send callers to
+// the engine after the drain deadline, whatever faults the node has seen before.
 func TestLeavingEngineIsNotMistakenForOutage(t *testing.T) {
 	setRejecting := func(nodes []*member, rejecting bool) {
 		for _, m := range nodes {
@@ -206,7 +206,7 @@
 	for _, e := range engines(10) {
 		f.engine(e)
 	}
-	eventually(t, "the two that are not back are gone", func() bool {
+	eventually(t, "the two engines that did not write their entries again are removed", func() bool {
 		for _, m := range f.nodes {
 			if m.usable() != 10 || len(m.Traffic().View.ByService["app"]) != 10 {
 				return false
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -39,8 +39,8 @@
 	mu       sync.Mutex
 	limits   map[string]float64
 	arrivals []arrival
-	// toldAt is when a node was first told the limit of an engine. The key is the pair
-	// of both.
+	// toldAt is when a node was first told the limit of an engine, by the names of the
+	// node and the engine.
 	toldAt map[[2]string]time.Time
 }
 
@@ -48,7 +48,8 @@
 	return &limitedUpstreams{limits: limits, toldAt: map[[2]string]time.Time{}}
 }
 
-// limitGrace is how long after it is first told a limit a node must keep to it.
+// limitGrace is the time that a node has to begin to keep to a limit after it was first
+// told the limit.
 const limitGrace = 500 * time.Millisecond
 
 func (u *limitedUpstreams) arrive(node, engine string) citronupstream.RateLimit {
@@ -292,7 +293,8 @@
 	return n
 }
 
-// heardWithin is the time in which all nodes learn of a limit that one node was told.
+// heardWithin is the time within which all nodes must learn of a limit, or of its end,
+// after one node was told.
 const heardWithin = 500 * time.Millisecond
 
 // Guards against nodes that each have to be told a limit by an overloaded upstream, and
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// ageMembers queries the nodes that have not been heard of for some time, and considers
-// nodes lost that do not answer.
+// ageMembers probes the nodes that have not been heard of for some time, and logs the
+// nodes that have just become lost.
 func (c *control) ageMembers(ctx context.Context, now time.Time) {
 	overdue, lost := c.members.Age(now)
 	for _, k := range overdue {
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -126,8 +126,8 @@
 	readablePrefixes atomic.Int64
 	// health records the results of this node's calls to the store.
 	health *citronhealth.Record
-	// leads is set while this node holds the lease. places is set while it places
-	// layers.
+	// leads is set while this node holds the lease or is the acting leader. places is set
+	// while it places layers.
 	leads, places atomic.Bool
 	// goals returns the target layer ranges that this node has chosen as the leader.
 	goals atomic.Pointer[func() map[string]citronmodel.Span]
@@ -288,8 +288,10 @@
 	citronevent.Log(ctx, n.log, citronevent.DrainDone, "inflight", n.running.Load())
 }
 
-// announceFanout is the number of nodes that are told at once that this node is stopping.
-// They pass it on. Callers that still connect to this node afterwards are rejected later.
+// announceFanout is the number of nodes that this node tells directly that it is stopping,
+// or that it has a document that they wait for. These nodes pass it on by gossip. Callers
+// that still connect to a stopping node meanwhile are served; it rejects a request only
+// once it can no longer be expected to finish it in time.
 const announceFanout = 16
 
 // announce tells other nodes that this node is stopping, without waiting for the next
--- a/citronnode/node_test.go
+++ b/citronnode/node_test.go
@@ -22,7 +22,7 @@
 	eventually(t, "both nodes have version 1", func() bool { return a.version() == 1 && b.version() == 1 })
 	b.gate.closed.Store(true)
 	f.config("2")
-	eventually(t, "version 2 at the rejected node", func() bool { return b.version() == 2 })
+	eventually(t, "the rejected node has version 2", func() bool { return b.version() == 2 })
 }
 
 // The store rejects a node from its start. The node gets the configuration and the
@@ -32,10 +32,10 @@
 	f.config("1")
 	f.engine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
 	a := f.add("a", "z1")
-	eventually(t, "first node ready", a.Ready)
+	eventually(t, "the first node is ready", a.Ready)
 	b := f.add("b", "z1")
 	b.gate.closed.Store(true)
-	eventually(t, "second node has configuration and engines", func() bool {
+	eventually(t, "the second node has the configuration and the engines", func() bool {
 		return b.version() == 1 && len(b.Traffic().View.ByService["app"]) == 1
 	})
 }
@@ -58,15 +58,15 @@
 	watching := func() []*member {
 		return slices.DeleteFunc(slices.Clone(f.nodes), func(m *member) bool { return m.gate.watches.Load() == 0 })
 	}
-	eventually(t, "version 1 everywhere", all(1))
+	eventually(t, "all nodes have version 1", all(1))
 	eventually(t, "four nodes watch", func() bool { return len(watching()) == 4 })
 	f.config("2")
-	eventually(t, "version 2 everywhere", all(2))
+	eventually(t, "all nodes have version 2", all(2))
 	for _, m := range f.nodes[:4] {
 		m.gate.closed.Store(true)
 	}
 	f.config("3")
-	eventually(t, "version 3 everywhere, from nodes that did not watch before", all(3))
+	eventually(t, "all nodes have version 3, from nodes that did not watch before", all(3))
 }
 
 // Watches report nothing while the configuration changes, as when the store drops its
@@ -79,7 +79,7 @@
 	eventually(t, "both nodes have version 1", func() bool { return a.version() == 1 && b.version() == 1 })
 	b.gate.silent.Store(true)
 	f.config("2")
-	eventually(t, "version 2 behind the stalled watch", func() bool { return b.version() == 2 })
+	eventually(t, "the node with the stalled watch has version 2", func() bool { return b.version() == 2 })
 }
 
 // A configuration that cannot be decoded, or an older one, changes nothing.
@@ -88,11 +88,11 @@
 	f := newFleet(t)
 	f.config("5")
 	a := f.add("a", "z1")
-	eventually(t, "version 5", func() bool { return a.version() == 5 })
+	eventually(t, "the node has version 5", func() bool { return a.version() == 5 })
 	f.config("nonsense")
 	f.config("4")
 	f.config("6")
-	eventually(t, "version 6", func() bool { return a.version() == 6 })
+	eventually(t, "the node has version 6", func() bool { return a.version() == 6 })
 	f.config("3")
 	time.Sleep(300 * time.Millisecond)
 	is.Equal(a.version(), int64(6))
@@ -133,8 +133,9 @@
 
 // The entries of all engines disappear at once, and most are back within two seconds.
 // Nothing proves a store outage, but the engines are healthy: callers must not be
-// rejected because the list is empty. The entries are retained for as long as possible:
-// here five seconds, until an engine that leaves must get no new work.
+// rejected because the list is empty. The engines are retained for three fifths of
+// DrainWithin, after which a leaving engine must get no new work, but at most for
+// LapseGrace. Here that is 2.5 s, because three fifths of five seconds are longer.
 func TestEnginesStayInUseWhenEntriesExpireTogether(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
@@ -144,7 +145,7 @@
 		f.engine(e)
 	}
 	a := f.add("a", "z1")
-	eventually(t, "twelve engines", func() bool { return a.usable() == 12 })
+	eventually(t, "the node uses twelve engines", func() bool { return a.usable() == 12 })
 	for _, e := range engines(12) {
 		is.NoErr(f.store.Delete(context.Background(), "engines/"+e.ID, citronkv.AnyRevision))
 	}
@@ -167,10 +168,10 @@
 		f.engine(e)
 	}
 	a := f.add("a", "z1")
-	eventually(t, "twelve engines", func() bool { return a.usable() == 12 })
+	eventually(t, "the node uses twelve engines", func() bool { return a.usable() == 12 })
 	is.New(t).NoErr(f.store.Delete(context.Background(), "engines/e3", citronkv.AnyRevision))
-	eventually(t, "eleven in use", func() bool { return a.usable() == 11 })
-	eventually(t, "and the engine is removed from the list", func() bool { return len(a.Traffic().View.ByService["app"]) == 11 })
+	eventually(t, "the node uses eleven engines", func() bool { return a.usable() == 11 })
+	eventually(t, "the engine is removed from the list", func() bool { return len(a.Traffic().View.ByService["app"]) == 11 })
 }
 
 // Callers are sent to their own zone, and never to a node that is stopping.
@@ -179,7 +180,7 @@
 	f.config("1")
 	a, b, c := f.add("a", "z1"), f.add("b", "z1"), f.add("c", "z2")
 	count := func(m *member, zone string) string { return fmt.Sprint(len(m.Addresses(zone))) }
-	eventually(t, "own zone if it has two nodes, all zones if it has one", func() bool {
+	eventually(t, "callers get nodes of their own zone if it has two, and of all zones if it has one", func() bool {
 		return count(a, "z1") == "2" && count(c, "z1") == "2" && count(c, "z2") == "3"
 	})
 	go b.Drain(context.Background())
@@ -217,7 +218,7 @@
 	eventually(t, "all layers are held", func() bool { return covered(a) })
 	time.Sleep(500 * time.Millisecond) // spare layer ranges are placed
 	b := f.add("b", "z1")
-	eventually(t, "second node knows all layers", func() bool { return covered(b) })
+	eventually(t, "the second node knows all layers", func() bool { return covered(b) })
 	before := f.orders.count()
 	a.stop()
 	// An engine leaves; only a leader has its layers placed elsewhere.
@@ -229,8 +230,8 @@
 }
 
 // The store is unavailable to all nodes, and an engine dies. No leader can be elected,
-// so the current leader must fill the gap, or callers of the zone would wait until the
-// store is back.
+// so the current leader must fill the gap, or the callers of the engine's zone would wait
+// until the store is back.
 func TestLeaderContinuesDuringStoreOutage(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
@@ -252,7 +253,7 @@
 	before := f.orders.count()
 	a.gate.closed.Store(true)
 	b.gate.closed.Store(true)
-	time.Sleep(1500 * time.Millisecond) // two lifetimes of the lease
+	time.Sleep(1500 * time.Millisecond) // over two lifetimes of the lease
 	for _, e := range a.Traffic().View.ByService["model"] {
 		if e.Layers.To == spec.Layers {
 			f.orders.markDead(e.Addr)
@@ -266,7 +267,8 @@
 	is.New(t).Equal(f.orders.issuersAfter(before)[0], "b")
 }
 
-// As above, but the leader dies as well before it could act.
+// The store is unavailable to all nodes, and an engine and the leader die. An acting
+// leader must fill the gap.
 func TestActingLeaderFillsGapDuringStoreOutage(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
@@ -276,7 +278,7 @@
 	a := f.add("a", "z1")
 	eventually(t, "the first node leads", func() bool { return f.orders.count() >= 2 })
 	b, c := f.add("b", "z1"), f.add("c", "z1")
-	eventually(t, "all are ready", func() bool { return b.Ready() && c.Ready() })
+	eventually(t, "the second and third node are ready", func() bool { return b.Ready() && c.Ready() })
 	time.Sleep(2500 * time.Millisecond) // their lists count as complete
 	b.gate.closed.Store(true)
 	c.gate.closed.Store(true)
@@ -303,8 +305,8 @@
 }
 
 // A request of one node is rejected because of an engine. The other nodes of its zone
-// hear of it in one message and avoid the engine for a moment, instead of each having a
-// request rejected.
+// hear of the rejection in one message and avoid the engine for a moment. Otherwise each
+// of them would learn of the fault by a rejected request of its own.
 func TestAccusationReachesTheZone(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -144,7 +144,7 @@
 
 // Guards against an address that stays with an ended engine. An engine crashes and
 // restarts under another id at its address. The entry of its predecessor lasts for
-// three more heartbeats; the new engine refuses requests sent by that entry, and
+// three more heartbeats; the new engine refuses requests sent according to it, and
 // streams on the predecessor have ended.
 func TestAddressBelongsToLatestEntry(t *testing.T) {
 	is := is.New(t)
@@ -165,10 +165,11 @@
 	is.Equal(len(r.inUse()), 1)
 }
 
-// Guards against a corrupt entry that affects other engines. An entry is overwritten,
-// or one is written under a key of no engine. From then on it names no usable engine,
-// until the engine's own next entry brings it back. Whatever was written, nothing
-// changes for the other engines.
+// Guards against a corrupt entry that affects other engines. The entry of an engine is
+// overwritten, or a corrupt entry is written under a key that no engine has. The corrupt
+// entry names no usable engine. An engine whose entry was overwritten is in use again
+// once it writes its next entry. Whatever was written, nothing changes for the other
+// engines.
 func TestCorruptEntryDoesNotAffectOtherEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newLoop(t)
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -16,7 +16,7 @@
 const (
 	// minRetryWait and retryMost limit the wait after a failed call to the store. All
 	// nodes see an outage at the same time, so the wait is random and grows: the nodes
-	// must not all return at once.
+	// must not all call the store again at the same moment.
 	minRetryWait = 150 * time.Millisecond
 	retryMost    = 800 * time.Millisecond
 	// watchBatchDelay is how long changes to the list of engines are collected before
@@ -40,12 +40,12 @@
 		healthy = ok
 	}
 	n.initialRead(ctx, prefix, config)
-	readBarred := config // read by the goroutine that follows the list
+	readBarred := config // only the goroutine that follows the list reads the quarantine records
 	for ctx.Err() == nil {
 		if !n.mayWatch(ctx) {
 			continue
 		}
-		readBarred = readBarred || n.readBarred(ctx) == nil // the store may be unavailable
+		readBarred = readBarred || n.readBarred(ctx) == nil // after a failure, the next iteration reads them
 		err := n.followOnce(ctx, prefix, config, func() {
 			answered(true)
 			wait = minRetryWait
@@ -150,6 +150,8 @@
 	return rev, nil
 }
 
+// followOnce reads a whole prefix and then watches it, until ctx ends, a call to the store
+// fails, or enough other nodes watch. It calls onSuccess after each successful call.
 func (n *Node) followOnce(ctx context.Context, prefix string, config bool, onSuccess func()) error {
 	rev, err := n.read(ctx, prefix, config)
 	if err != nil {
@@ -191,7 +193,7 @@
 	// or of their connection to the store.
 	maxWatchers = 4
 	// standbyInterval is how often a node that does not watch checks whether it has to.
-	// A node that the store rejects reports that within a second.
+	// A watching node that the store rejects tells the others within a second.
 	standbyInterval = 300 * time.Millisecond
 )
 
@@ -211,9 +213,10 @@
 	return count
 }
 
-// mayWatch reports whether this node is to watch the store. If not, it waits before it
-// returns. While the store is unavailable to all nodes, the nodes that come last wait
-// longest before they try too, because their calls would not help.
+// mayWatch reports whether this node is to watch the store. A node that is not among the
+// first maxWatchers waits, and is then to watch only if fewer than maxWatchers nodes
+// before it do. While the store is unavailable to all nodes, the nodes that come last
+// wait longest before they try too, because their calls would not help.
 //
 // Shortly after startup a node knows no other nodes and would consider itself the first:
 // all nodes that start at once would watch, although a few of them are enough for all.
@@ -258,8 +261,8 @@
 // A watch can miss changes without an error: the store may delay it while it drops its
 // history, and a connection may stall for good. The node then has outdated state until
 // the watch ends. The watches of the nodes therefore end in turn, one every
-// rereadInterval, and gossip takes what that node finds to the others. This way the
-// watches of each node can be long and few.
+// rereadInterval, and gossip takes what the node whose turn it is finds to the others.
+// This way each node needs only a few long watches.
 func (n *Node) watch(ctx context.Context, prefix string, after citronkv.Revision) ([]citronkv.Item, citronkv.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.untilTurn()+watchReplyTimeout)
 	defer cancel()
@@ -322,17 +325,17 @@
 // lost.
 func (n *Node) storeEra() int64 { return n.snap.Load().list.Revision.Era() }
 
-// register writes this node's peer address to the store and reads those of the others
-// once the node is one of the first that it hears of. A node that hears of no others
-// reads the addresses too.
+// register writes this node's peer address to the store and reads the addresses of the
+// others, if this node ranks among the first maxRegistered. A node that hears of no
+// others reads the addresses too.
 //
 // The configured seeds may all be gone when a machine is replaced. A node without peers
 // would serve callers that no directory sends to it, and two halves of a fleet that lost
 // each other would never meet again. In each half some nodes come first, and those know
 // the addresses of both halves. The entries need no lease: an address where nothing
-// answers costs a connection now and then, and the name of the machine is used again. A
-// store that was restored from an older copy may have lost the entries, so they are
-// written again.
+// answers costs only a failed connection now and then, and the entry is overwritten when
+// its name is used again. A store that was restored from an older copy may have lost the
+// entries, so they are written again.
 func (n *Node) register(ctx context.Context) {
 	for !n.stabilized() && ctx.Err() == nil {
 		_ = n.clock.Sleep(ctx, stabilizePoll)
--- a/citronnode/status.go
+++ b/citronnode/status.go
@@ -33,8 +33,8 @@
 	Limited        int
 	LimitsRejected int64
 	// Watching reports that the node watches the store and the store answers. Leads
-	// reports that the node holds the lease under which layers are placed. Places
-	// reports that the node places layers.
+	// reports that the node holds the lease under which layers are placed, or is the
+	// acting leader. Places reports that the node places layers.
 	Watching, Leads, Places bool
 }
 
--- a/citronnode/suspects.go
+++ b/citronnode/suspects.go
@@ -2,8 +2,8 @@
 
 // Gossip of suspects. A suspect is a request under which engines have crashed. Changed
 // records are sent at once, and a node whose set of relevant records differs is sent
-// that whole set. A caller may send such a request to any node, so all nodes must know
-// what one has learned before the request comes again.
+// that whole set. A caller may send a suspect to any node, so all nodes must know what one
+// node has learned before the caller sends the suspect again.
 
 import (
 	"context"
