--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -39,7 +39,8 @@
 	// is about to stop.
 	Ready   bool `json:"ready"`
 	Leaving bool `json:"leaving"`
-	// Leads reports whether the node holds the lease for placing layers.
+	// Leads reports whether the node holds the lease for placing layers, or is
+	// the acting leader.
 	Leads bool `json:"leads,omitempty"`
 	// Watching reports whether the node watches the store and the store
 	// responds.
@@ -194,7 +195,8 @@
 type Knowledge struct {
 	// From is the sender.
 	From Member
-	// Diff is what the receiver is missing, as far as it has sent its digest.
+	// Diff is what the receiver is missing according to the digest that it has
+	// sent, or what it has requested. It is empty in other messages.
 	Diff
 	// Digest lists the members that the sender knows. Sums are the zone totals.
 	// Both are empty in updates.
@@ -241,7 +243,8 @@
 	// maxConcurrentExchanges is the number of exchanges a node serves
 	// concurrently. Each may hold the decoded members of the whole fleet. A node
 	// that had stalled for a moment ran out of memory when all waiting nodes
-	// contacted it. A rejected node contacts another node in its next round.
+	// contacted it. A node whose exchange is rejected contacts another node in
+	// its next round.
 	maxConcurrentExchanges = 8
 	// maxConcurrentUpdates is the same for updates, which are small: an update
 	// usually concerns one node.
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -111,7 +111,7 @@
 
 // BenchmarkNews reports the bytes on the wire of one update: a node and the
 // revisions of its documents, without the other members of the fleet. The full
-// gossip state of a hundred nodes, which was sent before, is 3.8 KB.
+// gossip state of a hundred nodes, which updates used to carry, is 3.8 KB.
 func BenchmarkNews(b *testing.B) {
 	k := citronpeer.Knowledge{From: member(1), Config: citronpeer.ConfigDocument{Version: 9}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
 	var size int64
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -1,9 +1,9 @@
 // Package citronroster determines what a node has to tell another node about the
 // members of their fleet.
 //
-// Every node knows every other node. What changes most often is that members
-// are alive and what load they have. If nodes sent full members a few times a
-// second, that would take most of the processor time of a large fleet. A node
+// Every node knows every other node. What changes most often about a member is
+// its heartbeat counter and its load. Sending full members a few times a second
+// would take most of the processor time of a large fleet. A node
 // therefore sends a full member once, and from then on a fingerprint of its
 // rarely changing details together with its heartbeat counter:
 //
@@ -29,8 +29,8 @@
 )
 
 // minHeartbeatLead is how far a member's heartbeat counter must be ahead for its
-// gauges to be sent again. Second-hand reports are usually a second old; making
-// them newer by less than half of that is of no use.
+// gauges to be sent again. Second-hand reports are usually a second old; sending
+// gauges that are newer by less than half a second is of no use.
 const minHeartbeatLead = 5
 
 // Of returns the fingerprint of a member's details.
--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -38,8 +38,8 @@
 	is.True(citronroster.Of(a) != citronroster.Of(b))
 }
 
-// Two nodes of a fleet of three hundred that know the same send each other no
-// full member and no gauges.
+// Two nodes of a fleet of three hundred that have the same knowledge of it send
+// each other no full member and no gauges.
 func TestKnownStateIsNotSent(t *testing.T) {
 	is := is.New(t)
 	var all []citronpeer.Member
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// probeAfter is how long a member may go unheard of before this node probes
+	// probeAfter is how long after a member was last heard of this node probes
 	// it. Updates about a member are second-hand reports and old when they
-	// arrive: with a longer limit, callers were sent to nodes that had long been
-	// gone.
+	// arrive: with a longer limit, callers were sent to nodes that had stopped
+	// long before.
 	probeAfter = 1500 * time.Millisecond
 	// remoteProbeAfter is the same for a member of another zone. Callers of this
 	// zone are hardly ever sent there, and second-hand reports from there are
@@ -42,8 +42,8 @@
 	// maxProbesPerAging is the number of members probed in one call of Age.
 	maxProbesPerAging = 8
 	// stallThreshold is the time between two calls of Age above which this node
-	// counts as stalled. That it heard of no member meanwhile says nothing about
-	// the members.
+	// counts as stalled. A stalled node hears of no member, whether or not the
+	// members are healthy.
 	stallThreshold = 500 * time.Millisecond
 )
 
@@ -54,9 +54,9 @@
 	// latestHeartbeat is the latest known heartbeat counter. Within a zone the gauges
 	// may be older.
 	latestHeartbeat int64
-	// Alive reports that the member is not lost. Stale reports that it has
-	// nevertheless not been heard of lately, and that its last known state may be
-	// out of date.
+	// Alive reports that the member is not lost. Stale reports that it has not
+	// been heard of for longer than FreshFor, so that its last known state may
+	// be out of date. A member can be both.
 	Alive, Stale bool
 	// probed reports whether it was probed since it was last heard of.
 	probed bool
@@ -65,10 +65,12 @@
 // Table is what one node knows about the other nodes over time. It is not safe
 // for concurrent use.
 //
-// A member is considered lost only if it does not answer a probe. In a large
-// fleet, updates about a healthy member are late now and then. If it were
-// considered lost for that, it would be missing from what callers are told and
-// from the totals used to allocate retries and to choose paths.
+// A member is considered lost only if it does not answer a probe, or if it has
+// not been heard of for even longer (unprobedTimeout) because there were too
+// many members to probe. In a large fleet, updates about a healthy member are
+// late now and then. If a late update were enough to consider the member lost,
+// it would be missing from what callers are told and from the totals used to
+// allocate retries and to choose paths.
 type Table struct {
 	// self is the name of the node that owns the table, and zone is its zone.
 	self, zone string
@@ -216,7 +218,7 @@
 	return probe, lost
 }
 
-// probeAfter returns how long a member may go unheard of before it is probed.
+// probeAfter returns how long after a member was last heard of it is probed.
 func (t *Table) probeAfter(k *Known) time.Duration {
 	if k.Zone == t.zone {
 		return probeAfter
--- a/citronroster/table_test.go
+++ b/citronroster/table_test.go
@@ -109,7 +109,7 @@
 }
 
 // A node stalls for five seconds (it is frozen, or gets no processor time). It
-// hears of no member meanwhile, which says nothing about the members.
+// hears of no member meanwhile, although the members are healthy.
 func TestStalledNodeLosesNoMember(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
