--- a/citronbudget/budget.go
+++ b/citronbudget/budget.go
@@ -41,7 +41,7 @@
 	// kept, so that the buckets cover any time span as long as a window.
 	bucketsPerWindow = 20
 	// allocatableShare is the fraction of the remaining budget that all nodes
-	// together may use before updates about that use arrive. The rest is
+	// together may use before updates about the used retries arrive. The rest is
 	// reserved for updates that are later than usual.
 	allocatableShare = 0.8
 	// allocationInterval is how long an allowance is valid. In a small fleet
@@ -144,7 +144,7 @@
 	return allocatableShare / (1 + unreported)
 }
 
-// Learn records what the other nodes have used, the maximum age of that
+// Learn records what the other nodes have sent, the maximum age of this
 // information and the number of nodes. It computes new allowances if the
 // current interval has ended.
 func (b *Budget) Learn(others map[string]Usage, updateAge time.Duration, nodes int, now time.Time) {
--- a/citronbudget/budget_test.go
+++ b/citronbudget/budget_test.go
@@ -157,8 +157,9 @@
 
 // The engines of one zone fail at the peak in a fleet of three hundred nodes.
 // Each of the zone's sixty nodes has ten refused requests that may run
-// elsewhere, but an allowance of one or two retries, like every node that needs
-// none. With loans, nearly all of these requests are retried within the limit.
+// elsewhere, but an allowance of only one or two retries. The nodes that need no
+// retries have the same allowance. With loans, nearly all of the refused
+// requests are retried within the limit.
 func TestZoneInNeedBorrows(t *testing.T) {
 	is := is.New(t)
 	const nodes, inNeed, refusedEach, requests = 300, 60, 10, 5000.0
--- a/citronloan/loan.go
+++ b/citronloan/loan.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// lendersPerRound is the number of nodes that a round asks concurrently,
-	// for retriesPerLender retries each. Most nodes have a few to lend, and some
-	// have none.
+	// lendersPerRound is the number of loans that a round requests concurrently,
+	// each of retriesPerLender retries and from a randomly chosen node. Most
+	// nodes have a few retries to lend, and some have none.
 	lendersPerRound  = 3
 	retriesPerLender = 4
 	// borrowTimeout limits the wait for loans, because a request is waiting
@@ -102,7 +102,7 @@
 }
 
 // runRound asks randomly chosen nodes for loans, and returns the number of
-// retries they lent.
+// retries they lent. It may ask the same node more than once.
 func (b *Borrower) runRound(service string) int {
 	members := b.members()
 	loans := make([]int, min(lendersPerRound, len(members)))
