--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -35,8 +35,9 @@
 	expiryHeartbeats = 2
 	// failedCallMaxAge is how long a failed call counts as a sign of an outage. A node
 	// that gets no answer retries within 2.7 s (storeTimeout of the platform's client
-	// plus 1.5 x retryMost). A node that leaves the calls to other nodes knows no more
-	// than they do; without this limit it would report an outage forever.
+	// plus 1.5 x retryMost). A node that no longer calls the store, because other nodes
+	// do, gets no newer results of its own; without this limit it would report an outage
+	// forever.
 	failedCallMaxAge = 3 * time.Second
 	// defaultHeartbeat applies if the settings give no heartbeat.
 	defaultHeartbeat = 1200 * time.Millisecond
@@ -135,8 +136,8 @@
 	return h.lastFailed
 }
 
-// Away reports whether the store was unreachable for all nodes within the last seconds.
-// The statuses are those of all nodes that are currently heard. A node that the store
+// Away reports whether the store is unreachable for all nodes, or was within the last
+// LapseGrace. The statuses are those of all nodes currently heard. A node that the store
 // has served all along disproves an outage. While some nodes cannot reach the store, a
 // single answered node shows that the store rejects only those nodes.
 func Away(statuses ...Status) bool {
--- a/citronhealth/health_test.go
+++ b/citronhealth/health_test.go
@@ -75,7 +75,7 @@
 }
 
 // Tests that one node that was served disproves an outage, that one answered node is
-// enough while others get no answer, and that a node without calls has no say.
+// enough while others get no answer, and that a node without calls makes no difference.
 func TestOutageNeedsAgreementOfAllNodes(t *testing.T) {
 	away, back := Status{Away: true}, Status{Back: true, Answered: true}
 	served, restarted, idle := Status{Answered: true, Served: true}, Status{Answered: true}, Status{}
--- a/citronlist/lapse.go
+++ b/citronlist/lapse.go
@@ -22,9 +22,9 @@
 	// defaultDrain applies if the settings give no DrainWithin.
 	defaultDrain = 2 * time.Second
 	// unprovenRetainShare is the fraction of DrainWithin for which engines stay in use
-	// after a mass removal without proof of an outage. Half of a fleet may really leave
-	// at once; the rest of DrainWithin is for the update to reach all nodes and for
-	// requests in flight.
+	// after a mass removal without proof of an outage, but at most for LapseGrace. Half
+	// of a fleet may really leave at once; the rest of DrainWithin is for the update to
+	// reach all nodes and for requests in flight.
 	unprovenRetainShare = 0.6
 )
 
@@ -41,7 +41,8 @@
 
 // Tick performs the work that is due at the current time: it deletes engines whose
 // entries have been missing for longer than LapseGrace and reviews the others. outage
-// reports whether the store was unreachable for all nodes within the last seconds.
+// reports whether the store is unreachable for all nodes, or was within the last
+// LapseGrace.
 func (l *List) Tick(ctx context.Context, outage bool) {
 	l.outage = outage
 	now := l.set.Clock.Now()
--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -68,10 +68,11 @@
 	eraStart citronkv.Revision
 	// firstOfEra is true while the first list of an era is being applied.
 	firstOfEra bool
-	// fromStore is true if the update being applied comes from the store. Only then is
-	// each engine logged; otherwise every node would log the same change again.
+	// fromStore is true if the update being applied comes from the store. Changed engines
+	// are logged only then; otherwise every node would log the same changes again.
 	fromStore bool
-	// outage is true if the store was unreachable for all nodes within the last seconds.
+	// outage is true if the store is unreachable for all nodes, or was within the last
+	// LapseGrace.
 	outage bool
 	// removalTimes are the times of the latest removals. reason says why engines with
 	// missing entries stay in use, and retained is the number of such engines.
@@ -270,8 +271,9 @@
 	l.set.Ended(e)
 }
 
-// markMissing records that the entry of an engine is missing. If the engine has died,
-// its callers find that out; if not, reviewMissing decides whether it stays in use.
+// markMissing records that the entry of an engine is missing. It does not determine
+// whether the engine has died: requests to a dead engine fail, and reviewMissing decides
+// whether the engine stays in use.
 func (l *List) markMissing(ctx context.Context, key string, e entry, revision citronkv.Revision) {
 	if !e.missingSince.IsZero() {
 		return
--- a/citronlist/starts.go
+++ b/citronlist/starts.go
@@ -4,8 +4,8 @@
 	"context"
 )
 
-// StartedAnew records that an engine has reported a restart that its entry does not show
-// yet.
+// StartedAnew records that the engine with the given instance name has reported a start
+// at born, later than its entry says. It ignores engines whose entry gives no start time.
 func (l *List) StartedAnew(ctx context.Context, instance string, born int64) {
 	key := l.set.Prefix + instance
 	e, ok := l.entries[key]
