--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -3,9 +3,8 @@
 // Quarantined requests are kept in the store. Nodes hold the quarantine in memory and
 // pass it on to a node that starts. If all of them restarted at once without the store,
 // a request would have to crash three more engines before it is quarantined again. The
-// node that saw the last crash writes the record, under a lease that expires when the
-// record is no longer needed. The nodes that watch the store read all records at
-// startup.
+// nodes that observed a crash write the record, under a lease of quarantineTTL. A node
+// reads all records before it watches the store for the first time.
 
 import (
 	"context"
@@ -21,8 +20,9 @@
 const (
 	// quarantinePrefix is the key prefix of the records in the store.
 	quarantinePrefix = "deck/barred/"
-	// quarantineTTL is the lifetime of a record. It is the longest lease that the store
-	// grants.
+	// quarantineTTL is the lifetime of a record after it was last written. It is the
+	// longest lease that the store grants. A quarantine after many crashes lasts longer;
+	// from then on only the nodes hold it, in memory.
 	quarantineTTL = 10 * time.Minute
 )
 
@@ -58,7 +58,7 @@
 	}
 }
 
-// saveQuarantined writes a record to the store under a lease of quarantineTTL.
+// saveQuarantined writes a record to the store under a new lease of quarantineTTL.
 func (n *Node) saveQuarantined(ctx context.Context, e citronquarantine.Entry) error {
 	var r quarantineRecord
 	for _, c := range e.Crashes() {
--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -45,7 +45,7 @@
 	}
 	for i := range size {
 		m := f.add(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
-		m.gate.closed.Store(i%4 == 3) // some learn of it from other nodes only
+		m.gate.closed.Store(i%4 == 3) // these nodes learn of the restore from other nodes only
 	}
 	f.untilAllKnowAll()
 	eventually(t, "all nodes use all engines", func() bool { return f.usableAt("e0") == size && f.usableAt("e19") == size })
--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -45,7 +45,7 @@
 
 // Guards against a healthy node that is declared lost because the others don't hear of
 // it in time. Callers would not be told of such a node, and the retry budget would be
-// divided without it. So it is probed before, and answers.
+// divided without it. So the others probe the node first, and it answers.
 func TestHealthyNodeWithDelayedGossipIsNotLost(t *testing.T) {
 	f := newFleet(t)
 	c, m := newLossCounter(), newMesh()
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -126,8 +126,8 @@
 	return addrs
 }
 
-// partners picks the nodes to contact in a round: a few random known nodes, or the
-// seeds while too few nodes are known.
+// partners picks the nodes to contact in a round: one or two random known nodes, and all
+// seeds if fewer than fanout nodes are known, or else now and then one seed.
 func (n *Node) partners() []string {
 	s := n.snap.Load()
 	var sameZone, otherZones []string
@@ -168,8 +168,8 @@
 
 // seedNodes is how many nodes of the fleet also contact a seed in each round, on
 // average, so that two halves of a fleet that lost each other meet again. A fixed share
-// of the nodes would overload the few seeds of a large fleet, which are no larger than
-// the other nodes.
+// of the nodes would overload the few seeds of a large fleet: a seed is a node like any
+// other.
 const seedNodes = 3
 
 // exchange merges what the node at addr knows in a newer state, and then sends it the
@@ -312,7 +312,7 @@
 // maxErasAhead is how many eras a list may be ahead of this node's. The era is the
 // number of times the store has been restored from an older copy, and the high part of
 // a revision. If a node accepted a list of an impossibly high era, it would treat all
-// later lists as outdated.
+// later lists as outdated. A node that has no list yet accepts one of any era.
 const maxErasAhead = 16
 
 // merge applies a message of another node: it merges suspects and rate limits, and passes
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -117,9 +117,10 @@
 	limitsRejectedFrom sync.Map
 	// barredNews wakes the goroutine that saves quarantine records to the store.
 	barredNews chan struct{}
-	// suspectsRejected counts the invalid messages of other nodes about suspects:
-	// requests under which engines have crashed. rejectedFrom holds the names of the
-	// nodes that sent them.
+	// suspectsRejected counts the invalid messages of other nodes, and the invalid
+	// records in the store, about suspects: requests under which engines have crashed.
+	// rejectedFrom holds the names of the nodes that sent the messages, and "store" for
+	// the records.
 	suspectsRejected atomic.Int64
 	rejectedFrom     sync.Map
 	// readablePrefixes is the number of followed prefixes for which the store answers.
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -27,7 +27,7 @@
 )
 
 // gatedStore is the store as seen by one node. It can reject the calls of that node or
-// of all nodes, and stall watches.
+// of all nodes, except Grant, Delete and Revoke, and it can stall watches.
 type gatedStore struct {
 	*citronkv.Server
 	// closed makes the store reject this node.
@@ -38,7 +38,8 @@
 	silent atomic.Bool
 	// watches counts the pending watches.
 	watches atomic.Int64
-	// calls counts the reads, writes and watches that were started.
+	// calls counts the calls of Range and Put, including rejected ones, and the watches
+	// that were not rejected at their start.
 	calls atomic.Int64
 }
 
@@ -209,7 +210,7 @@
 	mu       sync.Mutex
 	handlers map[string]http.Handler
 	bytes    atomic.Int64
-	// deaf makes all exchanges between nodes fail.
+	// deaf makes all exchanges between nodes fail. Updates still arrive.
 	deaf atomic.Bool
 }
 
--- a/citronnode/settle.go
+++ b/citronnode/settle.go
@@ -25,9 +25,10 @@
 	// appearing. It is well above the number of seeds and partners in the first rounds,
 	// which know as little as this node when all nodes start together.
 	maxAnswered = 60
-	// aloneAfter is the number of consecutive failed exchanges after which a node
-	// considers itself alone. aloneAfterTimeouts is the same for exchanges that time out
-	// or are rejected: the other node may be just as busy starting as this one.
+	// aloneAfter is the number of refused connections since the last successful exchange
+	// after which a node considers itself alone. aloneAfterTimeouts is the number of
+	// failed exchanges of any kind after which it does so. That number is higher, because
+	// a node that does not answer in time or rejects exchanges may be starting as well.
 	aloneAfter         = 4
 	aloneAfterTimeouts = 16
 	// stabilizePoll is how often a starting node checks whether it has stabilized.
@@ -42,8 +43,8 @@
 // to use.
 type settling struct {
 	mu sync.Mutex
-	// unchanged is the number of consecutive exchanges with nodes that knew no more
-	// members than this one, while this one learned of no new members either.
+	// unchanged is the number of consecutive successful exchanges with nodes that knew no
+	// more members than this one, while this one learned of no new members either.
 	unchanged int
 	// known is the number of members that this node knew before the last exchange.
 	known int
--- a/citronnode/status.go
+++ b/citronnode/status.go
@@ -25,7 +25,8 @@
 	Kept int
 	// Suspects counts the requests under which engines have ended. Barred counts those
 	// of them that are quarantined and not sent to engines. SuspectsRejected counts the
-	// rejected messages of other nodes about such requests.
+	// rejected messages of other nodes, and the rejected records in the store, about such
+	// requests.
 	Suspects, Barred int
 	SuspectsRejected int64
 	// Limited counts the engines that have announced a rate limit. LimitsRejected counts
--- a/citronnode/suspects.go
+++ b/citronnode/suspects.go
@@ -95,8 +95,9 @@
 	}
 }
 
-// rejectSuspects counts an invalid message, which no healthy node sends. Only the first
-// one of each node is logged.
+// rejectSuspects counts an invalid message of a node, or an invalid quarantine record in
+// the store. No healthy node sends or writes one. Only the first one of each node, and
+// the first one in the store, is logged.
 func (n *Node) rejectSuspects(ctx context.Context, from string, err error) {
 	n.suspectsRejected.Add(1)
 	if _, logged := n.rejectedFrom.LoadOrStore(from, true); !logged {
