--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -261,7 +261,8 @@
 	// node is missing, and requests what this node is missing.
 	Exchange(Knowledge) Knowledge
 	// News receives another node's update about itself and about the members
-	// that this node has requested. It returns the same about this node.
+	// that this node has requested. It returns this node's own update, with the
+	// documents that the other node is missing.
 	News(Knowledge) Knowledge
 }
 
@@ -308,7 +309,8 @@
 }
 
 // News sends the node at addr an update about this node and the revisions of
-// its documents. It returns the documents that this node is missing.
+// its documents. It returns that node's update, with the documents that this
+// node is missing.
 func (c *Client) News(ctx context.Context, addr string, k Knowledge) (Knowledge, error) {
 	return c.call(ctx, addr, procedureNews, k)
 }
