--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -158,7 +158,7 @@
 // Guards against callers that are refused although the store is back. All nodes start
 // while the store is unavailable, and first work out which of them are to watch it.
 func TestFleetStartDuringStoreOutage(t *testing.T) {
-	// Half of the delay after which rejected callers retry.
+	// maxStart is half of the delay after which rejected callers retry.
 	const maxStart = 250 * time.Millisecond
 	for try := range 5 {
 		f := newFleet(t)
@@ -180,11 +180,11 @@
 			return // a slow machine may take longer now and then
 		}
 	}
-	t.Fatalf("in none of five starts all nodes could serve within %v", maxStart)
+	t.Fatalf("in none of five starts could all nodes serve within %v", maxStart)
 }
 
 // Guards against a fleet that stays split into two halves. The halves have lost each
-// other, and all seeds of the settings are gone with machines that were replaced. Each
+// other, and all seeds in the settings are on machines that were replaced. Each
 // half has enough nodes to continue, with a leader of its own. They find each other by
 // the addresses in the store.
 func TestSplitFleetRejoinsWithoutSeeds(t *testing.T) {
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -396,5 +396,5 @@
 	freed := u.countBetween("i-0", from.Add(11*time.Second), from.Add(13*time.Second))
 	t.Logf("%d in 4 s at 1 a second, %d in 2 s without a limit", lowered, freed)
 	is.True(lowered <= allowedInWindow(1))
-	is.True(freed >= 60) // half of the load
+	is.True(freed >= 60) // half of an equal share of the load
 }
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -111,10 +111,10 @@
 	is.Equal(r.inUse()["a:1"].ID, "i-1@200")
 }
 
-// Guards against the same fault in a node that is cut off from the store. The list
-// still names the layers of the previous process, and every request through them is
-// refused. The engine's own report names the later start. The node must act on it at
-// once, and other nodes on its message.
+// Guards against a restarted engine that is taken for its predecessor by a node that is
+// cut off from the store. The list still names the layers of the previous process, and
+// every request through them is refused. The engine's own report names the later start.
+// The node must act on the report at once, and other nodes on the node's message.
 func TestReportOfRestartedEngine(t *testing.T) {
 	is := is.New(t)
 	r, other := newLoop(t), newLoop(t)
