--- a/citronlist/era_test.go
+++ b/citronlist/era_test.go
@@ -140,7 +140,7 @@
 			}
 			l.TakeWhole(t.Context(), items, rev, true)
 		}
-		const engines = 100 // only few of them change, so that no mass removal is detected
+		const engines = 100 // only five of them change, so that no mass removal is detected
 		engine := rapid.IntRange(0, 4)
 		for i := range engines {
 			write(i, nil)
@@ -153,7 +153,7 @@
 			"go": func(t *rapid.T) {
 				i := engine.Draw(t, "engine")
 				if kv.Delete(t.Context(), key(i), citronkv.AnyRevision) == nil {
-					gone[i] = true // without an entry there is no removal to see
+					gone[i] = true // Delete fails if there is no entry, and then no removal is seen
 				}
 				read()
 			},
--- a/citronpeer/fuzz_test.go
+++ b/citronpeer/fuzz_test.go
@@ -41,7 +41,7 @@
 			w := httptest.NewRecorder()
 			mux.ServeHTTP(w, r)
 			if w.Code != http.StatusOK && w.Code < http.StatusBadRequest {
-				t.Fatalf("status %d", w.Code)
+				t.Fatalf("%s responded with status %d, want 200 or an error status (400 or higher)", procedure, w.Code)
 			}
 		}
 	})
