--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -45,7 +45,7 @@
 
 // Guards against a healthy node that is declared lost because the others don't hear of
 // it in time. Callers would not be told of such a node, and the retry budget would be
-// divided without it. So it is probed before, and answers.
+// divided without it. So the others probe the node first, and it answers.
 func TestHealthyNodeWithDelayedGossipIsNotLost(t *testing.T) {
 	f := newFleet(t)
 	c, m := newLossCounter(), newMesh()
@@ -75,7 +75,8 @@
 
 // Guards against refused requests that are not retried although the retry budget has
 // capacity. One node has used up its share of the retry budget while the others need
-// none of theirs: it borrows from them. Once they are gone, its attempts fail at once.
+// none of theirs: it borrows from them. Once they have stopped, its attempts to borrow
+// fail at once.
 func TestNodeBorrowsRetryBudget(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -104,9 +105,9 @@
 
 // Guards against a store overloaded by a fleet that starts all at once, as after a
 // power failure. A node would make six calls if it watched the store, then found that
-// others already do, and also wrote its address and read the others'. The store serves
-// a limited number of calls per second, and each call is paid for. Only the two that
-// callers wait for are needed.
+// others already do, and also wrote its address and read the addresses of the others. The
+// store serves a limited number of calls per second, and each call is paid for. Only the
+// two calls that callers wait for are needed.
 func TestFleetStartMakesFewStoreCalls(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
@@ -135,9 +136,9 @@
 	is.True(calls < 3*nodes)
 }
 
-// Guards against a slow start of a node while the store answers. Callers wait for a
-// machine that lost power, so the node must have the configuration at once instead of
-// looking for other nodes that may have it.
+// Guards against a slow start of a node while the store answers. After a machine has lost
+// power, callers wait for its node, so the node must read the configuration at once
+// instead of looking for other nodes that may have it.
 func TestStartupDoesNotWaitForOtherNodes(t *testing.T) {
 	const discoveryTime = 500 * time.Millisecond
 	for range 5 {
@@ -157,7 +158,7 @@
 // Guards against callers that are refused although the store is back. All nodes start
 // while the store is unavailable, and first work out which of them are to watch it.
 func TestFleetStartDuringStoreOutage(t *testing.T) {
-	// Half of the delay after which rejected callers retry.
+	// maxStart is half of the delay after which rejected callers retry.
 	const maxStart = 250 * time.Millisecond
 	for try := range 5 {
 		f := newFleet(t)
@@ -179,11 +180,11 @@
 			return // a slow machine may take longer now and then
 		}
 	}
-	t.Fatalf("in none of five starts all nodes could serve within %v", maxStart)
+	t.Fatalf("in none of five starts could all nodes serve within %v", maxStart)
 }
 
 // Guards against a fleet that stays split into two halves. The halves have lost each
-// other, and all seeds of the settings are gone with machines that were replaced. Each
+// other, and all seeds in the settings are on machines that were replaced. Each
 // half has enough nodes to continue, with a leader of its own. They find each other by
 // the addresses in the store.
 func TestSplitFleetRejoinsWithoutSeeds(t *testing.T) {
@@ -241,8 +242,8 @@
 	}
 }
 
-// BenchmarkChangingFleet measures the same while engines in the list change ten times a
-// second, as they do while layers are placed.
+// BenchmarkChangingFleet measures what BenchmarkIdleFleet does, while engines in the list
+// change ten times a second, as when layers are placed.
 func BenchmarkChangingFleet(b *testing.B) {
 	for _, c := range []struct{ nodes, engines int }{{100, 200}, {30, 1000}, {30, 3000}} {
 		b.Run(fmt.Sprintf("%d nodes %d engines", c.nodes, c.engines), func(b *testing.B) { benchmarkChangingFleet(b, c.nodes, c.engines) })
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -117,17 +117,18 @@
 	limitsRejectedFrom sync.Map
 	// barredNews wakes the goroutine that saves quarantine records to the store.
 	barredNews chan struct{}
-	// suspectsRejected counts the invalid messages of other nodes about suspects:
-	// requests under which engines have crashed. rejectedFrom holds the names of the
-	// nodes that sent them.
+	// suspectsRejected counts the invalid messages of other nodes, and the invalid
+	// records in the store, about suspects: requests under which engines have crashed.
+	// rejectedFrom holds the names of the nodes that sent the messages, and "store" for
+	// the records.
 	suspectsRejected atomic.Int64
 	rejectedFrom     sync.Map
 	// readablePrefixes is the number of followed prefixes for which the store answers.
 	readablePrefixes atomic.Int64
 	// health records the results of this node's calls to the store.
 	health *citronhealth.Record
-	// leads is set while this node holds the lease. places is set while it places
-	// layers.
+	// leads is set while this node holds the lease or is the acting leader. places is set
+	// while it places layers.
 	leads, places atomic.Bool
 	// goals returns the target layer ranges that this node has chosen as the leader.
 	goals atomic.Pointer[func() map[string]citronmodel.Span]
@@ -288,8 +289,10 @@
 	citronevent.Log(ctx, n.log, citronevent.DrainDone, "inflight", n.running.Load())
 }
 
-// announceFanout is the number of nodes that are told at once that this node is stopping.
-// They pass it on. Callers that still connect to this node afterwards are rejected later.
+// announceFanout is the number of nodes that this node tells directly that it is stopping,
+// or that it has a document that they wait for. These nodes pass it on by gossip. Callers
+// that still connect to a stopping node meanwhile are served; it rejects a request only
+// once it can no longer be expected to finish it in time.
 const announceFanout = 16
 
 // announce tells other nodes that this node is stopping, without waiting for the next
--- a/citronnode/status.go
+++ b/citronnode/status.go
@@ -25,7 +25,8 @@
 	Kept int
 	// Suspects counts the requests under which engines have ended. Barred counts those
 	// of them that are quarantined and not sent to engines. SuspectsRejected counts the
-	// rejected messages of other nodes about such requests.
+	// rejected messages of other nodes, and the rejected records in the store, about such
+	// requests.
 	Suspects, Barred int
 	SuspectsRejected int64
 	// Limited counts the engines that have announced a rate limit. LimitsRejected counts
@@ -33,8 +34,8 @@
 	Limited        int
 	LimitsRejected int64
 	// Watching reports that the node watches the store and the store answers. Leads
-	// reports that the node holds the lease under which layers are placed. Places
-	// reports that the node places layers.
+	// reports that the node holds the lease under which layers are placed, or is the
+	// acting leader. Places reports that the node places layers.
 	Watching, Leads, Places bool
 }
 
