--- a/citronplace/balance.go
+++ b/citronplace/balance.go
@@ -11,8 +11,8 @@
 // requests that the step costs.
 const minBalanceGain = 1.1
 
-// balance evens out the cache of a zone that has no gap but an engine with
-// little cache.
+// balance evens out the cache between the engines of a zone without gaps in
+// which an engine has little cache.
 //
 // At peak load an engine dies or leaves, and its neighbours take over its
 // layers. The zone is complete again after half a second, but carries only
--- a/citronplace/copies_test.go
+++ b/citronplace/copies_test.go
@@ -27,10 +27,12 @@
 	return n
 }
 
-// At peak load a zone of thirty engines loses one of them. Its callers must
-// not be refused until the gap is filled, so every layer is held twice and
-// the loss of any single engine leaves no layer without a holder. A zone of a
-// dozen engines has no memory for that beside the cache of its requests.
+// TestLargeZoneSurvivesAnySingleLoss simulates a zone of about thirty engines
+// that loses one of them at peak load. The zone must serve its callers also
+// before the gap is filled, so every layer is held twice, and the loss of any
+// single engine leaves no layer without a holder. A zone of ten or fifteen
+// engines does not have the memory for a second replica in addition to the
+// cache of its requests.
 func TestLargeZoneSurvivesAnySingleLoss(t *testing.T) {
 	for _, size := range [][3]int{{4, 10, 11}, {3, 14, 16}, {2, 24, 9}} {
 		is := is.New(t)
@@ -48,9 +50,10 @@
 	is.New(t).Equal(minHolders(decideUntilStable(t, fleet("z", 1, 10, 4))), 1)
 }
 
-// Whichever engines a large zone loses, the placement stabilizes, stays
-// within the memory of every engine, and holds every layer as long as the
-// remaining engines can.
+// TestLargePlacementHoldsAllLayers checks that, whichever engines a large zone
+// loses, the placement stabilizes, stays within the memory of every engine,
+// and holds every layer as long as the remaining engines have the memory for
+// all layers.
 func TestLargePlacementHoldsAllLayers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := fleet("z", rapid.IntRange(0, 5).Draw(t, "large"), rapid.IntRange(6, 24).Draw(t, "small"), rapid.IntRange(4, 16).Draw(t, "slow"))
@@ -61,11 +64,11 @@
 			for _, e := range engines {
 				capacity += spec.MaxLayers(e.Kind)
 				if e.Layers.Len() > spec.MaxLayers(e.Kind) {
-					t.Fatalf("%s holds %d layers", e.ID, e.Layers.Len())
+					t.Fatalf("%s holds %d layers but has memory for %d", e.ID, e.Layers.Len(), spec.MaxLayers(e.Kind))
 				}
 			}
 			if capacity >= spec.Layers && minHolders(engines) < 1 {
-				t.Fatalf("no engine holds some layer: %v", engines)
+				t.Fatalf("some layer has no holder though the engines have memory for %d layers: %v", capacity, engines)
 			}
 			lost := rapid.IntRange(0, len(engines)-1).Draw(t, "lost")
 			engines = without(engines, func(e citronplace.Engine) bool { return e.ID == engines[lost].ID })
@@ -73,12 +76,13 @@
 	})
 }
 
-// A zone with three replicas loses eight engines at once. Within a second the
-// streams that ran through them move to the other replicas, and there pass
-// through any engine that holds their layers. An order that does not wait for
-// running requests would break these streams a second time, for a gap that
-// the other replicas cover. So no order may cut requests while the remaining
-// engines together hold all layers.
+// TestNoRequestIsCutWhileOtherReplicasServe simulates a zone with three
+// replicas that loses eight engines at once. Within a second the streams that
+// ran through these engines move to the other replicas, where they pass
+// through any engine that holds the layers. An order that does not wait for
+// running requests would break these streams a second time, for a gap of one
+// replica whose layers the other replicas hold. So no order may cut requests
+// while the remaining engines together hold all layers.
 func TestNoRequestIsCutWhileOtherReplicasServe(t *testing.T) {
 	is := is.New(t)
 	engines := decideUntilStable(t, fleet("z", 3, 21, 20))
@@ -104,8 +108,8 @@
 }
 
 // evenCacheTokens returns the cache, in tokens, that each engine of a zone
-// would have if the given number of replicas could be divided over the memory
-// of its engines without loss.
+// would have if the weights of the given number of replicas could be divided
+// evenly over the memory of its engines, without regard to whole layers.
 func evenCacheTokens(engines []citronplace.Engine, replicas float64) float64 {
 	memory := 0.0
 	for _, e := range engines {
@@ -115,12 +119,13 @@
 	return (memory - weights) * 1e6 / (replicas * spec.TokenBytes)
 }
 
-// At peak load a zone with three replicas loses most of the engines of one.
-// Divided over the few that remain, the layers of that replica would leave
-// cache for a quarter of the requests; the engines would refuse the rest, and
-// load for seconds while the other replicas serve the zone. So no engine may
-// be ordered to hold so many layers that it keeps less than half of the cache
-// that an engine of the zone should have.
+// TestDamagedReplicaIsNotRepairedWithTooLittleCache simulates a zone with
+// three replicas that, at peak load, loses most engines of one replica. If the
+// layers of that replica were divided over its few remaining engines, these
+// would have cache for a quarter of the requests. They would refuse the rest,
+// and would load for seconds although the other replicas serve the zone. So no
+// engine may be ordered to hold so many layers that it keeps less than half of
+// the cache that an engine of the zone should have.
 func TestDamagedReplicaIsNotRepairedWithTooLittleCache(t *testing.T) {
 	setMeanTokens(t, 980)
 	is := is.New(t)
--- a/citronplace/cover_test.go
+++ b/citronplace/cover_test.go
@@ -34,12 +34,13 @@
 	return n
 }
 
-// At peak load one engine of a zone dies and its streams stop. If another
-// engine of the zone holds its layers, the streams continue there within the
-// zone and new callers are served at once; if none does, all of them go to
-// another zone. So a zone with more memory than its requests can fill as
-// cache must hold layers twice. Each of its engines must keep the cache that
-// the requests need, and no layer may lose its first holder.
+// TestZoneWithSpareMemoryDuplicatesLayers guards against the loss of all
+// streams of a zone when one engine dies at peak load. If another engine of
+// the zone holds its layers, the streams continue there within the zone and
+// new callers are served at once; if none does, all of them go to another
+// zone. So a zone with more memory than its requests can fill as cache must
+// hold layers twice. Each of its engines must keep the cache that the requests
+// need, and no layer may lose its first holder.
 func TestZoneWithSpareMemoryDuplicatesLayers(t *testing.T) {
 	is := is.New(t)
 	setMeanTokens(t, 300)
@@ -63,8 +64,9 @@
 	is.True(served >= len(engines)/3)
 }
 
-// A zone whose requests need all of its cache does not spend cache on
-// duplicate layers.
+// TestZoneWithoutSpareMemoryDuplicatesNothing checks that a zone whose
+// requests need all of its cache does not use cache memory for duplicate
+// layers.
 func TestZoneWithoutSpareMemoryDuplicatesNothing(t *testing.T) {
 	is := is.New(t)
 	engines := decideUntilStable(t, fleet("z", 1, 6, 6))
@@ -80,10 +82,10 @@
 	is.Equal(after, before)
 }
 
-// Whatever the zone, the cache its requests need and the engines it loses,
-// with one replica and with several: duplicate layers never displace the only
-// holder of a layer, no engine holds more than its memory, and the placement
-// stabilizes.
+// TestDuplicatedPlacementHoldsAllLayers checks random zones, with one replica
+// and with several, random needs for cache and random losses of engines:
+// duplicate layers never displace the only holder of a layer, no engine holds
+// more layers than fit into its memory, and the placement stabilizes.
 func TestDuplicatedPlacementHoldsAllLayers(t *testing.T) {
 	setMeanTokens(t, 1)
 	rapid.Check(t, func(t *rapid.T) {
@@ -95,7 +97,7 @@
 			for _, e := range engines {
 				capacity += spec.MaxLayers(e.Kind)
 				if e.Layers.Len() > spec.MaxLayers(e.Kind) {
-					t.Fatalf("%s holds %d layers", e.ID, e.Layers.Len())
+					t.Fatalf("%s holds %d layers but has memory for %d", e.ID, e.Layers.Len(), spec.MaxLayers(e.Kind))
 				}
 			}
 			if gaps := citronplace.Gaps(spec, engines); capacity >= spec.Layers && len(gaps) > 0 {
@@ -110,9 +112,9 @@
 	})
 }
 
-// Guards against spares that duplicate the layers with the most cache. Every
-// layer is held twice, but after a quick repair some layers are held by
-// engines that are nearly full.
+// TestSpareEngineDuplicatesLayersWithLeastCache guards against spares that
+// duplicate the layers with the most cache. Every layer is held twice, but
+// after a quick repair some layers are held by engines that are nearly full.
 func TestSpareEngineDuplicatesLayersWithLeastCache(t *testing.T) {
 	is := is.New(t)
 	setMeanTokens(t, 1000)
--- a/citronplace/orders.go
+++ b/citronplace/orders.go
@@ -28,7 +28,7 @@
 // Orders reads the state of engines and tells them which layers to hold.
 type Orders interface {
 	State(ctx context.Context, addr string) (EngineState, error)
-	// Place orders an engine to hold a span. The engine refuses the order
+	// Place orders an engine to hold a layer range. The engine refuses the order
 	// unless it has accepted exactly the given number of orders so far, so an
 	// order that arrives late or twice changes nothing.
 	Place(ctx context.Context, e citronmodel.Engine, o Order, accepted int64) error
--- a/citronplace/plan.go
+++ b/citronplace/plan.go
@@ -11,12 +11,12 @@
 // the first engine of a path limits how many requests run at once.
 //
 // Layers that are served are not moved. A gap, a range of layers that no
-// engine holds, is filled in this order: by spares and by neighbouring
-// engines that extend their layer ranges, which loads only a few layers; by
-// moving the boundaries of as few engines around the gap as have the free
-// capacity; by dividing the whole zone again (repair.go). A zone without gaps
-// in which one engine has little cache gets a spare to relieve that engine
-// (improve.go).
+// engine holds, is filled in this order: by spares and by neighbouring engines
+// that extend their layer ranges, which loads only a few layers; by moving the
+// boundaries of the smallest number of engines around the gap that have the
+// free capacity; by dividing the whole zone again (repair.go). A zone without
+// gaps in which one engine has little cache gets a spare to relieve that
+// engine (improve.go).
 //
 // The decision depends only on what the engines hold and were ordered to
 // hold, so a new leader decides as its predecessor would have.
@@ -274,7 +274,7 @@
 		}
 		if a.Goal.Empty() {
 			// Slow engines first: they get few layers, and duplicates of the
-			// first layers are cheap.
+			// first layers take little memory.
 			return spec.Kinds[a.Kind].StepFactor > spec.Kinds[b.Kind].StepFactor
 		}
 		return a.Goal.From < b.Goal.From
--- a/citronplace/plan_test.go
+++ b/citronplace/plan_test.go
@@ -83,9 +83,10 @@
 	return n
 }
 
-// Whatever the zone and the engines it loses, no engine is ordered to hold
-// more than its memory, the placement stabilizes, and the remaining engines
-// hold all layers if they can.
+// TestPlacementHoldsAllLayers checks that, whatever the zone and the engines
+// it loses, no engine is ordered to hold more layers than fit into its memory,
+// the placement stabilizes, and the remaining engines hold all layers if they
+// have the memory.
 func TestPlacementHoldsAllLayers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := fleet("z", rapid.IntRange(0, 2).Draw(t, "large"), rapid.IntRange(0, 10).Draw(t, "small"), rapid.IntRange(0, 8).Draw(t, "slow"))
@@ -97,7 +98,7 @@
 			engines = decideUntilStable(t, engines)
 			for _, e := range engines {
 				if e.Layers.Len() > spec.MaxLayers(e.Kind) {
-					t.Fatalf("%s holds %d layers", e.ID, e.Layers.Len())
+					t.Fatalf("%s holds %d layers but has memory for %d", e.ID, e.Layers.Len(), spec.MaxLayers(e.Kind))
 				}
 			}
 			if gaps := citronplace.Gaps(spec, engines); capacity >= spec.Layers && len(engines) > 0 && len(gaps) > 0 {
@@ -112,15 +113,17 @@
 	})
 }
 
-// Engines of a zone that holds all layers get no orders.
+// TestCompleteZoneIsLeftUnchanged checks that the engines of a zone that holds
+// all layers get no orders.
 func TestCompleteZoneIsLeftUnchanged(t *testing.T) {
 	is := is.New(t)
 	engines := decideUntilStable(t, fleet("z", 1, 6, 6))
 	is.Equal(len(citronplace.Decide(spec, engines, nil)), 0)
 }
 
-// At peak load one engine dies. Its layers must be back after loads of a few
-// layers, so most engines keep the layers they hold.
+// TestCrashMovesFewEngines simulates the death of one engine at peak load. Its
+// layers must be held again after loads of a few layers, so most engines keep
+// the layers they hold.
 func TestCrashMovesFewEngines(t *testing.T) {
 	for _, kind := range []string{"small", "slow"} {
 		t.Run(kind, func(t *testing.T) {
@@ -139,9 +142,10 @@
 	}
 }
 
-// The loss of a zone's only large engine leaves a gap of a quarter of the
-// model. Filling the first spares up would leave a zone that caches a third
-// of what it could, so the gap must be spread over more engines.
+// TestGapOfLargeEngineIsSpread simulates the loss of a zone's only large
+// engine, which leaves a gap of a quarter of the model. If the first spares
+// were filled up with it, the zone would cache a third of what it could, so
+// the gap must be spread over more engines.
 func TestGapOfLargeEngineIsSpread(t *testing.T) {
 	is := is.New(t)
 	engines := decideUntilStable(t, fleet("z", 1, 6, 6))
@@ -156,9 +160,10 @@
 	is.True(least > 80_000) // the most even division of these engines caches 129,000 tokens
 }
 
-// An engine that has not yet loaded its target layers does not replace the
-// engine whose layers it duplicates: moving that engine away would leave a
-// gap.
+// TestEngineWithPendingOrderIsNoDuplicate checks that an engine that has not
+// yet loaded its target layers does not count as a substitute for the engine
+// whose layers it is to duplicate. If the latter engine were moved away, its
+// layers would become a gap.
 func TestEngineWithPendingOrderIsNoDuplicate(t *testing.T) {
 	is := is.New(t)
 	engines := decideUntilStable(t, fleet("z", 2, 4, 4))
@@ -191,8 +196,8 @@
 	}
 }
 
-// The layers of an engine that is leaving are still served, so running
-// requests are not cut to fill its gap.
+// TestGapOfLeavingEngineCutsNoRequests checks that running requests are not
+// cut to fill the gap of a leaving engine, which still serves its layers.
 func TestGapOfLeavingEngineCutsNoRequests(t *testing.T) {
 	is := is.New(t)
 	engines := decideUntilStable(t, fleet("z", 1, 10, 4))
@@ -210,10 +215,10 @@
 	}
 }
 
-// One of a zone's two large engines leaves. The other one and a single spare
-// could take over its layers without moving anything else, but would then
-// cache a fifth of what the zone's engines could, and limit the zone
-// permanently.
+// TestGapOfLeavingLargeEngineLeavesNoWeakEngine simulates that one of a zone's
+// two large engines leaves. The other one and a single spare could take over
+// its layers without moving anything else, but would then cache a fifth of
+// what the zone's engines could, and limit the zone permanently.
 func TestGapOfLeavingLargeEngineLeavesNoWeakEngine(t *testing.T) {
 	is := is.New(t)
 	var left []citronplace.Engine
--- a/citronplace/repair.go
+++ b/citronplace/repair.go
@@ -10,8 +10,8 @@
 
 const (
 	// extendShare is the fraction of the zone's even cache that engines must
-	// keep when they only add layers. Below that the zone carries so much
-	// less until it is balanced that moving boundaries is worth its cost.
+	// keep when they only add layers. With less, the zone would carry too
+	// little load until it is balanced, so boundaries are moved instead.
 	extendShare = 0.5
 	// servedShare replaces extendShare for a gap that a leaving engine still
 	// serves. An engine that gave up layers for such a gap would have to wait
@@ -58,10 +58,11 @@
 //
 // A release replaces engines one after the other, each by a new engine of the
 // same kind that starts a second earlier. A single load then restores the
-// zone, often before the old engine has left. Sharing the gap out for an even
-// cache instead moved every engine of the zone by the end of a release, and
-// left gaps in the zone on the way. The engine with the smallest capacity
-// that fits is taken: it is of the kind that held the gap before.
+// zone, often before the old engine has left. When each gap was divided among
+// several engines for an even cache, every engine of the zone had been moved
+// by the end of a release, and the zone had gaps meanwhile. The engine with
+// the smallest capacity that fits is taken: it is of the kind that held the
+// gap before.
 func fillWithIdle(spec citronmodel.Spec, engines []Engine, gaps []citronmodel.Span, tokens float64) Plan {
 	plan := Plan{}
 	for _, g := range gaps {
@@ -243,8 +244,8 @@
 	return g.Empty()
 }
 
-// shiftWindow moves the boundaries of as few engines around a gap as have the
-// free capacity to fill it.
+// shiftWindow moves the boundaries of the engines around a gap. It moves the
+// smallest number of engines that have the free capacity to fill the gap.
 func shiftWindow(spec citronmodel.Spec, engines []Engine, g citronmodel.Span, minCache float64, cut bool) (Plan, bool) {
 	free := spares(spec, engines, Plan{})
 	var left, right []Engine
