--- a/citronplacer/board.go
+++ b/citronplacer/board.go
@@ -32,11 +32,11 @@
 }
 
 const (
-	// orderRetryDelay is the wait after an engine refused an order. It may be
-	// executing another one, which takes about 200 ms per layer.
+	// orderRetryDelay is the wait after an engine refused an order. The engine
+	// may be executing another order, which takes about 200 ms per layer.
 	orderRetryDelay = 300 * time.Millisecond
 	// maxRefusals is how many orders an engine may refuse before its layers
-	// are given to others, so that a gap doesn't wait for a failing engine.
+	// are given to other engines, so that a gap doesn't wait for a failing engine.
 	// Reports lag by 200 ms, so a healthy engine refuses one or two orders.
 	maxRefusals = 8
 	// acceptedOrderTimeout is how long an accepted order is assumed to be in
--- a/citronplacer/board_test.go
+++ b/citronplacer/board_test.go
@@ -26,10 +26,10 @@
 	// engine takes to load one layer.
 	simStep       = 100 * time.Millisecond
 	layerLoadTime = 175 * time.Millisecond
-	// streamDrainTime is the time until the requests end that run through
-	// layers an engine gives up, unless they are cut off.
+	// streamDrainTime is how long requests still run through layers that an
+	// engine gives up, unless these requests are cut off.
 	streamDrainTime = 8 * time.Second
-	// listLag is how many steps the leader's list lags behind.
+	// listLag is the number of steps by which the leader's list lags behind.
 	listLag = 4
 )
 
@@ -169,7 +169,7 @@
 	begin := z.now
 	for !ok() {
 		if z.now.Sub(begin) > d {
-			t.Fatalf("zone lacks layers after %v: engines %+v", d, z.list())
+			t.Fatalf("zone does not hold all layers after %v: engines %+v", d, z.list())
 		}
 		z.step()
 	}
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -1,5 +1,5 @@
 // Package citronplacer executes placement: it compares the layers that engines hold
-// with those they should hold (citronplace) and sends orders for the difference. An
+// with the layers they should hold (citronplace) and sends orders for the difference. An
 // order tells an engine which layer range to hold; that range is the engine's target.
 // A gap is a range of layers that no engine of a zone holds.
 //
@@ -28,8 +28,8 @@
 	placeInterval = 100 * time.Millisecond
 	// listStablePeriod is how long the size of the list of engines must stay
 	// the same before a model is placed for the first time. Engines register
-	// one after the other, and a plan for half of them would leave those no
-	// cache.
+	// one after the other, and a plan for half of them would fill their memory
+	// with layers and leave no cache.
 	listStablePeriod = 1200 * time.Millisecond
 )
 
@@ -115,8 +115,8 @@
 	p.sendDueOrders(ctx, orders, s, now)
 }
 
-// decideInterval is the maximum time between decisions if nothing changes: engines
-// stop being fresh, and the exclusion of dead engines ends.
+// decideInterval is the maximum time between two decisions. A decision is due even if
+// no input changes, because freshPeriod and deadPeriod of an engine may have passed.
 const decideInterval = time.Second
 
 // shouldDecide reports whether a decision is due. A decision for several thousand
@@ -196,8 +196,8 @@
 }
 
 // maxConcurrentCalls limits the engines that are called at once. Otherwise the first
-// placement of a hundred engines would open as many connections at the same time, which
-// time out on a small machine.
+// placement of a hundred engines would open a hundred connections at the same time,
+// which time out on a small machine.
 const maxConcurrentCalls = 16
 
 // sendDueOrders sends the orders that are due, each in a goroutine.
@@ -206,7 +206,7 @@
 	defer p.mu.Unlock()
 	p.targets.retainListed(s.Engines)
 	if len(p.joined) > 2*len(s.Engines) {
-		p.joined = map[string]time.Time{} // most entries are of removed engines; the remaining engines become fresh again
+		p.joined = map[string]time.Time{} // most entries are of engines no longer listed; the listed ones become fresh again
 	}
 	due := p.targets.due(now)
 	for _, e := range s.Engines {
@@ -327,7 +327,7 @@
 }
 
 // checkEngine asks an engine for its state and marks it dead if it doesn't answer
-// within the limit. If only one node reports it, an unanswered check is repeated once,
+// within the limit. If only one node reports it, an unanswered check is retried once,
 // except when the engine refuses the connection.
 func (p *Placer) checkEngine(ctx context.Context, e citronmodel.Engine, limit time.Duration, reports int) {
 	start := p.Clock.Now()
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -36,14 +36,14 @@
 	state citronplace.EngineState
 	asked []string
 	sent  []sentOrder
-	// dead is the address of an engine that never answers. misses holds how
-	// many questions an engine leaves unanswered before it answers again, by
-	// address.
+	// dead is the address of an engine that never answers.
 	dead string
 	// restarted is the address of an engine that has restarted and has
 	// accepted no order since.
 	restarted string
-	misses    map[string]int
+	// misses is the number of questions that an engine leaves unanswered
+	// before it answers again, by address.
+	misses map[string]int
 	// place returns the result of the n-th order, counted from 1. If it is
 	// nil, all orders succeed.
 	place func(n int) error
@@ -153,8 +153,8 @@
 }
 
 // TestIncompleteListIsNotPlaced checks that nothing is placed while half of the list is
-// missing because the store was unavailable. A plan for the other half would leave those
-// engines no cache.
+// missing because the store was unavailable. A plan for the other half would fill the
+// memory of those engines with layers and leave no cache.
 func TestIncompleteListIsNotPlaced(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 0, 0))
 	s.Whole = false
@@ -198,10 +198,10 @@
 	is.New(t).Equal(len(e.orders()), 0)
 }
 
-// TestNextLeaderInheritsTargets simulates a leader that dies while engines load the layers
-// it ordered. The next leader sees that these engines hold nothing yet. It must continue
-// with the targets that the first leader published. Another engine given the same layers
-// would load them needlessly and be missing where it was.
+// TestNextLeaderInheritsTargets simulates a leader that dies while engines load the
+// layers it ordered. The next leader sees that these engines hold nothing yet. It must
+// continue with the targets that the first leader published. If another engine got an
+// order for the same layers, it would load them needlessly and give up its own.
 func TestNextLeaderInheritsTargets(t *testing.T) {
 	is := is.New(t)
 	s := state(engine("e1", 0, 4), engine("e2", 0, 0), engine("e3", 0, 0))
@@ -239,7 +239,7 @@
 // TestRestartedEngineGetsNoOutdatedOrder simulates an engine that restarts while it is cut
 // off from the store, so that the list is outdated. Asked by the leader, it reports a
 // later start time. It must get no order that was meant for its previous incarnation, and
-// the node's view must mark it as restarted.
+// the view of the node must mark it as restarted.
 func TestRestartedEngineGetsNoOutdatedOrder(t *testing.T) {
 	is := is.New(t)
 	e := &fakeEngines{state: citronplace.EngineState{Born: 200}}
@@ -251,11 +251,11 @@
 	is.Equal(len(e.orders()), 0)
 }
 
-// TestOneMissedCheckIsNotDeath simulates a leader that is short of processor time during a
-// burst. It misses an engine's answer to a request and then to a check; no other node
-// reports the engine. The leader must check again before anything is moved. When one
-// missed check was enough, thirty healthy engines were replaced within three seconds and
-// their zones repartitioned.
+// TestOneMissedCheckIsNotDeath simulates a leader that is short of processor time
+// during a burst. It misses the answers of an engine to a request and to the check that
+// follows; no other node reports the engine. The leader must check again before
+// anything is moved. When one missed check was enough, thirty healthy engines were
+// replaced within three seconds and their zones repartitioned.
 func TestOneMissedCheckIsNotDeath(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8))
 	s.Dead["e2"] = 1
