--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -269,8 +269,8 @@
 	return !e.Leaving && !e.Replaced() && e.avoidUntil.Load() <= at && e.misplacedUntil.Load() <= at
 }
 
-// Loads counts the tokens of this node's requests per zone whose engines run
-// them. Nodes exchange these zone totals: a node that knew only its own
+// Loads counts, for each zone, the tokens of this node's requests that run on
+// engines of the zone. Nodes exchange these zone totals: a node that knew only its own
 // requests would send more to a zone that other nodes have filled.
 type Loads struct{ zones sync.Map }
 
--- a/citronpool/view_test.go
+++ b/citronpool/view_test.go
@@ -109,7 +109,7 @@
 	is.Equal(len(v.Dead(now.Add(time.Second))), 0)
 	one.Answered(now, now.Add(time.Millisecond))
 	is.Equal(v.Dead(now.Add(-time.Second)), []string{"i2"})
-	one.Dead(now) // again, after it was removed from the failed states
+	one.Dead(now) // dead again, after Dead had removed the recovered engine from the failed states
 	is.Equal(len(v.Dead(now.Add(-time.Second))), 2)
 	v = citronpool.Build(engines[:1], v)
 	is.Equal(v.Dead(now.Add(-time.Second)), []string{"i1"})
--- a/citronroute/backend.go
+++ b/citronroute/backend.go
@@ -50,8 +50,8 @@
 	// are at this instant.
 	bound   atomic.Int64
 	probing atomic.Bool
-	// reportedLeaving is when a call was last answered that the back end is
-	// leaving, in Unix nanoseconds; zero means never.
+	// reportedLeaving is when the back end last answered a call with the
+	// report that it is leaving, in Unix nanoseconds; zero means never.
 	reportedLeaving atomic.Int64
 
 	mu         sync.Mutex
@@ -73,8 +73,8 @@
 // report in its snapshots by then.
 const leavingTTL = 2 * time.Second
 
-// SaidLeaving records that b has told a request that it is leaving, and keeps
-// further requests away from it for leavingTTL.
+// SaidLeaving records that b has answered a request with the report that it
+// is leaving, and keeps further requests away from b for leavingTTL.
 func (b *Backend) SaidLeaving(now time.Time) { b.reportedLeaving.Store(now.UnixNano()) }
 
 func (a *activity) isLeaving(now time.Time) bool {
--- a/citronroute/route_test.go
+++ b/citronroute/route_test.go
@@ -17,10 +17,10 @@
 	return citronroute.NewPool(http.DefaultClient, "").Build(f, avoid, nil, true)
 }
 
-// Uses random layer ranges with some engines avoided, and computes the
-// reachable boundaries by dynamic programming as the reference. A chain must
-// be found exactly if one exists, and must cover every layer once and in
-// order with engines that are not avoided.
+// TestChainCoversEachLayerOnce uses random layer ranges with some engines
+// avoided, and computes the reachable boundaries by dynamic programming as the
+// reference. A chain must be found exactly if one exists, and must cover every
+// layer once and in order with engines that are not avoided.
 func TestChainCoversEachLayerOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		layers := rapid.IntRange(1, 12).Draw(rt, "layers")
@@ -47,12 +47,12 @@
 		pick := citronroute.Picker{Snapshot: buildSnapshot(svc, avoid)}
 		chain := pick.Chain(svc, 0)
 		if (chain != nil) != reach[layers] {
-			rt.Fatalf("chain found: %v, one exists: %v", chain != nil, reach[layers])
+			rt.Fatalf("Chain found a chain: %v, want %v as in the reference", chain != nil, reach[layers])
 		}
 		next := 0
 		for _, b := range chain {
 			if b.Spec.Range[0] != next || avoid[b.Spec.Name] != "" {
-				rt.Fatalf("at layer %d the chain continues with %s [%d,%d), avoided: %q", next, b.Spec.Name, b.Spec.Range[0], b.Spec.Range[1], avoid[b.Spec.Name])
+				rt.Fatalf("at layer %d the chain continues with engine %s [%d,%d), avoided for reason %q; want an engine that begins at that layer and is not avoided", next, b.Spec.Name, b.Spec.Range[0], b.Spec.Range[1], avoid[b.Spec.Name])
 			}
 			next = b.Spec.Range[1]
 		}
@@ -74,8 +74,9 @@
 	return svc
 }
 
-// Chains of bound requests must spread evenly: no engine may have two
-// requests more than another that holds the same layers.
+// TestChainsSpreadEvenly checks that chains of bound requests spread evenly:
+// no engine may have two requests more than another that holds the same
+// layers.
 func TestChainsSpreadEvenly(t *testing.T) {
 	is := is.New(t)
 	svc := grid(4, 5)
@@ -95,8 +96,8 @@
 	is.Equal(len(held), 20)
 }
 
-// The window is the entry's even share of the requests that keep the engines
-// busy at the wanted token gap.
+// TestWindow checks that the window is the entry's even share of the requests
+// that keep the engines busy at the wanted token gap.
 func TestWindow(t *testing.T) {
 	is := is.New(t)
 	svc := grid(2, 5) // 2000 tokens/s
@@ -107,8 +108,9 @@
 	is.Equal(s.Window(citronfleet.Service{Kind: citronfleet.Plain}, time.Second, 7), 7)
 }
 
-// Picks a chain for a present-day fleet and for the fleet expected in two
-// years (one of 25 models on 4,100 engines).
+// BenchmarkChain picks a chain for one model of a present-day fleet (40
+// engines) and of the fleet expected in two years (25 models on 4,100 engines,
+// 164 for each model).
 func BenchmarkChain(b *testing.B) {
 	for _, replicas := range []int{10, 41} {
 		b.Run(fmt.Sprintf("engines=%d", 4*replicas), func(b *testing.B) {
@@ -123,7 +125,8 @@
 	}
 }
 
-// Builds a snapshot, as the entry does after each configuration change.
+// BenchmarkBuild builds a snapshot, as the entry does after each configuration
+// change.
 func BenchmarkBuild(b *testing.B) {
 	for _, models := range []int{1, 25} {
 		b.Run(fmt.Sprintf("models=%d/engines=%d", models, models*164), func(b *testing.B) {
--- a/citronroute/snapshot.go
+++ b/citronroute/snapshot.go
@@ -36,7 +36,7 @@
 	customers   map[string]citronfleet.Customer
 }
 
-// Reason says why a back end gets no new requests.
+// Reason is why a back end gets no new requests.
 type Reason string
 
 // Reasons why a back end gets no new requests.
@@ -66,9 +66,9 @@
 }
 
 // Window returns how many requests of svc one entry forwards at the same
-// time. By Little's law, the engines' token rate times the wanted time
-// between tokens is the number of requests that keep the engines busy without
-// a longer time between tokens. The entries share this number evenly. Window
+// time. By Little's law, the engines' token rate times tokenGap, the wanted
+// time between two tokens of a request, is the number of requests that keep
+// the engines busy without making that time longer. The entries share this number evenly. Window
 // returns fallback if no capacity is declared.
 func (s *Snapshot) Window(svc citronfleet.Service, tokenGap time.Duration, fallback int) int {
 	bound := svc.Bound()
@@ -128,11 +128,12 @@
 	return nil
 }
 
-// Chain picks engines whose ranges cover [from, layers) exactly once and in
-// order, least loaded first. It returns nil if no such chain exists.
+// Chain picks engines whose layer ranges cover [from, layers) exactly once and
+// in order. Of the engines that begin at the same layer it tries the least
+// loaded first. It returns nil if no such chain exists.
 //
-// The search walks layer boundaries and remembers those from which no chain
-// exists, so it visits each engine at most once, whatever the ranges are.
+// The search walks layer boundaries and remembers the boundaries from which no
+// chain exists, so it visits each engine at most once, whatever the ranges are.
 func (p *Picker) Chain(svc citronfleet.Service, from int) []*Backend {
 	byStart := map[int][]*Backend{}
 	for _, e := range svc.Engines {
@@ -189,8 +190,8 @@
 	return best
 }
 
-// less orders back ends by the requests bound to them, then by calls in
-// flight, then by zone (the picker's zone first), then by rank.
+// less orders back ends by the number of requests whose chain contains them,
+// then by calls in flight, then by zone (the picker's zone first), then by rank.
 func (p *Picker) less(a, b *Backend) bool {
 	if x, y := a.bound.Load(), b.bound.Load(); x != y {
 		return x < y
--- a/citronroute/watchdog.go
+++ b/citronroute/watchdog.go
@@ -2,8 +2,8 @@
 
 // A back end that freezes (it is paused, or cut off with its connections
 // still open) neither answers nor resets its connections. Without the
-// watchdog every call to it waits for the caller's whole deadline, and the
-// caller sees a request that hangs. A fixed timeout per call cannot tell a
+// watchdog every call to it would wait until the caller's deadline, and the
+// caller would see a request that hangs. A fixed timeout per call cannot tell a
 // frozen back end from a busy one, and in a surge it would abandon requests
 // that are merely queued. So a back end that has had calls in flight and has
 // answered nothing for StallAfter is probed on a path that does not queue. A
