--- a/citronentry/control.go
+++ b/citronentry/control.go
@@ -33,7 +33,7 @@
 
 const (
 	// instancePollInterval is the minimum interval between polls of the instance
-	// list. The interval is at least instancePollPerRow per row of the list:
+	// list. After a long list the interval is instancePollPerRow per row:
 	// each poll returns the whole list, and its transfer and decoding must
 	// stay within an entry's control traffic budget. Polling a long list
 	// less often is safe because engines also announce their departure
--- a/citronentry/discovery.go
+++ b/citronentry/discovery.go
@@ -165,8 +165,8 @@
 	return max(e.set.LeaseTTL, renewals*time.Duration(n)*time.Second/maxRenewalsPerSecond)
 }
 
-// choose returns up to maxDiscovered random entries for a caller in zone,
-// those in that zone first.
+// choose returns up to maxDiscovered random entries for a caller in zone, the
+// entries of that zone first.
 func choose(all []citronroute.EntryAddr, zone string) []citronroute.EntryAddr {
 	out := slices.Clone(all)
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
--- a/citronentry/lifecycle_test.go
+++ b/citronentry/lifecycle_test.go
@@ -15,11 +15,12 @@
 // oneStage is a chain of one stage with two interchangeable engines.
 var oneStage = []stage{{name: "a1", from: 0, to: 4}, {name: "a2", from: 0, to: 4}}
 
-// TestLeavingEngineGetsNoNewWork has an engine start to leave before the
-// instance list says so. The engine rejects the first new request with a
-// leaving header, and the entry immediately serves that request on the other
-// engine. From then on the leaving engine gets no new work: callers see only
-// complete responses, and the engine rejects at most one request.
+// TestLeavingEngineGetsNoNewWork simulates an engine that begins to leave
+// before the instance list marks it as leaving. The engine rejects the first
+// new request with a leaving header, and the entry immediately serves that
+// request on the other engine. From then on the leaving engine gets no new
+// work: callers see only complete responses, and the engine rejects at most
+// one request.
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, oneStage, nil)
--- a/citronentry/membership_test.go
+++ b/citronentry/membership_test.go
@@ -53,8 +53,8 @@
 	})
 }
 
-// TestFlappingEngineIsAvoided has one engine fail every call but answer
-// probes. Callers must still get complete responses. Each further failure
+// TestFlappingEngineIsAvoided simulates an engine that fails every call but
+// answers probes. Callers must still get complete responses. Each further failure
 // doubles the time for which the engine is avoided, so only a few calls may
 // reach it.
 func TestFlappingEngineIsAvoided(t *testing.T) {
--- a/citronentry/model.go
+++ b/citronentry/model.go
@@ -202,7 +202,7 @@
 		return false
 	}
 	// oldPrefill maps the engines of the later stages to their prefill.
-	// Those that the new chain contains are removed from it below.
+	// Engines that the new chain contains are removed from it below.
 	oldPrefill := map[string]int{}
 	for j, b := range m.chain[i+1:] {
 		oldPrefill[b.Spec.Name] = m.prefill[i+1+j]
--- a/citronentry/once.go
+++ b/citronentry/once.go
@@ -73,9 +73,10 @@
 // forever. The call therefore continues until the service's timeout, its
 // answer is recorded in the ledger, and a retry gets it from there.
 //
-// A shutdown waits for the call, until leave is called. It does not wait for a
-// call to a frozen upstream: the caller has been told that the outcome is
-// unknown, and the ledger key prevents a second run.
+// A shutdown waits until leave is called: when the call and the recording of its
+// outcome have ended, or when the upstream freezes. It need not wait for a call
+// to a frozen upstream: the caller has been told that the outcome is unknown, and
+// the ledger key prevents a second run.
 func (a *api) completeOnce(ctx context.Context, r *request, claim citronledger.Claim, call *onceCall, leave func()) {
 	defer leave()
 	go func() {
@@ -141,7 +142,7 @@
 	ref := refusal("in_progress", "a request with this idempotency key was started and has no recorded answer yet; it will not run again", retryAfterBusy)
 	if own := rec.Incarnation == e.incarnation; !own && !e.snap.Load().Lives(rec.Entry, rec.Incarnation) {
 		// The process that ran the request is gone and cannot record an
-		// answer. With "in progress", the caller would retry forever.
+		// answer. If it got "in progress", the caller would retry forever.
 		e.metrics.unknown.Add(1)
 		ref = refusal(codeUnknown, fmt.Sprintf("entry %s, which ran the request with this idempotency key, is gone: the request may have run; it will not run again", rec.Entry), retryAfterDown)
 	}
--- a/citronentry/once_test.go
+++ b/citronentry/once_test.go
@@ -25,15 +25,15 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	t.Fatalf("key %s: no recorded answer", key)
+	t.Fatalf("key %s: 5000 retries got no recorded answer", key)
 	return answer{}
 }
 
-// The upstream is slow and the caller's deadline passes. The caller gets
-// "outcome unknown" with Retry-After at once and retries at the other entry.
-// The retry must not run the request again: it finds the idempotency key in the
-// ledger and gets "in progress", and the recorded answer once the first run has
-// finished.
+// TestRetryAtOtherEntryDoesNotRunTwice simulates a slow upstream and a caller
+// whose deadline passes. The caller gets "outcome unknown" with Retry-After at
+// once and retries at the other entry. The retry must not run the request again:
+// it finds the idempotency key in the ledger and gets "in progress", and the
+// recorded answer once the first run has finished.
 func TestRetryAtOtherEntryDoesNotRunTwice(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
@@ -51,10 +51,10 @@
 	is.Equal(r.runs("k1"), 1)
 }
 
-// The caller of a non-idempotent request stops waiting. The entry is then shut
-// down while the upstream still runs the request. The entry must not exit before
-// the answer is in the ledger; otherwise the caller's retry at another entry
-// would get "in progress" forever.
+// TestShutdownWaitsForAbandonedCall simulates a caller that stops waiting for a
+// non-idempotent request, and an entry that is shut down while the upstream still
+// runs the request. The entry must not exit before the answer is in the ledger;
+// otherwise the caller's retry at another entry would get "in progress" forever.
 func TestShutdownWaitsForAbandonedCall(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
@@ -70,9 +70,10 @@
 	is.Equal(r.runs("k"), 1)
 }
 
-// The KV service applies the create of a ledger key and its reply is lost. The
-// entry must read the key back, find its own record, run the request once and
-// answer "served". A retry gets the replayed answer and no second run.
+// TestLostLedgerReplyIsReadBack makes the KV service apply the create of a ledger
+// key and lose its reply. The entry must read the key back, find its own record,
+// run the request once and answer "served". A retry gets the replayed answer and
+// no second run.
 func TestLostLedgerReplyIsReadBack(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
@@ -85,10 +86,11 @@
 	is.Equal(r.runs("k2"), 1)
 }
 
-// The KV service is down. The entry cannot claim the key and must not call the
-// upstream. It cannot know whether an earlier attempt with the key ran, so it
-// answers "outcome unknown" (502, Retry-After, the key) at once and never "not
-// run". Once the KV service is back, the request with the key runs exactly once.
+// TestKVDownRunsNothing takes the KV service down. The entry cannot claim the key
+// and must not call the upstream. It cannot know whether an earlier attempt with
+// the key ran, so it answers "outcome unknown" (502, Retry-After, the key) at
+// once and never "not run". Once the KV service is back, the request with the key
+// runs exactly once.
 func TestKVDownRunsNothing(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
@@ -104,12 +106,13 @@
 	is.Equal(r.runs("k3"), 1)
 }
 
-// Random interleavings of requests at either entry, retries of old keys, lost
-// KV replies and KV outages. Every key runs at most once. After a "not run"
-// answer, no upstream has run the key so far; after "served" or "replayed", it
-// has run exactly once. Once the KV service is healthy, retries with any key must
-// end in its answer. The failure to guard against is a key left "started" by a
-// claim that never ran: its retries would be refused forever.
+// TestAtMostOnceStateful checks random interleavings of requests at either entry,
+// retries of old keys, lost KV replies and KV outages. Every key runs at most
+// once. After a "not run" answer, no upstream has run the key so far; after
+// "served" or "replayed", it has run exactly once. Once the KV service is
+// healthy, retries with any key must end in its answer. The failure to guard
+// against is a key left "started" by a claim that never ran: its retries would be
+// refused forever.
 func TestAtMostOnceStateful(t *testing.T) {
 	r := newPlainRig(t, 2, 1)
 	n := 0
@@ -158,10 +161,11 @@
 	})
 }
 
-// The KV service applies a claim, loses its reply and goes down before the entry
-// can read the key back. The caller gets "outcome unknown", and nothing runs.
-// Once the KV service is back, the entry must undo its claim, so that the
-// caller's next retry runs instead of getting "in progress" forever.
+// TestUnconfirmedClaimIsUndone makes the KV service apply a claim, lose its reply
+// and go down before the entry can read the key back. The caller gets "outcome
+// unknown", and nothing runs. Once the KV service is back, the entry must undo
+// its claim, so that the caller's next retry runs instead of getting "in
+// progress" forever.
 func TestUnconfirmedClaimIsUndone(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
@@ -174,10 +178,10 @@
 	is.Equal(r.runs("k"), 1)
 }
 
-// The KV service freezes: it takes writes and does not answer. The first caller
-// gets "outcome unknown" after its claim and its read-back have timed out. Later
-// callers must get the same answer at once, without waiting for a claim of their
-// own.
+// TestFrozenKVFailsFast freezes the KV service: it takes writes and does not
+// answer. The first caller gets "outcome unknown" after its claim and its
+// read-back have timed out. Later callers must get the same answer at once,
+// without waiting for a claim of their own.
 func TestFrozenKVFailsFast(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 1, 1)
@@ -201,9 +205,10 @@
 	eventually(t, "served", func() bool { return r.submit(0, "release", "again", time.Minute).status == http.StatusOK })
 }
 
-// The KV service is slow, and the short deadline of one caller ends its claim.
-// That does not show that the KV service is down, so the circuit breaker must
-// stay closed and the next caller, with a longer deadline, must be served.
+// TestShortDeadlineDoesNotOpenBreaker simulates a slow KV service and a caller
+// whose short deadline ends its claim. The ended claim does not show that the KV
+// service is down, so the circuit breaker must stay closed and the next caller,
+// with a longer deadline, must be served.
 func TestShortDeadlineDoesNotOpenBreaker(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 1, 1)
@@ -212,10 +217,10 @@
 	is.Equal(r.submit(0, "release", "patient", time.Minute).outcome, "served")
 }
 
-// The entry that runs a request is killed before it records the answer, and
-// another entry takes its name. It is unknown whether the request ran, so it must
-// not run again. A retry must get "outcome unknown"; with "in progress", the
-// caller would retry forever.
+// TestRetryAfterKeyOwnerIsGone simulates an entry that is killed before it
+// records the answer of a request that it runs, and another entry that takes its
+// name. It is unknown whether the request ran, so it must not run again. A retry
+// must get "outcome unknown"; with "in progress", the caller would retry forever.
 func TestRetryAfterKeyOwnerIsGone(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 1, 1)
--- a/citronentry/pipeline_test.go
+++ b/citronentry/pipeline_test.go
@@ -11,10 +11,11 @@
 
 var twoByTwo = []stage{{name: "a1", from: 0, to: 4}, {name: "a2", from: 0, to: 4}, {name: "b1", from: 4, to: 8}, {name: "b2", from: 4, to: 8}}
 
-// The engine of a stage dies after a few steps of a request. The caller must
-// still get the complete answer, equal to the oracle's: the entry replaces the
-// stage by the other engine with the same layers, which recomputes the missing
-// positions, so that no token skips or repeats a layer.
+// TestStageFailsMidRequest kills the engine of a stage after a few steps of a
+// request. The caller must still get the complete answer, equal to the oracle's:
+// the entry replaces the stage by the other engine with the same layers, which
+// recomputes the missing positions, so that every token passes through each layer
+// exactly once.
 func TestStageFailsMidRequest(t *testing.T) {
 	for _, victim := range []string{"a1", "b1"} {
 		t.Run(victim, func(t *testing.T) {
@@ -32,10 +33,10 @@
 	}
 }
 
-// An engine runs other layers than the fleet configuration says, because its
-// deployment is misconfigured. Its results must not reach the caller: the entry
-// checks the layer range that each stage reports, replaces that engine and
-// serves the request on an engine with the configured layers.
+// TestEngineWithWrongLayersIsReplaced simulates a misconfigured engine that runs
+// other layers than the fleet configuration says. Its results must not reach the
+// caller: the entry checks the layer range that each stage reports, replaces that
+// engine and serves the request on an engine with the configured layers.
 func TestEngineWithWrongLayersIsReplaced(t *testing.T) {
 	stages := []stage{{name: "a1", from: 0, to: 4, runFrom: 0, runTo: 5}, {name: "a2", from: 0, to: 4}, {name: "b1", from: 4, to: 8}}
 	r := newModelRig(t, 8, 1, stages, nil)
@@ -45,9 +46,10 @@
 	}
 }
 
-// Concurrent callers use three entries while engines die at random moments. Each
-// caller must get the complete answer to its own prompt, as the oracle computes
-// it. Requests that complete out of order must not mix their tokens.
+// TestConcurrentAnswersUnderEngineFailures has concurrent callers use three
+// entries while engines die at random moments. Each caller must get the complete
+// answer to its own prompt, as the oracle computes it. Requests that complete out
+// of order must not mix their tokens.
 func TestConcurrentAnswersUnderEngineFailures(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		stages := []stage{
@@ -79,16 +81,16 @@
 		wg.Wait()
 		for i, a := range answers {
 			if a.status != 200 {
-				rt.Fatalf("caller %d: %d %s", i, a.status, a.body)
+				rt.Fatalf("caller %d: status %d, want 200; body %s", i, a.status, a.body)
 			}
 			wantOracle(t, a, fmt.Sprintf("caller-%d", i), 5, tokens)
 		}
 	})
 }
 
-// The first step of a request is in flight at an engine when the caller's
-// deadline passes. The engine may run it, so the answer must be "outcome
-// unknown" and not "not run".
+// TestDeadlineDuringFirstStep lets the caller's deadline pass while the first
+// step of a request is in flight at an engine. The engine may run it, so the
+// answer must be "outcome unknown" and not "not run".
 func TestDeadlineDuringFirstStep(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
--- a/citronentry/plain_test.go
+++ b/citronentry/plain_test.go
@@ -9,9 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// Tests the test rig. An upstream that refuses connections has closed its port.
-// If another server could get that port in the meantime, it would answer the
-// caller, and a request that no upstream ran would look served.
+// TestRefusedUpstreamKeepsItsPort tests the test rig. An upstream that refuses
+// connections has closed its port. If another server could get that port in the
+// meantime, it would answer the caller, and a request that no upstream ran would
+// look served.
 func TestRefusedUpstreamKeepsItsPort(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 1, 2)
@@ -27,12 +28,12 @@
 // the deadline makes the test time out.
 const longDeadline = 10 * time.Minute
 
-// Checks the contract between an entry and plain upstreams. Each case sets a
-// fault at the first and the second upstream and sends one request with a
-// ten-minute deadline. The answer must come while the fault lasts and must not
-// wait for the deadline. "Not run" is allowed only if no upstream received the
-// call. A non-idempotent call must not go to a second upstream once the first
-// may have received it.
+// TestPlainUpstreamFaults checks the contract between an entry and plain
+// upstreams. Each case sets a fault at the first and the second upstream and
+// sends one request with a ten-minute deadline. The answer must come while the
+// fault lasts and must not wait for the deadline. "Not run" is allowed only if no
+// upstream received the call. A non-idempotent call must not go to a second
+// upstream once the first may have received it.
 func TestPlainUpstreamFaults(t *testing.T) {
 	cases := []struct {
 		name          string
@@ -40,7 +41,7 @@
 		leaving       bool // the first upstream is leaving
 		// idempotent and once are the expected outcomes or refusal codes
 		// for the idempotent and the non-idempotent service; onceRuns is
-		// how often the latter's request runs.
+		// how often the request to the non-idempotent service runs.
 		idempotent string
 		once       string
 		onceRuns   int
--- a/citronentry/stream_test.go
+++ b/citronentry/stream_test.go
@@ -41,9 +41,9 @@
 	return res.StatusCode, events
 }
 
-// The engine of a stage dies while a caller streams an answer. The tokens must
-// arrive as they are computed, each once, in order and equal to the oracle's, and
-// "done" must give their number.
+// TestStreamUnderStageFailure kills the engine of a stage while a caller streams
+// an answer. The tokens must arrive as they are computed, each once, in order and
+// equal to the oracle's, and "done" must give their number.
 func TestStreamUnderStageFailure(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 8, 1, twoByTwo, nil)
@@ -58,9 +58,10 @@
 	is.Equal(<-events, streamEvent{Type: "done", Offset: 6})
 }
 
-// Every engine of a stage dies during a stream. The HTTP status has been sent
-// with the first tokens, so the stream must end with "failed". If it just ended,
-// a truncated answer would look like a complete one.
+// TestStreamEndsWithFailedEvent kills every engine of a stage during a stream.
+// The HTTP status has been sent with the first tokens, so the stream must end
+// with "failed". If it just ended, a truncated answer would look like a complete
+// one.
 func TestStreamEndsWithFailedEvent(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
@@ -75,8 +76,8 @@
 	is.Equal(all[2], streamEvent{Type: "failed", Offset: 2, Code: "outcome_unknown"})
 }
 
-// A request fails before its first token. The caller must get a refusal with an
-// HTTP status and no stream.
+// TestStreamRefusedBeforeFirstToken has a request fail before its first token.
+// The caller must get a refusal with an HTTP status and no stream.
 func TestStreamRefusedBeforeFirstToken(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
@@ -87,9 +88,10 @@
 	is.Equal(status, http.StatusForbidden)
 }
 
-// A non-idempotent request continues after its caller has left. Its stream would
-// then be written to a connection that may serve another caller, so the entry
-// must reject streams of non-idempotent services.
+// TestStreamRejectsNonIdempotentService checks that the entry rejects streams of
+// non-idempotent services. A non-idempotent request continues after its caller
+// has left, and its tokens would then be written to a connection that may serve
+// another caller.
 func TestStreamRejectsNonIdempotentService(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
--- a/citronledger/ledger.go
+++ b/citronledger/ledger.go
@@ -142,8 +142,8 @@
 // the reply to the create is lost, the create may have been applied: Claim
 // then reads the key back and owns it if it holds rec.
 //
-// While the KV service does not answer, Claim returns ErrDown at once, and
-// admits one trial claim every retryInitialDelay to detect that the service
+// While the KV service does not answer, Claim returns ErrDown at once, except
+// for one trial claim every retryInitialDelay, which detects that the service
 // is back. Otherwise each request would wait for the timeouts of its claim
 // and its read-back, only to fail with the same error.
 func (l *Ledger) Claim(ctx context.Context, service, customer, idempotencyKey string, rec Record) (Claim, error) {
--- a/citronroute/snapshot.go
+++ b/citronroute/snapshot.go
@@ -65,11 +65,11 @@
 	return slices.ContainsFunc(s.Entries, func(e EntryAddr) bool { return e.Name == name && e.Incarnation == incarnation })
 }
 
-// Window returns how many requests of svc one entry forwards at the same
-// time. By Little's law, the engines' token rate times tokenGap, the wanted
-// time between two tokens of a request, is the number of requests that keep
-// the engines busy without making that time longer. The entries share this number evenly. Window
-// returns fallback if no capacity is declared.
+// Window returns how many requests of svc one entry forwards at the same time.
+// By Little's law, the engines' token rate times tokenGap, the wanted time
+// between two tokens of a request, is the number of requests that keep the
+// engines busy without making that time longer. The entries share this number
+// evenly. Window returns fallback if no capacity is declared.
 func (s *Snapshot) Window(svc citronfleet.Service, tokenGap time.Duration, fallback int) int {
 	bound := svc.Bound()
 	if bound <= 0 {
