--- a/citronentry/pipeline_test.go
+++ b/citronentry/pipeline_test.go
@@ -27,7 +27,7 @@
 			wantOracle(t, a, "layout-"+victim, 8, 6)
 			spare := map[string]string{"a1": "a2", "b1": "b2"}[victim]
 			if r.engines[spare].engine.Prefills.Load() == 0 {
-				t.Fatalf("%s took over without recomputing the missing positions", spare)
+				t.Fatalf("engine %s took over from %s without recomputing the missing positions", spare, victim)
 			}
 		})
 	}
--- a/citronkv/contract_test.go
+++ b/citronkv/contract_test.go
@@ -136,11 +136,11 @@
 		poll := func() {
 			items, rev, err := s.Watch(ctx, "p/", after)
 			if err != nil {
-				rt.Fatal(err)
+				rt.Fatalf("watch after revision %v: %v", after, err)
 			}
 			for _, it := range items {
 				if !it.Revision.After(after) {
-					rt.Fatalf("watch after revision %[2]v returned a change at revision %[1]v", it.Revision, after)
+					rt.Fatalf("watch after revision %v returned a change of key %s at revision %v, want only later changes", after, it.Key, it.Revision)
 				}
 				if it.Deleted {
 					delete(seen, it.Key)
--- a/citronkv/server.go
+++ b/citronkv/server.go
@@ -3,7 +3,7 @@
 // This file holds the fake key-value service. It keeps all data in memory behind
 // one mutex, because the real service is small and answers in milliseconds. A
 // store-wide revision counts writes. Watches read a bounded log of recent changes;
-// each write closes and replaces a channel to wake the waiting ones. The fault
+// each write closes and replaces a channel to wake the waiting watches. The fault
 // settings (Faults) make the service unavailable or slow, or lose the replies of
 // writes that it has applied.
 
--- a/citronkv/servercopy.go
+++ b/citronkv/servercopy.go
@@ -23,8 +23,8 @@
 }
 
 // Return restores the server from an older snapshot. All later writes are lost, and
-// so are all leases with their keys. The counts of the revisions are set back to
-// those of the snapshot, and the era increases by one.
+// so are all leases with their keys. The counts of the revisions continue from the
+// count of the snapshot, and the era increases by one.
 func (s *Server) Return(c Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/citronplace/repair.go
+++ b/citronplace/repair.go
@@ -244,8 +244,9 @@
 	return g.Empty()
 }
 
-// shiftWindow moves the boundaries of the engines around a gap. It moves the
-// smallest number of engines that have the free capacity to fill the gap.
+// shiftWindow moves the boundaries of the engines nearest to a gap, equally many
+// on each side. It moves the smallest number of engines that, together with the
+// spares, have the free capacity to fill the gap.
 func shiftWindow(spec citronmodel.Spec, engines []Engine, g citronmodel.Span, minCache float64, cut bool) (Plan, bool) {
 	free := spares(spec, engines, Plan{})
 	var left, right []Engine
--- a/citronplacer/board_test.go
+++ b/citronplacer/board_test.go
@@ -26,10 +26,12 @@
 	// engine takes to load one layer.
 	simStep       = 100 * time.Millisecond
 	layerLoadTime = 175 * time.Millisecond
-	// streamDrainTime is how long requests still run through layers that an
-	// engine gives up, unless these requests are cut off.
+	// streamDrainTime is how long an engine that gives up layers waits for the
+	// requests that run through them before it loads other layers, unless the
+	// order cuts these requests off.
 	streamDrainTime = 8 * time.Second
-	// listLag is the number of steps by which the leader's list lags behind.
+	// listLag is the number of lists that simZone keeps, the current one
+	// included. The leader sees the oldest, which is listLag-1 steps old.
 	listLag = 4
 )
 
@@ -52,8 +54,8 @@
 	joined  map[string]time.Time
 	targets targetSet
 	orders  int
-	// lists holds the engines' entries of the last steps: updates of an engine
-	// reach the leader some hundred milliseconds late.
+	// lists holds the engines' entries of the last steps, the oldest first:
+	// updates of an engine reach the leader some hundred milliseconds late.
 	lists [listLag][]citronmodel.Engine
 	// layersLoaded counts the layers that engines have loaded.
 	layersLoaded int
@@ -85,8 +87,9 @@
 	return out
 }
 
-// seen returns the entries that the leader sees: those of listLag steps ago. Removed
-// engines are missing at once, and engines that joined since have their current entry.
+// seen returns the entries that the leader sees: the entries of the oldest list.
+// Removed engines are missing at once, and engines that joined since have their current
+// entry.
 func (z *simZone) seen() []citronmodel.Engine {
 	copy(z.lists[:], z.lists[1:])
 	z.lists[listLag-1] = z.list()
@@ -279,7 +282,7 @@
 	}
 	t.Logf("%d orders, %d layers loaded, %v with a gap", z.orders, z.layersLoaded, missing)
 	is.Equal(z.layersLoaded, replaced)        // no other layers were moved
-	is.True(missing <= 1600*time.Millisecond) // the large engine loads for 3.9 s, the old one serves for 2.5 s of it
+	is.True(missing <= 1600*time.Millisecond) // the large engine loads for 3.9 s; the old engine serves for the first 2.5 s of that time
 	for _, e := range before {
 		for _, now := range z.engines {
 			if now.ID == e.ID {
