--- a/citronentry/serve.go
+++ b/citronentry/serve.go
@@ -250,7 +250,7 @@
 }
 
 // fail logs and counts a request that no back end answered, and returns its
-// refusal: "not run", or "outcome unknown" if the request reached a back end.
+// refusal: "not run", or "outcome unknown" if a back end may have run the request.
 func (a *api) fail(ctx context.Context, r *request, reached bool, err error) error {
 	e := a.e
 	if !reached {
--- a/citronledger/ledger.go
+++ b/citronledger/ledger.go
@@ -143,9 +143,10 @@
 // then reads the key back and owns it if it holds rec.
 //
 // While the KV service does not answer, Claim returns ErrDown at once, except
-// for one trial claim at a time, which detects that the service is back. A trial
-// starts at the earliest retryInitialDelay after the last claim has failed. Otherwise each request would wait for the timeouts of its claim
-// and its read-back, only to fail with the same error.
+// for one trial claim at a time, which detects that the service is back. A
+// trial starts at the earliest retryInitialDelay after the last claim has
+// failed. Without the breaker each request would wait for the timeouts of its
+// claim and its read-back, only to fail with the same error.
 func (l *Ledger) Claim(ctx context.Context, service, customer, idempotencyKey string, rec Record) (Claim, error) {
 	if !l.breaker.allow(l.Clock.Now()) {
 		return Claim{}, errors.Mark(errors.New("claim idempotency key: not attempted, because the KV service did not answer the last claim"), ErrDown)
--- a/citronplace/copies.go
+++ b/citronplace/copies.go
@@ -116,7 +116,7 @@
 }
 
 // decideReplicas decides for each replica of a zone. Engines that belong to
-// no replica go to the replica that misses most layers.
+// no replica go to the replica that misses the most layers.
 func decideReplicas(spec citronmodel.Spec, engines []Engine, served []citronmodel.Span) Plan {
 	n := replicaCount(spec, engines)
 	if n == 1 {
@@ -159,7 +159,7 @@
 // improveReplica relieves the weakest engine of a complete replica with an
 // engine that holds nothing. It does not move layers between neighbours as
 // balance does in a zone with one replica: the first layer of an engine
-// determines its replica, and it would change on the way.
+// determines its replica, and a move could change that layer.
 func improveReplica(spec citronmodel.Spec, engines, free []Engine) Plan {
 	even := usefulCache(spec, engines)
 	all := slices.Concat(engines, free)
--- a/citronplace/cover.go
+++ b/citronplace/cover.go
@@ -52,8 +52,8 @@
 // a zone have for the requests that pass through the layer.
 type zoneCache struct {
 	spec citronmodel.Spec
-	// total is the cache of all engines that hold the layer, largest the
-	// cache of the single engine among them that has most.
+	// total is the combined cache of the engines that hold the layer. largest
+	// is the cache of the one among them that has the most.
 	total, largest []float64
 }
 
@@ -78,7 +78,8 @@
 // from a layer's total, because that engine may be lost.
 const lossShare = 0.5
 
-// layerStrain returns the fraction of a layer's cache that one token takes.
+// layerStrain returns the fraction that one token takes of a layer's cache,
+// after lossShare of the largest engine's cache is subtracted from it.
 func layerStrain(total, largest float64) float64 { return 1 / max(1, total-lossShare*largest) }
 
 // strainReduction returns how much the strain of a span falls if one more
--- a/citronplace/improve.go
+++ b/citronplace/improve.go
@@ -93,15 +93,15 @@
 	return sum
 }
 
-// isWeak reports whether an engine holds layers but less than weakShare of the
-// even cache.
+// isWeak reports whether an engine holds layers and has less cache than
+// weakShare of the even cache.
 func isWeak(spec citronmodel.Spec, e Engine, even float64) bool {
 	return !e.Layers.Empty() && spec.CacheTokens(e.Kind, e.Layers.Len()) < even*weakShare
 }
 
-// trimWeak returns the layers that a weak engine should keep: those that no
-// helper duplicates. It reports false if e is not weak, or if these layers are
-// all of its layers or none.
+// trimWeak returns the layers that a weak engine should keep: the smallest
+// range that contains all of its layers that no helper duplicates. It reports
+// false if e is not weak, or if this range is empty or all of its layers.
 func trimWeak(spec citronmodel.Spec, engines []Engine, e Engine, even float64) (citronmodel.Span, bool) {
 	if !isWeak(spec, e, even) {
 		return citronmodel.Span{}, false
@@ -126,8 +126,9 @@
 	return false
 }
 
-// addHelper makes a spare duplicate layers of the weakest engine. With
-// idleOnly it considers only spares that hold nothing.
+// addHelper makes a spare duplicate layers of the weakest engine among the weak
+// engines that share no layer with another engine. With idleOnly it considers
+// only spares that hold nothing.
 func addHelper(spec citronmodel.Spec, engines []Engine, even float64, idleOnly bool) (Plan, bool) {
 	var weakest Engine
 	leastCache := even * weakShare
@@ -142,9 +143,9 @@
 	}
 	for _, s := range spares(spec, engines, Plan{}) {
 		capacity := min(layerCapacity(spec, s.Kind, even*helperShare), spec.Layers)
-		// A spare that duplicates layers other than the first helps an engine
-		// already. Moving it would send it from one weak engine to the next
-		// forever.
+		// A spare that duplicates layers other than the first ones already
+		// helps an engine. If it were moved, it would go from one weak engine
+		// to the next forever.
 		if s.ID == weakest.ID || s.Fresh || capacity < minHelpLayers || !s.Layers.Empty() && (idleOnly || s.Layers.From > 0) {
 			continue
 		}
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -201,9 +201,10 @@
 // that merely doesn't respond may still run the requests sent to it.
 func (s *State) Ended() bool { return s.ended.Load() || s.Replaced() }
 
-// Lives records that the engine has sent data and clears its ended and dead
-// marks. An engine that refuses connections hasn't necessarily ended: it may be
-// leaving and finishing its running requests. A replaced engine stays replaced.
+// Lives records that the engine has sent data. It clears the ended and the dead
+// mark of an engine that End has marked: an engine that refuses connections may
+// be leaving and finishing its running requests. A replaced engine stays
+// replaced, and the dead mark of an engine that isn't marked ended stays.
 func (s *State) Lives() {
 	if s.ended.Load() && !s.Replaced() {
 		s.ended.Store(false)
@@ -270,8 +271,8 @@
 }
 
 // Loads counts, for each zone, the tokens of this node's requests that run on
-// engines of the zone. Nodes exchange these zone totals: a node that knew only its own
-// requests would send more to a zone that other nodes have filled.
+// engines of the zone. Nodes exchange these zone totals: a node that knew only
+// its own requests would send more to a zone that other nodes have filled.
 type Loads struct{ zones sync.Map }
 
 func (l *Loads) zone(name string) *atomic.Int64 {
