--- a/citronentry/membership_test.go
+++ b/citronentry/membership_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	// At one millisecond per try, the limit is shorter than discovery's
 	// linger time (15 s). A test that waits for an entry to be delisted
-	// therefore fails if only the end of the linger time removes it.
+	// therefore fails if the entry stays listed until its linger time ends.
 	for range 8_000 {
 		if ok() {
 			return
@@ -81,7 +81,7 @@
 	wantOracle(t, r.ask(0, "layout", 6), "layout", 8, 6)
 }
 
-// TestSlowEngineIsNotTreatedAsFrozen has an engine delay a step for longer
+// TestSlowEngineIsNotTreatedAsFrozen makes an engine delay a step for longer
 // than StallAfter while it still answers probes. The entry must not abandon
 // the step: under high load that would discard work that is only queued.
 func TestSlowEngineIsNotTreatedAsFrozen(t *testing.T) {
@@ -121,7 +121,7 @@
 	is.Equal(a2.engine.Prefills.Load(), int64(0))
 }
 
-// TestAbandonedRequestFreesEngineCaches has a caller disconnect during the
+// TestAbandonedRequestFreesEngineCaches makes a caller disconnect during the
 // response. The engines must free their caches of the request. Otherwise the
 // caches fill with abandoned requests, and a leaving engine waits for them.
 func TestAbandonedRequestFreesEngineCaches(t *testing.T) {
--- a/citronentry/pipeline_test.go
+++ b/citronentry/pipeline_test.go
@@ -46,10 +46,10 @@
 	}
 }
 
-// TestConcurrentAnswersUnderEngineFailures has concurrent callers use three
-// entries while engines die at random moments. Each caller must get the complete
-// answer to its own prompt, as the oracle computes it. Requests that complete out
-// of order must not mix their tokens.
+// TestConcurrentAnswersUnderEngineFailures sends requests of concurrent callers
+// through three entries while engines die at random moments. Each caller must get
+// the complete answer to its own prompt, as the oracle computes it. Requests that
+// complete out of order must not mix their tokens.
 func TestConcurrentAnswersUnderEngineFailures(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		stages := []stage{
--- a/citronentry/stream_test.go
+++ b/citronentry/stream_test.go
@@ -76,7 +76,7 @@
 	is.Equal(all[2], streamEvent{Type: "failed", Offset: 2, Code: "outcome_unknown"})
 }
 
-// TestStreamRefusedBeforeFirstToken has a request fail before its first token.
+// TestStreamRefusedBeforeFirstToken makes a request fail before its first token.
 // The caller must get a refusal with an HTTP status and no stream.
 func TestStreamRefusedBeforeFirstToken(t *testing.T) {
 	is := is.New(t)
--- a/citronentry/trouble.go
+++ b/citronentry/trouble.go
@@ -2,7 +2,7 @@
 
 // Unhealthy back ends. A back end that traffic or the watchdog reports gets
 // no new work until a probe finds it healthy, so that no caller's request is
-// needed to find out. The state "leaving" ends in the same way: the name of a
+// used to test it. The state "leaving" ends in the same way: the name of a
 // back end is reused when its instance is replaced, and a probe then finds an
 // instance under that name that takes work. A back end that answers probes
 // but fails calls would alternate between the two states with every probe;
--- a/citronkv/kv.go
+++ b/citronkv/kv.go
@@ -56,10 +56,11 @@
 	// Delete removes key if its revision equals expect. Otherwise it returns
 	// ErrConflict, or ErrNotFound if the key does not exist.
 	Delete(ctx context.Context, key string, expect Revision) error
-	// Watch waits until a key that starts with prefix changes after revision
-	// after, or until the maximum wait passes. It returns the changes and the
-	// store revision, or ErrCompacted if the service no longer holds the
-	// changes since after. A waiting watch costs the service one call.
+	// Watch waits until a key that starts with prefix has a change whose
+	// revision is later than the parameter after, or until the maximum wait
+	// passes. It returns these changes and the store revision, or ErrCompacted
+	// if the service no longer holds all of them. A waiting watch costs the
+	// service one call.
 	Watch(ctx context.Context, prefix string, after Revision) ([]Item, Revision, error)
 	// Grant creates a lease that expires after ttl unless KeepAlive renews it.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
--- a/citronplace/balance.go
+++ b/citronplace/balance.go
@@ -72,9 +72,9 @@
 	return receiver.ID, Order{Span: s}, bestCount > 0
 }
 
-// dropOverlap makes one of two neighbours that hold the same layers give them
-// up. It chooses the engine whose release leaves the smaller cache of the two
-// largest.
+// dropOverlap makes one of two neighbours give up the layers that both hold if
+// one of them is weak. It chooses the engine whose release leaves the smaller
+// cache of the two largest.
 func dropOverlap(spec citronmodel.Spec, engines []Engine, even float64) Plan {
 	order := holdersInOrder(engines, spares(spec, engines, nil))
 	for i := 0; i+1 < len(order); i++ {
