--- a/citronplacer/board_test.go
+++ b/citronplacer/board_test.go
@@ -282,7 +282,7 @@
 	}
 	t.Logf("%d orders, %d layers loaded, %v with a gap", z.orders, z.layersLoaded, missing)
 	is.Equal(z.layersLoaded, replaced)        // no other layers were moved
-	is.True(missing <= 1600*time.Millisecond) // the large engine loads for 3.9 s; the old engine serves for the first 2.5 s of that time
+	is.True(missing <= 1600*time.Millisecond) // the large engine loads for 3.9 s; the old engine serves for 2.5 s of that time
 	for _, e := range before {
 		for _, now := range z.engines {
 			if now.ID == e.ID {
