--- a/citronplace/balance.go
+++ b/citronplace/balance.go
@@ -11,8 +11,8 @@
 // requests that the step costs.
 const minBalanceGain = 1.1
 
-// balance evens out the cache of a zone that has no gap but an engine with
-// little cache.
+// balance evens out the cache between the engines of a zone without gaps in
+// which an engine has little cache.
 //
 // At peak load an engine dies or leaves, and its neighbours take over its
 // layers. The zone is complete again after half a second, but carries only
@@ -72,9 +72,9 @@
 	return receiver.ID, Order{Span: s}, bestCount > 0
 }
 
-// dropOverlap makes one of two neighbours that hold the same layers give them
-// up. It chooses the engine whose release leaves the smaller cache of the two
-// largest.
+// dropOverlap makes one of two neighbours give up the layers that both hold if
+// one of them is weak. It chooses the engine whose release leaves the smaller
+// cache of the two largest.
 func dropOverlap(spec citronmodel.Spec, engines []Engine, even float64) Plan {
 	order := holdersInOrder(engines, spares(spec, engines, nil))
 	for i := 0; i+1 < len(order); i++ {
