--- a/citronconfig/config.go
+++ b/citronconfig/config.go
@@ -67,8 +67,8 @@
 	ErrUnknown = errors.New("it is unknown whether the change was written")
 )
 
-// changeRecord returns the change record in a value of Key. For a bare fleet
-// text, only the revision is known.
+// changeRecord returns the change record in a value of Key. A bare fleet text
+// (see parseHead) has no change record, so only its revision is returned.
 func changeRecord(it citronkv.Item) Change {
 	h, ok := parseHead(it)
 	if !ok {
@@ -167,11 +167,11 @@
 
 // deleteStale deletes the items that only the replaced head referred to.
 //
-// Another operator may need such a section again. If that change started
-// from the new head, it wrote the section after it was read here, so the
-// revision differs and the delete has no effect. If it started from an older
-// head, it fails with ErrRace. Errors are ignored because they only leave
-// garbage behind.
+// A concurrent change by another operator may refer to such a section again.
+// If that change is based on the new head, Apply wrote the section again after
+// writeSections had read it for stale, so its revision differs and the delete
+// has no effect. If that change is based on an older head, it fails with
+// ErrRace. Errors are ignored because they only leave unused items behind.
 func (c Config) deleteStale(ctx context.Context, stale []citronkv.Item) {
 	for _, it := range stale {
 		_ = c.KV.Delete(ctx, it.Key, it.Revision)
@@ -233,7 +233,7 @@
 				return rev, nil
 			}
 		case !errors.Is(err, citronkv.ErrUnavailable):
-			return citronkv.Revision{}, errors.Wrap(err, "write the fleet text")
+			return citronkv.Revision{}, errors.Wrap(err, "write the head that activates the fleet text")
 		}
 		replyLost = true
 		if c.Clock.Sleep(ctx, initialRetryDelay<<attempt) != nil {
--- a/citronconfig/config_test.go
+++ b/citronconfig/config_test.go
@@ -74,10 +74,10 @@
 
 // TestOperatorsStateful lets operators apply random changes from current or
 // stale revisions while the KV service loses replies, becomes unavailable and
-// interleaves concurrent writers. The oracle is the sequence of texts that
-// were ever active: a change reported as applied was active at that revision,
-// a change reported as a race never was, and the audit trail lists each active
-// text exactly once, on top of its predecessor.
+// interleaves concurrent writers. It checks that a change reported as applied is
+// in the audit trail at the reported revision, that a change reported as a race is
+// not in it, and that the trail lists each text at most once, together with the
+// revision of the change before it. The active fleet must be the last of the trail.
 func TestOperatorsStateful(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ctx := context.Background()
@@ -127,7 +127,7 @@
 		active := map[string]citronkv.Revision{}
 		for _, ch := range trail {
 			if ch.Previous != previous {
-				rt.Fatalf("%s replaced revision %d, but the change before it has revision %d", ch.Fleet, ch.Previous, previous)
+				rt.Fatalf("the change record of %s says that it replaced revision %v, but the change before it has revision %v", ch.Fleet, ch.Previous, previous)
 			}
 			if _, twice := active[ch.Fleet]; twice {
 				rt.Fatalf("%s is in the audit trail twice", ch.Fleet)
@@ -137,10 +137,10 @@
 		}
 		for name, rev := range applied {
 			if active[name] != rev {
-				rt.Fatalf("%s was reported as applied at revision %d, but the audit trail says %d", name, rev, active[name])
+				rt.Fatalf("%s was reported as applied at revision %v, but the audit trail has it at revision %v (0: not at all)", name, rev, active[name])
 			}
 		}
-		// The active fleet can be loaded as it was written.
+		// The active fleet can be loaded and is that of the last change in the trail.
 		if cur, err := ops[0].Current(ctx); err != nil || cur.Revision.IsZero() {
 			return
 		} else if got, err := (&citronconfig.Loader{KV: kv}).Load(ctx, cur); err != nil {
@@ -150,7 +150,7 @@
 		}
 		for name := range rejected {
 			if rev, ok := active[name]; ok {
-				rt.Fatalf("%s was reported as rejected, but was active at revision %d", name, rev)
+				rt.Fatalf("%s was reported as a race, but the audit trail has it at revision %v", name, rev)
 			}
 		}
 	})
--- a/citronconfig/section.go
+++ b/citronconfig/section.go
@@ -42,7 +42,7 @@
 
 func (h head) sections() []string { return append([]string{h.Customers}, h.Services...) }
 
-// section is one part of a fleet text: its JSON encoding and the hash of that.
+// section is one part of a fleet: its JSON encoding and the hash of the encoding.
 type section struct {
 	hash  string
 	value []byte
@@ -91,7 +91,7 @@
 }
 
 // Loader loads the fleet that a value of Key refers to. It caches the
-// sections of the last fleet it loaded, so that a change only needs reads of
+// sections of the last fleet it loaded, so that after a change it reads only
 // the changed sections. A Loader must not be used concurrently.
 type Loader struct {
 	KV        citronkv.Store
--- a/citronfleet/check.go
+++ b/citronfleet/check.go
@@ -188,7 +188,7 @@
 	}
 }
 
-// Cover tells which layer boundaries are connected to layer 0 and to the end of
+// Cover records which layer boundaries are connected to layer 0 and to the end of
 // the last layer by a chain of engines.
 type Cover struct {
 	// To[b] is true if a chain from layer 0 reaches boundary b.
