--- a/citronengine/contract_test.go
+++ b/citronengine/contract_test.go
@@ -174,6 +174,6 @@
 	events, err := cl.Events(ctx, 0)
 	is.NoErr(err)
 	last := events[len(events)-1].Seq
-	is.Equal(last, int64(60+58)) // 60 added, 58 evicted
-	is.Equal(len(events), 60+58-2)
+	is.Equal(last, int64(60+58))   // 60 added, 58 evicted
+	is.Equal(len(events), 60+58-2) // every 50th event is lost
 }
--- a/citronengine/engine.go
+++ b/citronengine/engine.go
@@ -118,8 +118,8 @@
 }
 
 // admit validates a step and returns its cost in tokens. It rejects a late step of a
-// replaced attempt: such a step would set the cache of the newer attempt back, and a
-// later position would be computed from the wrong state.
+// replaced attempt: such a step would overwrite the cache of the newer attempt with
+// an earlier position, and a later position would be computed from the wrong state.
 func (e *Engine) admit(r *stepRequest) (int, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -140,8 +140,8 @@
 	return cost, nil
 }
 
-// commit stores the KV cache after a step. It reports false if a newer attempt
-// replaced the request while the step waited. The last step of a request frees the
+// commit stores the KV cache after a step. It returns false if a newer attempt of the
+// request ran a step here while this one waited. The last step of a request frees the
 // cache.
 func (e *Engine) commit(r *stepRequest) bool {
 	e.mu.Lock()
--- a/citronengine/prefix.go
+++ b/citronengine/prefix.go
@@ -11,9 +11,9 @@
 	// missing from the cache costs one token of work.
 	promptChunkBytes = 64
 	maxEvents        = 1024
-	// eventLossInterval makes every 50th cache event get lost, because real
-	// engines publish events with gaps. Readers detect a gap by its sequence
-	// numbers.
+	// eventLossInterval is the interval, in events, at which a cache event is
+	// lost, because events of real engines also get lost. Readers detect a lost
+	// event by the gap in the sequence numbers.
 	eventLossInterval = 50
 )
 
@@ -25,7 +25,8 @@
 	Added  bool   `json:"added"`
 }
 
-// eventLog keeps the newest cache events, except those lost on purpose.
+// eventLog keeps the newest maxEvents cache events, except every
+// eventLossInterval-th one, which is lost on purpose.
 type eventLog struct {
 	mu     sync.Mutex
 	seq    int64
@@ -117,7 +118,7 @@
 	}
 }
 
-// at returns the load of lag before now, or zero if no sample is that old.
+// at returns the load at the time lag before now, or zero if no sample is that old.
 func (l *laggedLoad) at(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/citronplain/plain.go
+++ b/citronplain/plain.go
@@ -57,8 +57,9 @@
 	leaving atomic.Bool
 	mu      sync.Mutex
 	runs    map[string]int
-	// Hold, if not nil, makes every call block until Hold is readable or closed,
-	// even if the caller has left. Tests use it to keep a call running.
+	// Hold, if not nil, makes every call block until it receives a value from Hold
+	// or Hold is closed, even if the caller has canceled the call. Tests use it to
+	// keep a call running.
 	Hold chan struct{}
 }
 
--- a/citronport/port.go
+++ b/citronport/port.go
@@ -13,7 +13,7 @@
 )
 
 // Reservation is a socket that is bound to a loopback port but does not listen. The
-// system does not assign the port to others, and it refuses connections to the port. A
+// system does not assign the port to other sockets and refuses connections to it. A
 // process that names the port explicitly can still listen on it.
 type Reservation struct {
 	fd, port int
