--- a/citronclock/manual.go
+++ b/citronclock/manual.go
@@ -34,7 +34,8 @@
 	m.changed = make(chan struct{})
 }
 
-// Sleep implements Clock. It returns once the clock has advanced by d in total.
+// Sleep implements Clock. It returns once calls to Advance have moved the clock by d in
+// total, or when ctx ends.
 func (m *Manual) Sleep(ctx context.Context, d time.Duration) error {
 	end := m.Now().Add(d)
 	for {
--- a/citronevent/event.go
+++ b/citronevent/event.go
@@ -1,8 +1,8 @@
 // Package citronevent defines the catalogue of log events.
 //
 // Each event has a stable number, a name, a level and a one-line meaning. The
-// table in docs/EVENTS.md is the output of `citrondeck events`; a test compares
-// the two.
+// table in docs/EVENTS.md is the output of `citrondeck events`; a test checks that
+// the page contains it.
 //
 // Components log through Log:
 //
@@ -202,7 +202,7 @@
 	out := append([]any{"event", int(e)}, args...)
 	for i, a := range out {
 		if err, ok := a.(error); ok {
-			out[i] = err.Error() // an error's stack trace would bury its message
+			out[i] = err.Error() // without its stack trace, in which the message is hard to find
 		}
 	}
 	l.Log(ctx, c.level, c.name, out...)
--- a/citronevent/event_test.go
+++ b/citronevent/event_test.go
@@ -13,7 +13,8 @@
 	"github.com/matryer/is"
 )
 
-// The table in docs/EVENTS.md must equal the output of `citrondeck events`.
+// TestCatalogueMatchesDocs checks that docs/EVENTS.md contains the output of
+// `citrondeck events`.
 func TestCatalogueMatchesDocs(t *testing.T) {
 	is := is.New(t)
 	var b bytes.Buffer
@@ -23,8 +24,8 @@
 	is.True(strings.Contains(string(doc), b.String())) // on failure, replace the table with the output of `citrondeck events`
 }
 
-// An error is logged as its message only, on one line. The stack trace that the
-// error library attaches would bury the message.
+// TestErrorsAreLoggedWithoutStack checks that an error is logged as its message only.
+// The stack trace that the error library attaches would make the message hard to find.
 func TestErrorsAreLoggedWithoutStack(t *testing.T) {
 	is := is.New(t)
 	var b bytes.Buffer
--- a/citronexplain/explain.go
+++ b/citronexplain/explain.go
@@ -24,11 +24,12 @@
 
 // Subject selects the log lines that Explain prints. Exactly one field is set.
 type Subject struct {
-	// Request and Engine are ids.
+	// Request is a request id, and Engine an engine id.
 	Request, Engine string
 	// Print is the fingerprint of a request that was sent under several ids.
 	Print string
-	// Version is a version of the configuration.
+	// Version is a configuration version. It selects the lines in which nodes
+	// report that they activated it.
 	Version int64
 }
 
@@ -38,7 +39,7 @@
 	node   string
 	name   string
 	fields map[string]any
-	// seq is the position in which the line was read; it orders lines of the
+	// seq is the line's position in the order of reading; it orders lines of the
 	// same time.
 	seq int
 }
@@ -46,8 +47,9 @@
 // maxLine is the longest log line in bytes.
 const maxLine = 1 << 20
 
-// contextSpan is how long before the first and after the last line of a request
-// the lines about its engines are included.
+// contextSpan extends the time for which lines about a request's engines are
+// included: from contextSpan before the request's first line to contextSpan after
+// its last.
 const contextSpan = 3 * time.Second
 
 // Explain reads logs and writes the lines about the subject in the order of
--- a/citronexplain/kept_test.go
+++ b/citronexplain/kept_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// A request was sent to an engine that its node retained although the engine's
-// entry was missing. The output for the request includes the node's reason, but
-// not what another node decided about the engine.
+// TestRequestIncludesWhyItsEngineWasRetained explains a request that was sent to an
+// engine which the node retained although the engine's entry was missing. The output
+// must include this node's reason, but not what another node decided about the engine.
 func TestRequestIncludesWhyItsEngineWasRetained(t *testing.T) {
 	is := is.New(t)
 	log := `{"time":"2026-01-01T00:00:14.810Z","level":"INFO","msg":"engines.changed","node":"n1","event":602,"engine":"e3","missing":true}
--- a/citronexplain/losses_test.go
+++ b/citronexplain/losses_test.go
@@ -9,9 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// Each request has one cause, the first that the nodes logged. The cause of a
-// stream that was moved twice is its first move. A request that the configuration
-// does not allow (status 4xx) is not a loss.
+// TestLossHasOneCause checks that each lost request is counted once, under the
+// first cause that the nodes logged. The cause of a late stream whose path changed
+// twice is the first change. A request that the configuration does not allow
+// (status 4xx) is not a loss.
 func TestLossHasOneCause(t *testing.T) {
 	is := is.New(t)
 	at := func(second int, rest string) string {
@@ -35,7 +36,7 @@
 `)
 }
 
-// Logs without a loss give an error, not an empty table.
+// TestNoLosses checks that logs without a loss give an error, not an empty table.
 func TestNoLosses(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
--- a/citronlog/log.go
+++ b/citronlog/log.go
@@ -6,7 +6,8 @@
 // fault that fails every request would log a line for each of them. Lines
 // therefore pass through a bounded queue that a separate goroutine writes out,
 // and each numbered event has a rate limit. Dropped lines are counted, and the
-// count is logged once lines pass again.
+// count is logged before the next line that passes once a report is due (see
+// takeDropped).
 package citronlog
 
 import (
@@ -27,8 +28,8 @@
 	queueLines = 2048
 	// eventRate is the sustained number of lines per second of one event, and
 	// eventBurst the size of its token bucket. An ordinary fault stays within
-	// them (a dead engine moves about 50 streams at one node), and one event
-	// logs at most 30 KB per second on average.
+	// them (when an engine dies, a node moves about 50 streams), and the lines of
+	// one event take at most 30 KB per second on average.
 	eventRate  = 100
 	eventBurst = 400
 	// reportInterval is the minimum time between two reports of dropped lines.
--- a/citronlog/log_test.go
+++ b/citronlog/log_test.go
@@ -24,8 +24,9 @@
 	return len(b), nil
 }
 
-// The log reader stops reading. Requests must not block: lines that do not fit
-// into the queue are dropped and counted.
+// TestBlockedWriterDoesNotBlockLogging checks that logging does not block after the
+// log reader has stopped reading: lines that do not fit into the queue are dropped
+// and counted.
 func TestBlockedWriterDoesNotBlockLogging(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -62,9 +63,9 @@
 	return l.b.Write(p)
 }
 
-// A fault that fails every request logs the same event over and over. Its lines
-// are limited to the burst, other events are still written, and the number of
-// dropped lines is logged.
+// TestRateLimitIsPerEvent checks that when one event is logged 1000 times at once, as
+// in a fault that fails every request, its lines are limited to the burst, other
+// events are still written, and the number of dropped lines is logged.
 func TestRateLimitIsPerEvent(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(1000, 0))
--- a/citronstat/stat_test.go
+++ b/citronstat/stat_test.go
@@ -15,8 +15,8 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-// When requests are late, an operator first checks whether the store answered.
-// Its calls are therefore counted by kind and result.
+// TestStoreCallsAreCounted checks that calls to the store are counted by kind and
+// result. When requests are late, an operator first checks whether the store answered.
 func TestStoreCallsAreCounted(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -44,7 +44,7 @@
 `)))
 }
 
-// The age of the state that a node acts on must be visible in its metrics.
+// TestNodeGauges checks that the metrics show the state of a node and its age.
 func TestNodeGauges(t *testing.T) {
 	is := is.New(t)
 	r := prometheus.NewRegistry()
--- a/citronstat/store.go
+++ b/citronstat/store.go
@@ -20,8 +20,8 @@
 	})
 }
 
-// results are the errors that have a result of their own, in the order in which
-// they are checked.
+// results are the errors that have their own value of the result label, in the
+// order in which they are checked. Any other error counts as unavailable.
 var results = []struct {
 	err  error
 	name string
--- a/citronwire/wire.go
+++ b/citronwire/wire.go
@@ -7,9 +7,9 @@
 // A procedure is mounted with Handle and called through a Unary client:
 //
 //	mux := http.NewServeMux()
-//	citronwire.Handle(mux, "/citron.kv/Get", s.get)
-//	get := citronwire.NewUnary[getRequest, getResponse](hc, "http://127.0.0.1:7000", "/citron.kv/Get")
-//	res, err := get.Call(ctx, &getRequest{Key: "config/fleet"})
+//	citronwire.Handle(mux, "/citron.kv.v1/Get", s.get)
+//	get := citronwire.NewUnary[getRequest, getResponse](hc, "http://127.0.0.1:7000", "/citron.kv.v1/Get")
+//	res, err := get.Call(ctx, &getRequest{Key: "deck/config/fleet"})
 package citronwire
 
 import (
@@ -27,7 +27,7 @@
 )
 
 // jsonCodec encodes wire types with encoding/json. It is named "json" to replace
-// connect's protobuf-JSON jsonCodec.
+// connect's codec of this name, which encodes only protobuf messages.
 type jsonCodec struct{}
 
 func (jsonCodec) Name() string                  { return "json" }
@@ -135,8 +135,8 @@
 // not run there.
 const LeavingHeader = "Citron-Leaving"
 
-// Leaving returns the error with which the leaving back end name rejects new
-// work.
+// Leaving returns the error with which a back end that is leaving rejects new
+// work. name is the name of the back end.
 func Leaving(name string) error {
 	err := connect.NewError(connect.CodeUnavailable, errors.Newf("%s is leaving", name))
 	err.Meta().Set(LeavingHeader, name)
