--- a/citroncli/cases_test.go
+++ b/citroncli/cases_test.go
@@ -13,7 +13,7 @@
 
 // caseFiles are the files that hold regression cases: a line "$ citrondeck ARGS"
 // followed by the expected output, up to an empty line. The console blocks of the
-// operators' pages are cases too, so their examples cannot drift from the program.
+// operators' pages are cases too, so their examples always match the program.
 // Set UPDATE_CASES=1 to replace the expected output by the current output.
 var caseFiles = []string{"citroncli/testdata/cases.txt", "docs/OPERATORS.md", "docs/OPERATIONS.md"}
 
--- a/citroncli/engine.go
+++ b/citroncli/engine.go
@@ -2,8 +2,8 @@
 
 // The engine command runs the stand-in model engine. It holds layers [from, to)
 // of a model and processes up to --capacity tokens per second. On SIGTERM it
-// marks itself as leaving in the instance list, rejects new requests and finishes
-// its requests in flight before it exits.
+// marks itself as leaving in the instance list and rejects new requests. It exits
+// when its requests in flight are finished, after --drain at the latest.
 
 import (
 	"context"
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// drainUntil waits until idle returns true, at most for limit.
+// drainUntil waits until idle returns true, but no longer than limit.
 func drainUntil(clock citronclock.Clock, limit time.Duration, idle func() bool) {
 	end := clock.Now().Add(limit)
 	for !idle() && clock.Now().Before(end) {
--- a/citroncli/events.go
+++ b/citroncli/events.go
@@ -1,7 +1,7 @@
 package citroncli
 
 // The events command prints the catalogue of numbered log events, which is the
-// text of docs/EVENTS.md.
+// table in docs/EVENTS.md.
 
 import "citrondeck.dev/citrondeck/citronevent"
 
--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -1,7 +1,7 @@
 package citroncli
 
-// The node command runs a node on the users' platform. An environment variable
-// or --settings names its settings file.
+// The node command runs a node on the users' platform. --settings or the
+// environment variable CITRONDECK_SETTINGS names its settings file.
 
 import (
 	"context"
@@ -42,16 +42,16 @@
 	// lost renewals, and it is short enough that a dead leader is replaced well
 	// before missing layer ranges affect callers.
 	leaderLease = 2500 * time.Millisecond
-	// directoryTTL is how long callers may cache an answer of the directory. Some
-	// callers cache it three times as long, and a stopping node accepts streams
-	// for 2.5 s.
+	// directoryTTL is how long callers may cache an answer of the directory. Three
+	// times directoryTTL must be less than 2.5 s: some callers cache the answer
+	// three times as long, and a stopping node accepts streams for 2.5 s.
 	directoryTTL = 700 * time.Millisecond
 	// maxBody is the maximum size of a request body in bytes.
 	maxBody = 64 << 20
 	// memoryLimitBytes is the Go memory limit in bytes per megabyte of the node's
-	// memory; above it the runtime collects garbage more often. The rest is for
-	// memory that the runtime does not count, because a process over its limit is
-	// killed.
+	// memory; near this limit the runtime collects garbage more often. The rest of
+	// the megabyte is left for memory that the runtime does not count, because a
+	// process that exceeds the node's memory is killed.
 	memoryLimitBytes = 600 << 10
 )
 
--- a/citronload/caller.go
+++ b/citronload/caller.go
@@ -57,8 +57,9 @@
 
 // list returns the entries to use. If the cached list has expired, it asks the
 // seed and then the entries on the list for a new one. If none returns a
-// non-empty list, it returns the old list with the last error and tries again
-// after a second.
+// non-empty list, it returns the old list, and the next call after a second asks
+// again. The error is then that of the last entry asked, or nil if that entry
+// returned an empty list.
 func (d *directory) list(ctx context.Context) ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -105,7 +106,8 @@
 }
 
 // submit sends one request until it has a final response or its tries are used
-// up. Each try goes to another entry with the same idempotency key.
+// up. Each try goes to another entry while there is an untried one. A request to a
+// non-idempotent service carries the same idempotency key in all tries.
 func submit(ctx context.Context, hc *http.Client, p Plan, dir *directory, j job) outcome {
 	customer := p.Fleet.Customers[j.index%len(p.Fleet.Customers)].Name
 	b := submitRequest{Customer: customer}
@@ -158,8 +160,8 @@
 	return o
 }
 
-// pickEntry returns the entry for the t-th try: the first after position t that
-// has not been tried, or the one at position t if all have.
+// pickEntry returns the first entry at or after position t, taken modulo the length
+// of the list, that has not been tried, or the one at position t if all have.
 func pickEntry(entries []string, t int, tried map[string]bool) string {
 	for i := range entries {
 		if addr := entries[(t+i)%len(entries)]; !tried[addr] {
--- a/citronload/load.go
+++ b/citronload/load.go
@@ -1,8 +1,8 @@
 // Package citronload is a load generator that checks every response. It asks an
 // entry for the list of entries, caches the list for its time to live, sends a
-// surge of requests to these entries and compares the responses with an oracle.
-// If an entry does not respond, the request is retried at the next entry with
-// the same idempotency key, as a real caller would do.
+// surge of requests to these entries and compares the responses with the expected
+// ones. If an entry does not respond, the request is retried at the next entry
+// with the same idempotency key, if it has one, as a real caller would do.
 package citronload
 
 import (
--- a/citronload/report.go
+++ b/citronload/report.go
@@ -25,8 +25,8 @@
 	Tokens                int64
 	Elapsed               time.Duration
 	Latency               *hdrhistogram.Histogram // in microseconds
-	// BoundTokensPerSecond is the token rate that the hardware of the model
-	// services allows.
+	// BoundTokensPerSecond is the sum of the maximum rates of the model services
+	// in the surge (see Service.Bound in citronfleet).
 	BoundTokensPerSecond float64
 	Entries              int // entries on the list at the start
 	// FailedTries is the number of tries without a response: connection
@@ -39,8 +39,8 @@
 }
 
 // outcome is the result of one request. final is the outcome or error code of the
-// last response, "http_" and the status if that has neither, or "lost" without a
-// response.
+// last response, "http_" and the status if that response has neither, or "lost" if
+// there was no response.
 type outcome struct {
 	final         string
 	tokens        int
