--- a/citronsoak/crash_test.go
+++ b/citronsoak/crash_test.go
@@ -29,13 +29,14 @@
 	propagationTime = 3 * time.Second
 )
 
-// Guards against a request that crashes engines without limit. A customer retried
+// TestRequestThatCrashesEnginesIsStopped guards against a request that crashes engines
+// without limit. A customer retried
 // such a request every two seconds at any node, and each engine crashed about 60 ms
 // after it began to run it: three at 37.19, 37.30 and 37.39 s, three more at 39.16,
-// 39.28 and 39.36 s, and so on. It crashed 22 engines, and 13 of its sends came after
-// all nodes could have known. The nodes kept no record of a crash beyond the attempt
-// and told other nodes nothing. Meanwhile five of six streams of other callers were
-// rejected or broken.
+// 39.28 and 39.36 s, and so on. It crashed 22 engines, and it was sent 13 times after
+// all nodes could have known that it crashes engines. The nodes forgot a crash when the
+// attempt ended and did not report it to other nodes. Meanwhile five of six streams of
+// other callers were rejected or broken.
 func TestRequestThatCrashesEnginesIsStopped(t *testing.T) {
 	w := newWorld(t, build(t))
 	for range 3 {
@@ -54,8 +55,9 @@
 	w.checkCrashes()
 }
 
-// Guards against nodes that forget a request that crashes engines, or send it again,
-// because they are killed, stopped, frozen or cut off from the store meanwhile.
+// TestSoakWithCrashingRequest guards against nodes that forget a request that crashes
+// engines, or send it again, because they are killed, stopped, frozen or cut off from the
+// store meanwhile.
 func TestSoakWithCrashingRequest(t *testing.T) {
 	binary := build(t)
 	for i := range *soakSeeds {
@@ -83,8 +85,8 @@
 }
 
 // sendCrashingRequests sends the request that crashes engines to one node after the
-// other until end. Its id ends in "true" if the node has been without a fault for
-// long enough to know of earlier crashes.
+// other until end. The request's id ends in "true" if the node has been without a fault
+// for propagationTime, which is long enough to learn of earlier crashes.
 func (w *world) sendCrashingRequests(end time.Time) {
 	hc := &http.Client{Timeout: callTimeout}
 	for i := 0; time.Now().Before(end); i++ {
--- a/citronsoak/doc.go
+++ b/citronsoak/doc.go
@@ -7,6 +7,6 @@
 // engines that announce rate limits.
 //
 //	go test ./citronsoak                                  short seeded runs
-//	go test ./citronsoak -soak.seeds 50 -soak.seconds 20  by hand
+//	go test ./citronsoak -soak.seeds 50 -soak.seconds 20  long runs, started by hand
 //	go test ./citronsoak -run TestSoak$ -soak.seed 7      repeat one seed
 package citronsoak
--- a/citronsoak/engine_test.go
+++ b/citronsoak/engine_test.go
@@ -24,8 +24,8 @@
 	plainCallTime = 15 * time.Millisecond
 )
 
-// drainDeadline is the time after the removal of an engine's entry from which on the
-// engine must get no new requests.
+// drainDeadline is the time that nodes have to stop sending requests to an engine after
+// its entry was removed.
 const drainDeadline = 2 * time.Second
 
 // runLog records what reached the engines, over all engines.
@@ -33,7 +33,8 @@
 	mu sync.Mutex
 	// counts holds the number of runs of each request id.
 	counts map[string]int
-	// lateArrivals describes the requests that reached an engine after drainDeadline.
+	// lateArrivals describes the requests that reached an engine drainDeadline or more
+	// after the removal of its entry.
 	lateArrivals []string
 	// crashes holds the runs of the request that crashes engines, oldest first.
 	crashes []crashedRun
@@ -138,12 +139,12 @@
 	e.mu.Unlock()
 	text, err := json.Marshal(entry)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // unreachable: the entry holds only values that JSON can encode
 	}
 	_, _ = e.store.Put(context.Background(), "servers/"+e.id, text, citronkv.AnyRevision, 0)
 }
 
-// crash stops the engine at once; its entry is deleted a second later.
+// crash stops the engine at once. Its entry is deleted a second later.
 func (e *engine) crash() {
 	e.mu.Lock()
 	e.stopped = true
@@ -212,8 +213,8 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"born": e.startedMS, "kind": e.kind, "sequence": e.accepted, "pace": 1.0, "layers": map[string]int{"from": e.from, "target": e.to}})
 }
 
-// order accepts an order to hold a layer range, if it expects the current count of
-// accepted orders.
+// order accepts an order to hold a layer range, unless the order expects a count of
+// accepted orders other than the current one.
 func (e *engine) order(w http.ResponseWriter, r *http.Request) {
 	var o struct {
 		Operation    string
--- a/citronsoak/limit_test.go
+++ b/citronsoak/limit_test.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	// headerSender names the node process to which the caller sends a request, and tells
-	// whether limits bind that process already. Nodes forward the header to engines.
+	// headerSender names the node process to which the caller sends a request. " bound"
+	// follows if the process has run for startupGrace, so that its requests count against
+	// limits. Nodes forward the header to engines.
 	headerSender = "X-Soak-Sender"
-	// A process learns an engine's limit from the first answer that carries it. Its
-	// requests count from limitGrace later on. In any limitWindow, an engine may get one
-	// and a half times as many of these requests as its limit allows, plus limitSlack.
+	// A process learns an engine's limit from the first answer that carries it. Once
+	// limitGrace has passed after that answer, the requests of the process count. In any
+	// limitWindow, an engine may get one and a half times as many counted requests as its
+	// limit allows, plus limitSlack.
 	limitGrace  = 500 * time.Millisecond
 	limitWindow = 4 * time.Second
 	limitSlack  = 5
 	// startupGrace is the time after a process was started or resumed during which its
-	// requests do not count. An unreachable store is no excuse.
+	// requests do not count. While the store is unreachable, they do count.
 	startupGrace = time.Second
 	// limitInterval is the time between the announcements of two limits.
 	limitInterval = time.Second
@@ -167,9 +169,9 @@
 	w.t.Logf("%d engines announced limits", announced)
 }
 
-// Guards against nodes that exceed the rate limit that an engine announces while nodes,
-// also those that issue permits, are killed, stopped, frozen or cut off, engines start
-// and leave, and limits begin and end.
+// TestSoakWithRateLimits checks that nodes do not exceed the rate limits that engines
+// announce. Meanwhile nodes, including permit issuers, are killed, stopped, frozen or cut
+// off from the store, engines start and leave, and limits begin and end.
 func TestSoakWithRateLimits(t *testing.T) {
 	binary := build(t)
 	for i := range *soakSeeds {
--- a/citronsoak/nodes_test.go
+++ b/citronsoak/nodes_test.go
@@ -14,7 +14,8 @@
 	"citrondeck.dev/citrondeck/citronport"
 )
 
-// node is an instance that runs one node process after the other.
+// node is one node of the fleet. It keeps its name and addresses, and runs one process
+// after the other.
 type node struct {
 	name, dir, binary string
 	front, ready      string
@@ -104,7 +105,7 @@
 	n.cmd.Stdout, n.cmd.Stderr = n.log, n.log
 	n.process++
 	if err := n.cmd.Start(); err != nil {
-		t.Errorf("start %s: %v", n.name, err)
+		t.Errorf("start node %s: %v", n.name, err)
 	}
 }
 
@@ -120,7 +121,7 @@
 	n.mu.Lock()
 	cmd := n.cmd
 	n.mu.Unlock()
-	_ = cmd.Wait() // the process was killed or asked to stop
+	_ = cmd.Wait() // an error is expected: the process was killed or asked to stop
 }
 
 // killProcess kills the current process and waits until it has exited.
--- a/citronsoak/proxy_test.go
+++ b/citronsoak/proxy_test.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// reset closes c with a TCP reset, so that the peer sees no regular end of the stream.
+// reset closes c with a TCP reset, so that the peer gets an error instead of a regular
+// end of the stream.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
--- a/citronsoak/return_test.go
+++ b/citronsoak/return_test.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// maxCopyAge is the maximum age of the copy from which the store is restored, and
-	// outageTime the time for which the store is unreachable before that.
+	// maxCopyAge is the maximum age of a copy of the store at the beginning of the outage
+	// that ends with its restoration. outageTime is the length of that outage.
 	maxCopyAge = 4 * time.Second
 	outageTime = 400 * time.Millisecond
-	// rewriteTime is the time within which the engines and the operator write again
-	// what the copy lacks. expiryTime is the time after which the entries of
-	// stopped engines expire.
+	// rewriteTime bounds the time within which the engines and the operator write again
+	// what the copy lacks; they do so after half of it. The restored entries of stopped
+	// engines expire expiryTime later.
 	rewriteTime = 800 * time.Millisecond
 	expiryTime  = 1500 * time.Millisecond
 )
 
-// Guards against broken guarantees when the store is restored from an older copy while
-// all other faults are injected too. The copy misses what was written after it: engines
-// that started or left, configuration versions, and the leader. Engines also leave after
-// the store is restored.
+// TestSoakWithRestoredStore checks the guarantees of TestSoak while the store is
+// restored from older copies and all other faults are injected too. A copy lacks what
+// was written after it: engines that started or left, configuration versions, and the
+// leader. Engines also leave after the store is restored.
 func TestSoakWithRestoredStore(t *testing.T) {
 	binary := build(t)
 	for i := range *soakSeeds {
@@ -41,7 +41,7 @@
 	}
 }
 
-// restoreStore restores the store from older copies again and again until end.
+// restoreStore repeatedly copies the store and restores it from that copy, until end.
 func (w *world) restoreStore(r *rand.Rand, end time.Time) {
 	for time.Now().Before(end) {
 		snapshot := w.store.Copy()
@@ -91,7 +91,7 @@
 func (w *world) expireEntries() {
 	items, _, err := w.store.Range(context.Background(), "servers/")
 	if err != nil {
-		w.t.Errorf("read entries: %v", err)
+		w.t.Errorf("read the entries of the engines from the store: %v", err)
 	}
 	running := map[string]bool{}
 	for _, e := range w.running() {
--- a/citronsoak/soak_test.go
+++ b/citronsoak/soak_test.go
@@ -73,8 +73,8 @@
 	restoring bool
 }
 
-// Guards against broken guarantees under faults that occur one after the other and at
-// the same time. Nodes are killed, stopped, frozen and restarted, and engines crash and
+// TestSoak checks that the nodes keep their guarantees under faults that occur one after
+// the other and at the same time. Nodes are killed, stopped, frozen and restarted, and engines crash and
 // leave. The link to the store is slow, stalled, cut in one direction or resets
 // connections, for one node or for all. Meanwhile:
 //
@@ -185,10 +185,10 @@
 		}}},
 	})
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // unreachable: the configuration holds only values that JSON can encode
 	}
 	if _, err := w.store.Put(context.Background(), "op/config", text, citronkv.AnyRevision, 0); err != nil {
-		w.t.Errorf("write configuration: %v", err)
+		w.t.Errorf("write configuration version %d: %v", v, err)
 	}
 	w.version.Store(v)
 }
@@ -233,14 +233,15 @@
 	// the leader's lease.
 	freezeTime = 3 * time.Second
 	// afterFreeze is the time between the end of the freeze and the removal of an
-	// engine's entry. The node that was frozen must know of the removal again
-	// once drainDeadline has passed.
+	// engine's entry. The node that was frozen must know of the removal once
+	// drainDeadline has passed, like any other node.
 	afterFreeze = time.Second
 )
 
-// checkRemovalAfterFreeze freezes the leader until its lease has expired, and soon
-// after removes the entry of an engine. However the node interprets what it finds when
-// it resumes, it must not send requests to that engine after drainDeadline.
+// checkRemovalAfterFreeze freezes the leader until its lease has expired, resumes it, and
+// removes the entry of an engine afterFreeze later. Whatever the node concludes from the
+// state of the store when it resumes, it must not send requests to that engine once
+// drainDeadline has passed after the removal.
 func (w *world) checkRemovalAfterFreeze() {
 	n := w.leader()
 	n.signal(syscall.SIGSTOP)
@@ -253,7 +254,7 @@
 	w.runs.mu.Lock()
 	defer w.runs.mu.Unlock()
 	for _, late := range w.runs.lateArrivals {
-		w.t.Errorf("a request reached an engine after its entry was removed: %s; %s was the leader and was frozen before", late, n.name)
+		w.t.Errorf("a request reached an engine %v or more after the removal of its entry: %s; %s was the leader and was frozen before", drainDeadline, late, n.name)
 	}
 }
 
@@ -477,9 +478,9 @@
 	return w.newestServed[fmt.Sprint(n.name, process)]
 }
 
-// checkVersion reports an error if a process does not know the route of version v,
-// although before the request was sent a caller observed that version or a newer one
-// there.
+// checkVersion checks the answer to a request for a route of the configuration. seen is
+// the newest version that this process had served before the request was sent. It reports
+// an error if the process does not know a route of that version or an older one.
 func (w *world) checkVersion(n *node, process int, path string, seen int64, a answer) {
 	var v int64
 	if _, err := fmt.Sscanf(path, "/v%d/", &v); err != nil {
@@ -492,17 +493,18 @@
 		w.newestServed[key] = max(w.newestServed[key], v)
 	}
 	if a.status == http.StatusNotFound && v <= seen {
-		w.t.Errorf("%s: version %d was in effect, and its route or an older one is unknown again", n.name, seen)
+		w.t.Errorf("%s: %s got status 404, although this process had served version %d, which has this route", n.name, path, seen)
 	}
 }
 
-// checkNotRun reports an error for each request that ran, even after its answer,
-// although its caller was told that it did not run.
+// checkNotRun reports an error for each request that ran although its caller was told
+// that it did not run. It waits 500 ms first, to find also runs that begin after the
+// answer.
 func (w *world) checkNotRun() {
 	time.Sleep(500 * time.Millisecond)
 	for _, id := range w.notRun {
 		if w.runs.count(id) > 0 {
-			w.t.Errorf("%s: the caller was told that it did not run, but it did", id)
+			w.t.Errorf("request %s ran, although its caller was told that it did not run", id)
 		}
 	}
 }
--- a/citronsoak/store_test.go
+++ b/citronsoak/store_test.go
@@ -56,7 +56,7 @@
 
 func (s *storeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	// The era is the number of times the store has been restored from an older copy.
-	// A call during which the store is restored reports the era before.
+	// A call during which the store is restored reports the era before that.
 	w.Header().Set("Store-Era", strconv.FormatInt(s.kv.Era(), 10))
 	v, err := s.call(r)
 	switch {
@@ -104,7 +104,7 @@
 func number(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		return 0 // all callers send numbers
+		return 0 // not reached: nodes send only numbers here
 	}
 	return n
 }
@@ -121,8 +121,9 @@
 	return map[string]any{"events": wire(items), "storeRevision": rev.Number()}, err
 }
 
-// commit runs a transaction. It checks each expected revision with the write of its
-// key, so it is not atomic.
+// commit runs a transaction. It is not atomic: the expected revision of a key is checked
+// when that key is written or removed, after earlier keys were changed. It is not checked
+// if the transaction neither writes nor removes the key.
 func (s *storeServer) commit(ctx context.Context, r *http.Request) (any, error) {
 	var t txn
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
