--- a/citronengine/batch.go
+++ b/citronengine/batch.go
@@ -13,7 +13,7 @@
 // to its capacity, highest priority first.
 const batchTick = 5 * time.Millisecond
 
-// batcher imitates the continuous batching of an engine. Queued steps share the
+// batcher simulates the continuous batching of an engine. Queued steps share the
 // capacity, ordered by priority and then by arrival. Its goroutine runs only while
 // steps are queued.
 type batcher struct {
@@ -41,8 +41,8 @@
 	return len(b.queue)
 }
 
-// wait blocks until a batch takes the step or ctx ends. Without a capacity limit, it
-// does not block.
+// wait blocks until a batch takes the step or ctx ends. It does not block without a
+// capacity limit, or if no step is queued and the credit covers the cost.
 func (b *batcher) wait(ctx context.Context, cost, priority int) error {
 	if b.capacity <= 0 {
 		return ctx.Err()
--- a/citronengine/client.go
+++ b/citronengine/client.go
@@ -79,8 +79,8 @@
 	Waiting int
 }
 
-// Status requests the report of the engine. The response does not queue behind steps,
-// so it distinguishes a busy engine from a frozen one.
+// Status requests the report of the engine. The request does not queue behind steps, so
+// a busy engine still answers it and a frozen one does not.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	r, err := c.status.Call(ctx, &statusRequest{})
 	if err != nil {
@@ -89,8 +89,9 @@
 	return Status{From: r.From, To: r.To, Leaving: r.Leaving, Waiting: r.Waiting}, nil
 }
 
-// Move exports the KV cache of a request from the engine of c and imports it into that
-// of to, under the new attempt number. It returns the next position of the request.
+// Move exports the KV cache of a request from the engine of c and imports it into the
+// engine of to, under the given attempt number. The engine of c keeps its copy. Move
+// returns the next position of the request.
 func (c *Client) Move(ctx context.Context, to *Client, request string, attempt int) (int, error) {
 	st, err := c.exportCache.Call(ctx, &sequenceRequest{Request: request})
 	if err != nil {
@@ -109,8 +110,8 @@
 	return err
 }
 
-// Events returns the kept cache events after a sequence number. A gap in the sequence
-// numbers means that events were lost.
+// Events returns the cache events after a sequence number that the engine still holds.
+// A gap in the sequence numbers means that events were lost.
 func (c *Client) Events(ctx context.Context, after int64) ([]CacheEvent, error) {
 	r, err := c.events.Call(ctx, &eventsRequest{After: after})
 	if err != nil {
--- a/citronengine/prefix.go
+++ b/citronengine/prefix.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// since returns the kept events with sequence numbers above after.
+// since returns the events still held with sequence numbers above after.
 func (l *eventLog) since(after int64) []CacheEvent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,7 +108,7 @@
 	waiting int
 }
 
-// record adds a sample and drops the samples that are no longer needed by at.
+// record adds a sample and drops the samples that method at no longer needs.
 func (l *laggedLoad) record(now time.Time, waiting int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/citronsoak/crash_test.go
+++ b/citronsoak/crash_test.go
@@ -17,13 +17,15 @@
 	crashBody    = "crash"
 	crashDelay   = 60 * time.Millisecond
 	restartDelay = time.Second
-	// crashInterval is the time between two such requests. They are sent for
-	// crashDuration.
+	// crashInterval is the pause after each such request. In
+	// TestRequestThatCrashesEnginesIsStopped, they are sent for crashDuration.
 	crashInterval = 300 * time.Millisecond
 	crashDuration = 9 * time.Second
 	// After a request has crashed crashThreshold engines and propagationTime has
 	// passed, it may reach engines at most maxLateRuns more times. propagationTime is
-	// the time within which all nodes without a fault learn of the crashes.
+	// the time within which all nodes without a fault learn of the crashes. A request
+	// does not count if the node to which it was sent had a fault less than
+	// propagationTime before.
 	crashThreshold  = 3
 	maxLateRuns     = 3
 	propagationTime = 3 * time.Second
@@ -97,8 +99,8 @@
 	}
 }
 
-// checkCrashes fails if the request reached engines too often after all nodes had
-// time to learn that it crashes them.
+// checkCrashes reports an error if the request reached engines more than maxLateRuns
+// times after all nodes had time to learn that it crashes them.
 func (w *world) checkCrashes() {
 	w.runs.mu.Lock()
 	defer w.runs.mu.Unlock()
