--- a/citroncli/entry.go
+++ b/citroncli/entry.go
@@ -2,7 +2,8 @@
 
 // The entry command runs an entry instance. Settings come from a YAML file
 // (--settings) and from flags; a flag overrides the file. On SIGTERM the entry
-// leaves discovery, finishes its requests in flight and exits.
+// leaves discovery, rejects new requests after a grace time, and exits when no request
+// is in flight.
 
 import (
 	"context"
--- a/citronload/caller.go
+++ b/citronload/caller.go
@@ -57,9 +57,9 @@
 
 // list returns the entries to use. If the cached list has expired, it asks the
 // seed and then the entries on the list for a new one. If none returns a
-// non-empty list, it returns the old list, and the next call after a second asks
-// again. The error is then that of the last entry asked, or nil if that entry
-// returned an empty list.
+// non-empty list, it returns the old list and does not ask again for a second. The
+// error is then that of the last entry asked, or nil if that entry returned an
+// empty list. Calls during that second return the old list without an error.
 func (d *directory) list(ctx context.Context) ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/citronsoak/crash_test.go
+++ b/citronsoak/crash_test.go
@@ -32,13 +32,12 @@
 )
 
 // TestRequestThatCrashesEnginesIsStopped guards against a request that crashes engines
-// without limit. A customer retried
-// such a request every two seconds at any node, and each engine crashed about 60 ms
-// after it began to run it: three at 37.19, 37.30 and 37.39 s, three more at 39.16,
-// 39.28 and 39.36 s, and so on. It crashed 22 engines, and it was sent 13 times after
-// all nodes could have known that it crashes engines. The nodes forgot a crash when the
-// attempt ended and did not report it to other nodes. Meanwhile five of six streams of
-// other callers were rejected or broken.
+// without limit. A customer retried such a request every two seconds at any node, and
+// each engine crashed about 60 ms after it began to run it: three at 37.19, 37.30 and
+// 37.39 s, three more at 39.16, 39.28 and 39.36 s, and so on. It crashed 22 engines,
+// and it was sent 13 times after all nodes could have known that it crashes engines.
+// The nodes forgot a crash when the attempt ended and did not report it to other nodes.
+// Meanwhile five of six streams of other callers were rejected or broken.
 func TestRequestThatCrashesEnginesIsStopped(t *testing.T) {
 	w := newWorld(t, build(t))
 	for range 3 {
--- a/citronsoak/soak_test.go
+++ b/citronsoak/soak_test.go
@@ -73,10 +73,10 @@
 	restoring bool
 }
 
-// TestSoak checks that the nodes keep their guarantees under faults that occur one after
-// the other and at the same time. Nodes are killed, stopped, frozen and restarted, and engines crash and
-// leave. The link to the store is slow, stalled, cut in one direction or resets
-// connections, for one node or for all. Meanwhile:
+// TestSoak checks that the nodes keep their guarantees under faults that occur one
+// after the other and at the same time. Nodes are killed, stopped, frozen and
+// restarted, and engines crash and leave. The link to the store is slow, stalled, cut
+// in one direction or resets connections, for one node or for all. Meanwhile:
 //
 //   - a successful answer is complete and belongs to its request;
 //   - a non-idempotent request runs at most once, and never if its caller was told that
