--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -73,10 +73,10 @@
 
 // proven records that the request has run successfully.
 func (j *job) proven() {
-	if j.sound {
+	if j.ranSuccessfully {
 		return
 	}
-	j.sound = true
+	j.ranSuccessfully = true
 	if !j.f.Quarantine.Empty() {
 		j.f.Quarantine.Succeeded(j.fingerprint())
 	}
@@ -86,7 +86,7 @@
 // at began. If it did, noteCrash records a crash, unless the request has already run
 // successfully.
 func (j *job) noteCrash(ctx context.Context, e *citronpool.Engine, began time.Time) {
-	if !j.f.hasEnded(ctx, e) || j.sound {
+	if !j.f.hasEnded(ctx, e) || j.ranSuccessfully {
 		return
 	}
 	r, changed := j.f.Quarantine.Crashed(j.fingerprint(), e.ID, began)
--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -139,8 +139,8 @@
 	runs, refused int
 	// lostRuns counts the runs on engines whose process has ended since.
 	lostRuns int
-	// sound reports whether the request has run successfully under this ID.
-	sound bool
+	// ranSuccessfully reports whether the request has run successfully under this ID.
+	ranSuccessfully bool
 	// cacheUsage is the cache usage of the fullest engine on the best path, set if the
 	// request is refused because of it.
 	cacheUsage float64
