--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -137,8 +137,8 @@
 	// runs counts the engines that may have run the request; refused counts the engines
 	// that did not run it.
 	runs, refused int
-	// lostRuns counts the runs on engines whose process has ended since.
-	lostRuns int
+	// runsOnEndedEngines counts the runs on engines whose process has ended since.
+	runsOnEndedEngines int
 	// ranSuccessfully reports whether the request has run successfully under this ID.
 	ranSuccessfully bool
 	// cacheUsage is the cache usage of the fullest engine on the best path, set if the
@@ -341,7 +341,7 @@
 func (j *job) giveUp(ctx context.Context, reason string) {
 	status := http.StatusServiceUnavailable
 	after := j.retryAfter
-	if j.runs+j.lostRuns > 0 {
+	if j.runs+j.runsOnEndedEngines > 0 {
 		// An engine may have run the request, so the response must not invite a retry.
 		status = http.StatusBadGateway
 		if ctx.Err() != nil {
@@ -349,7 +349,7 @@
 		}
 		after = -1
 	}
-	j.f.refuse(j.Request, j.out, status, after, reason, "service", j.service.Name, "customer", j.customer, "print", j.fingerprint(), "runs", j.runs+j.lostRuns, "refused", j.refused, "limit", j.limit, "used", math.Round(100*j.cacheUsage)/100)
+	j.f.refuse(j.Request, j.out, status, after, reason, "service", j.service.Name, "customer", j.customer, "print", j.fingerprint(), "runs", j.runs+j.runsOnEndedEngines, "refused", j.refused, "limit", j.limit, "used", math.Round(100*j.cacheUsage)/100)
 }
 
 // left returns the time until the deadline, negative if it has passed.
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -228,7 +228,7 @@
 	ended := s.firstEngineEnded()
 	resume := s.mayResume()
 	if ended {
-		s.lostRuns++
+		s.runsOnEndedEngines++
 	} else {
 		s.runs++
 	}
