--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -149,8 +149,8 @@
 	retryAfter time.Duration
 	// permits tracks the permits requested from engines that have a rate limit.
 	permits permits
-	// limit is the limit that prevented the last retry, if any.
-	limit retryLimit
+	// reachedLimit is the limit that prevented the last retry, if any.
+	reachedLimit retryLimit
 	// cachedFingerprint is the request's fingerprint, nil until it is first needed.
 	cachedFingerprint *citronquarantine.Print
 }
@@ -349,7 +349,7 @@
 		}
 		after = -1
 	}
-	j.f.refuse(j.Request, j.out, status, after, reason, "service", j.service.Name, "customer", j.customer, "print", j.fingerprint(), "runs", j.runs+j.runsOnEndedEngines, "refused", j.refused, "limit", j.limit, "used", math.Round(100*j.cacheUsage)/100)
+	j.f.refuse(j.Request, j.out, status, after, reason, "service", j.service.Name, "customer", j.customer, "print", j.fingerprint(), "runs", j.runs+j.runsOnEndedEngines, "refused", j.refused, "limit", j.reachedLimit, "used", math.Round(100*j.cacheUsage)/100)
 }
 
 // left returns the time until the deadline, negative if it has passed.
@@ -370,7 +370,7 @@
 // within returns ok. If ok is false, it records l as the limit that was reached.
 func (j *job) within(l retryLimit, ok bool) bool {
 	if !ok {
-		j.limit = l
+		j.reachedLimit = l
 	}
 	return ok
 }
@@ -384,7 +384,7 @@
 func (j *job) takeBudget() bool {
 	for attempt := 0; ; attempt++ {
 		if j.f.Budget.Take(j.service.Name, j.f.Clock.Now()) {
-			j.limit = ""
+			j.reachedLimit = ""
 			return true
 		}
 		if attempt == maxBorrowAttempts || j.f.Borrow == nil || !j.f.Borrow(j.service.Name) {
@@ -392,6 +392,6 @@
 		}
 	}
 	j.f.Metrics.BudgetSpent.Inc()
-	j.limit = budgetUsed
+	j.reachedLimit = budgetUsed
 	return false
 }
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -149,7 +149,7 @@
 		}
 	}
 	if s.begun {
-		citronevent.Log(ctx, j.f.Log, citronevent.StreamBroken, "request", j.ID, "reason", reason, "print", j.fingerprint(), "lastEvent", s.lastEventID, "runs", j.runs, "limit", j.limit, "left", j.left())
+		citronevent.Log(ctx, j.f.Log, citronevent.StreamBroken, "request", j.ID, "reason", reason, "print", j.fingerprint(), "lastEvent", s.lastEventID, "runs", j.runs, "limit", j.reachedLimit, "left", j.left())
 		j.out.Abort()
 		return
 	}
@@ -210,7 +210,7 @@
 // shouldRetry reports whether there is another run after one that did not finish the
 // stream.
 func (s *streamJob) shouldRetry(ctx context.Context, v runOutcome) bool {
-	s.limit = ""
+	s.reachedLimit = ""
 	switch v {
 	case callerLeft:
 		s.runs++ // the engines may have started to run the request
