--- a/citronforward/admit.go
+++ b/citronforward/admit.go
@@ -60,7 +60,7 @@
 		}
 		if s.f.Clock.Now().Add(capacityPollInterval).After(until) || s.f.Clock.Sleep(ctx, capacityPollInterval) != nil {
 			s.cacheUsage = cacheUsage
-			s.retryAfter = spreadRetryAfter(s.left(), rand.Float64())
+			s.retryAfter = spreadRetryAfter(s.timeLeft(), rand.Float64())
 			return nil, true, false
 		}
 	}
--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -266,7 +266,7 @@
 		return false
 	}
 	st := j.f.Stopping()
-	duration := j.left()
+	duration := j.timeLeft()
 	if j.route.Kind == citrontable.Streaming {
 		duration = min(duration, maxFirstEvent+maxTokenTime*time.Duration(j.OutputTokens))
 		if st.Since < stopAccept || !st.Others && st.Since < stopAcceptAlone {
@@ -352,8 +352,8 @@
 	j.f.refuse(j.Request, j.out, status, after, reason, "service", j.service.Name, "customer", j.customer, "print", j.fingerprint(), "runs", j.runs+j.runsOnEndedEngines, "refused", j.refused, "limit", j.reachedLimit, "used", math.Round(100*j.cacheUsage)/100)
 }
 
-// left returns the time until the deadline, negative if it has passed.
-func (j *job) left() time.Duration { return j.deadline.Sub(j.f.Clock.Now()) }
+// timeLeft returns the time until the deadline, negative if it has passed.
+func (j *job) timeLeft() time.Duration { return j.deadline.Sub(j.f.Clock.Now()) }
 
 // mayRetry reports whether the request may be retried after an engine may have run it.
 // If so, it charges the retry to the budget.
--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -93,7 +93,7 @@
 	if !j.permits.mayWait {
 		return 0
 	}
-	maxWait := time.Duration(maxPermitWaitShare * float64(max(0, j.left())))
+	maxWait := time.Duration(maxPermitWaitShare * float64(max(0, j.timeLeft())))
 	if j.route.Kind == citrontable.Streaming && j.route.Target > 0 {
 		maxWait = min(maxWait, maxPermitWaitTargets*j.route.Target)
 	}
@@ -156,7 +156,7 @@
 	if j.permits.denials == 0 {
 		return false
 	}
-	j.retryAfter = max(j.permits.freeIn, spreadRetryAfter(j.left(), rand.Float64()))
+	j.retryAfter = max(j.permits.freeIn, spreadRetryAfter(j.timeLeft(), rand.Float64()))
 	return true
 }
 
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -149,7 +149,7 @@
 		}
 	}
 	if s.begun {
-		citronevent.Log(ctx, j.f.Log, citronevent.StreamBroken, "request", j.ID, "reason", reason, "print", j.fingerprint(), "lastEvent", s.lastEventID, "runs", j.runs, "limit", j.reachedLimit, "left", j.left())
+		citronevent.Log(ctx, j.f.Log, citronevent.StreamBroken, "request", j.ID, "reason", reason, "print", j.fingerprint(), "lastEvent", s.lastEventID, "runs", j.runs, "limit", j.reachedLimit, "left", j.timeLeft())
 		j.out.Abort()
 		return
 	}
@@ -346,7 +346,7 @@
 	defer cancel()
 	w := newWatch(ctx, s)
 	replies := make(chan sendResult, 1)
-	call := citronupstream.Call{Request: s.Request, Engine: s.path[0].Engine, Hops: s.path, Customer: s.customer, Left: s.left(), After: s.lastEventID, Once: !s.route.Idempotent(), Urgent: s.begun}
+	call := citronupstream.Call{Request: s.Request, Engine: s.path[0].Engine, Hops: s.path, Customer: s.customer, Left: s.timeLeft(), After: s.lastEventID, Once: !s.route.Idempotent(), Urgent: s.begun}
 	go func() {
 		reply, err := s.f.send(ctx, call)
 		replies <- sendResult{reply, err}
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -115,7 +115,7 @@
 
 // logAttempt logs a failed attempt. more holds further keys and values for the log line.
 func (j *job) logAttempt(e *citronpool.Engine, res result, more ...any) {
-	args := []any{"request", j.ID, "print", j.fingerprint(), "service", j.service.Name, "engine", e.ID, "peer", e.Addr, "outcome", res.outcome.String(), "status", res.status, "runs", j.runs, "list", j.list.String(), "left", j.left()}
+	args := []any{"request", j.ID, "print", j.fingerprint(), "service", j.service.Name, "engine", e.ID, "peer", e.Addr, "outcome", res.outcome.String(), "status", res.status, "runs", j.runs, "list", j.list.String(), "left", j.timeLeft()}
 	if res.err != nil {
 		args = append(args, "err", res.err)
 	}
@@ -124,14 +124,14 @@
 
 // attempt sends the request to one engine and reads the complete response.
 func (j *job) attempt(ctx context.Context, e *citronpool.Engine, hops citronpath.Path) result {
-	if timeout := attemptTargets * j.route.Target; j.route.Idempotent() && timeout > 0 && j.runs+1 < j.route.MaxAttempts && timeout < j.left() {
+	if timeout := attemptTargets * j.route.Target; j.route.Idempotent() && timeout > 0 && j.runs+1 < j.route.MaxAttempts && timeout < j.timeLeft() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
 	defer e.Begin(j.Tokens())()
 	begin := j.f.Clock.Now()
-	reply, err := j.f.send(ctx, citronupstream.Call{Request: j.Request, Engine: e, Hops: hops, Customer: j.customer, Left: j.left(), Once: !j.route.Idempotent()})
+	reply, err := j.f.send(ctx, citronupstream.Call{Request: j.Request, Engine: e, Hops: hops, Customer: j.customer, Left: j.timeLeft(), Once: !j.route.Idempotent()})
 	if err != nil {
 		return j.judge(e, err)
 	}
