--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -361,9 +361,9 @@
 	return j.within(crashesUsed, !j.suspect()) && j.within(attemptsUsed, j.route.Idempotent() && j.runs < max(1, j.route.MaxAttempts)) && j.takeBudget()
 }
 
-// mayMove reports whether the request may be sent to another engine after one refused
+// mayTryNextEngine reports whether the request may be sent to another engine after one refused
 // it without running it. If so, it charges the retry to the budget.
-func (j *job) mayMove() bool {
+func (j *job) mayTryNextEngine() bool {
 	return j.within(refusalsUsed, j.refused <= maxRefused) && j.takeBudget()
 }
 
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -220,7 +220,7 @@
 	case runRefused:
 		s.refused++
 		s.retryAfter = retryBusy
-		if s.mayMove() {
+		if s.mayTryNextEngine() {
 			return true
 		}
 		return s.waitForCapacity(ctx)
