--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -237,8 +237,8 @@
 	// Since is the time since the shutdown began; Left is how long the node will still
 	// serve.
 	Since, Left time.Duration
-	// Others reports whether another node accepts client requests.
-	Others bool
+	// OtherNodeServing reports whether another node accepts client requests.
+	OtherNodeServing bool
 }
 
 const (
@@ -269,7 +269,7 @@
 	duration := j.timeLeft()
 	if j.route.Kind == citrontable.Streaming {
 		duration = min(duration, maxFirstEvent+maxTokenTime*time.Duration(j.OutputTokens))
-		if st.Since < stopAccept || !st.Others && st.Since < stopAcceptAlone {
+		if st.Since < stopAccept || !st.OtherNodeServing && st.Since < stopAcceptAlone {
 			return false
 		}
 	}
@@ -277,7 +277,7 @@
 		return false
 	}
 	after := retryStopped
-	if st.Others {
+	if st.OtherNodeServing {
 		after = 0
 	}
 	j.f.refuse(j.Request, j.out, http.StatusServiceUnavailable, after, "this node is stopping")
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -346,13 +346,13 @@
 		after       time.Duration
 	}{
 		{"any stream, shortly after the start of stopping", "stream", citronforward.Stopping{Since: 500 * time.Millisecond, Left: 7 * time.Second}, 600, 200, 0},
-		{"long stream, later", "stream", citronforward.Stopping{Since: 3 * time.Second, Left: 4 * time.Second, Others: true}, 300, 503, 0},
+		{"long stream, later", "stream", citronforward.Stopping{Since: 3 * time.Second, Left: 4 * time.Second, OtherNodeServing: true}, 300, 503, 0},
 		{"long stream, later, no other node", "stream", citronforward.Stopping{Since: 3 * time.Second, Left: 4 * time.Second}, 300, 503, 1500 * time.Millisecond},
 		{"long stream, slightly later, no other node", "stream", citronforward.Stopping{Since: 2700 * time.Millisecond, Left: 4900 * time.Millisecond}, 300, 200, 0},
-		{"long stream, slightly later", "stream", citronforward.Stopping{Since: 2700 * time.Millisecond, Left: 4900 * time.Millisecond, Others: true}, 300, 503, 0},
+		{"long stream, slightly later", "stream", citronforward.Stopping{Since: 2700 * time.Millisecond, Left: 4900 * time.Millisecond, OtherNodeServing: true}, 300, 503, 0},
 		{"short stream, later", "stream", citronforward.Stopping{Since: 3 * time.Second, Left: 4 * time.Second}, 50, 200, 0},
 		{"unary request that ends in time", "unsafe", citronforward.Stopping{Since: 5 * time.Second, Left: 2 * time.Second}, 0, 200, 0},
-		{"unary request that does not end in time", "unsafe", citronforward.Stopping{Since: 7 * time.Second, Left: 300 * time.Millisecond, Others: true}, 0, 503, 0},
+		{"unary request that does not end in time", "unsafe", citronforward.Stopping{Since: 7 * time.Second, Left: 300 * time.Millisecond, OtherNodeServing: true}, 0, 503, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -267,7 +267,7 @@
 	}
 	since := n.clock.Now().Sub(*at)
 	others := slices.ContainsFunc(n.snap.Load().members, acceptsCallers)
-	return citronforward.Stopping{Active: true, Since: since, Left: n.set.Grace - killMargin - since, Others: others}
+	return citronforward.Stopping{Active: true, Since: since, Left: n.set.Grace - killMargin - since, OtherNodeServing: others}
 }
 
 func acceptsCallers(m citronpeer.Member) bool { return m.Ready && !m.Leaving }
