--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -61,9 +61,9 @@
 	View  *citronpool.View
 	// ListRevision is the revision of the engine list from which View was built.
 	ListRevision citronkv.Revision
-	// Others maps each zone to the cache, in tokens, that requests of other nodes
+	// OtherNodesCache maps each zone to the cache, in tokens, that requests of other nodes
 	// occupy there.
-	Others map[string]int64
+	OtherNodesCache map[string]int64
 }
 
 // Forwarder forwards requests to engines.
--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -127,7 +127,7 @@
 	}, []citrontable.Service{{Name: "app"}, {Name: "model", Model: &spec}},
 		[]citrontable.Customer{{Name: "council", Keys: []string{"k1"}}}, citrontable.Limits{MaxBodyBytes: 100})
 	r := &rig{engines: &fakeEngines{}, view: citronpool.Build(engines, nil)}
-	state := &citronforward.State{Table: table, View: r.view, Others: map[string]int64{}}
+	state := &citronforward.State{Table: table, View: r.view, OtherNodesCache: map[string]int64{}}
 	r.Forwarder = &citronforward.Forwarder{
 		Zone: "a", Clock: citronclock.Real{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Upstream: r.engines,
 		Budget: citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 200, Window: 10 * time.Second}),
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -273,7 +273,7 @@
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8))
 	state := *r.Current()
-	state.Others = map[string]int64{"a": int64(2 * spec.CacheTokens("fast", 8))}
+	state.OtherNodesCache = map[string]int64{"a": int64(2 * spec.CacheTokens("fast", 8))}
 	r.Current = func() *citronforward.State { return &state }
 	got := r.ask("stream", 20*time.Second)
 	is.Equal(got.status, 503)
@@ -287,7 +287,7 @@
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8))
 	state := *r.Current()
-	state.Others = map[string]int64{"a": int64(2 * spec.CacheTokens("fast", 8))}
+	state.OtherNodesCache = map[string]int64{"a": int64(2 * spec.CacheTokens("fast", 8))}
 	r.Current = func() *citronforward.State { return &state }
 	r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
 		return reply(200, events(5, 6)), nil
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -265,7 +265,7 @@
 	j.list = s.ListRevision
 	return citronpath.Query{
 		Patient: j.permits.mayWait,
-		Spec:    *j.service.Model, Zone: j.f.Zone, Now: j.f.Clock.Now(), Avoid: j.avoid, First: first, Others: s.Others, Own: j.f.Loads.Sums(), ZoneCost: j.zoneJitter,
+		Spec:    *j.service.Model, Zone: j.f.Zone, Now: j.f.Clock.Now(), Avoid: j.avoid, First: first, Others: s.OtherNodesCache, Own: j.f.Loads.Sums(), ZoneCost: j.zoneJitter,
 	}
 }
 
@@ -275,7 +275,7 @@
 // drawZoneJitter draws a random cost per zone for one request.
 func drawZoneJitter(s *State) map[string]float64 {
 	out := map[string]float64{}
-	for zone := range s.Others {
+	for zone := range s.OtherNodesCache {
 		out[zone] = maxZoneJitter * rand.Float64()
 	}
 	return out
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -341,7 +341,7 @@
 		}
 	}
 	if c.table != nil {
-		s.traffic = &citronforward.State{Table: c.table, View: c.view, ListRevision: c.list.Revision(), Others: s.others}
+		s.traffic = &citronforward.State{Table: c.table, View: c.view, ListRevision: c.list.Revision(), OtherNodesCache: s.others}
 	}
 	s.list = c.list.Passed()
 	c.n.snap.Store(s)
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -197,7 +197,7 @@
 		Zone: m.zone, Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Upstream: nodeUpstreams{u, m.name}, Budget: m.budget, Loads: &citronpool.Loads{},
 		Current: func() *citronforward.State {
 			s := m.Traffic()
-			return &citronforward.State{Table: appTable, View: s.View, Others: s.Others}
+			return &citronforward.State{Table: appTable, View: s.View, OtherNodesCache: s.OtherNodesCache}
 		},
 		Metrics: citronforward.NewMetrics(prometheus.NewRegistry()), Quarantine: m.Quarantine(), Limits: m.Limits(), Permit: m.Permit,
 	}
