--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -224,7 +224,7 @@
 	ctx, cancel := context.WithDeadline(ctx, j.deadline)
 	defer cancel()
 	if j.route.Kind == citrontable.Streaming {
-		j.stream(ctx)
+		j.serveStream(ctx)
 		return
 	}
 	j.serveUnary(ctx)
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -131,9 +131,9 @@
 	engineFailed
 )
 
-// stream serves a streaming request. It runs the request until the stream is
+// serveStream serves a streaming request. It runs the request until the stream is
 // complete or no further run is allowed.
-func (j *job) stream(ctx context.Context) {
+func (j *job) serveStream(ctx context.Context) {
 	s := &streamJob{job: j, lastEventID: j.ResumeAfter, lastEventAt: j.Received}
 	defer s.unbind()
 	var reason string
