--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -387,7 +387,7 @@
 		return callerLeft
 	}
 	first := s.path[0].Engine
-	res := s.judge(first, err)
+	res := s.classifyError(first, err)
 	s.f.Metrics.Attempts.WithLabelValues(res.outcome.String()).Inc()
 	s.logRun(first, res)
 	s.avoid[first.ID] = true
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -133,7 +133,7 @@
 	begin := j.f.Clock.Now()
 	reply, err := j.f.send(ctx, citronupstream.Call{Request: j.Request, Engine: e, Hops: hops, Customer: j.customer, Left: j.timeLeft(), Once: !j.route.Idempotent()})
 	if err != nil {
-		return j.judge(e, err)
+		return j.classifyError(e, err)
 	}
 	defer reply.Body.Close()
 	if reply.NotRun {
@@ -143,7 +143,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes))
 	if err != nil {
-		return j.judge(e, errors.Wrap(err, "read response"))
+		return j.classifyError(e, errors.Wrap(err, "read response"))
 	}
 	if !reply.Signed && reply.Status < 300 || reply.Header.Get("Content-Encoding") != "" {
 		return result{outcome: unknown, status: reply.Status, err: errors.New("response lacks the engine's signature or has a content encoding")}
@@ -157,9 +157,9 @@
 	return res
 }
 
-// judge classifies a failed call. A call is known not to have run only if no byte of it
+// classifyError classifies a failed call. A call is known not to have run only if no byte of it
 // left this node.
-func (j *job) judge(e *citronpool.Engine, err error) result {
+func (j *job) classifyError(e *citronpool.Engine, err error) result {
 	switch {
 	case errors.Is(err, citronupstream.ErrNotSent):
 		citronprobe.Dead(e, err, j.f.Clock.Now())
