--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -138,7 +138,7 @@
 	defer reply.Body.Close()
 	if reply.NotRun {
 		_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxAnswerBytes)) // drain the body so that the connection can be reused
-		j.refusedBy(e, reply)
+		j.noteRefusal(e, reply)
 		return result{outcome: notRun, status: reply.Status}
 	}
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes))
@@ -178,9 +178,9 @@
 	busyPause = 150 * time.Millisecond
 )
 
-// refusedBy records which engine refused the request. If the refusal names another
+// noteRefusal records which engine refused the request. If the refusal names another
 // engine as its cause, that engine is accused instead.
-func (j *job) refusedBy(e *citronpool.Engine, reply *citronupstream.Reply) {
+func (j *job) noteRefusal(e *citronpool.Engine, reply *citronupstream.Reply) {
 	now := j.f.Clock.Now()
 	if at, ok := j.f.Current().View.ByAddr(reply.Fault); reply.Fault != "" && ok {
 		j.avoid[at.ID] = true
