--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -188,7 +188,7 @@
 // stream under their rate limits, or the reason why there is none.
 func (s *streamJob) permittedPath(ctx context.Context) (citronpath.Path, string) {
 	for {
-		p, full, ok := s.room(ctx)
+		p, full, ok := s.awaitCapacity(ctx)
 		if ok && s.permitted(ctx, engines(p)...) {
 			return p, ""
 		}
