--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	// provenRun is how long a run must continue after its first event to prove that the
+	// minSuccessfulRun is how long a run must continue after its first event to prove that the
 	// request does not crash engines.
-	provenRun = 500 * time.Millisecond
+	minSuccessfulRun = 500 * time.Millisecond
 	// maxCrashReportAge is the maximum age of an engine report that is used to decide
 	// whether the engine ended during a run. It is long enough for streams that break
 	// together to share one report.
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -491,7 +491,7 @@
 	}
 	s.lastEventAt = now
 	s.run = s.run.WithEvent(now)
-	if s.run.eventSpan() >= provenRun {
+	if s.run.eventSpan() >= minSuccessfulRun {
 		s.proven()
 	}
 	return 0, false
