--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -33,7 +33,7 @@
 	maxCrashReportAge = 5 * time.Millisecond
 )
 
-const reasonBarred = "engines ended under this request"
+const reasonQuarantined = "engines ended under this request"
 
 // checkQuarantine reports whether the request may run, and refuses it if not. A refused
 // request has not run under this ID and can be sent again once the quarantine ends. The
@@ -45,7 +45,7 @@
 	}
 	switch v := j.f.Quarantine.Admit(j.fingerprint()).(type) {
 	case citronquarantine.Barred:
-		j.f.refuse(j.Request, j.out, http.StatusServiceUnavailable, v.Left, reasonBarred, "service", j.service.Name, "customer", j.customer, "print", j.fingerprint(), "crashes", v.Crashes)
+		j.f.refuse(j.Request, j.out, http.StatusServiceUnavailable, v.Left, reasonQuarantined, "service", j.service.Name, "customer", j.customer, "print", j.fingerprint(), "crashes", v.Crashes)
 		return end, false
 	case citronquarantine.Trial:
 		return v.End, true
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -167,7 +167,7 @@
 	case reason != "":
 		return noPath, reason
 	case s.barred():
-		return noPath, reasonBarred
+		return noPath, reasonQuarantined
 	}
 	s.bind(p)
 	s.run = run{sent: s.f.Clock.Now()}
