--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -53,8 +53,8 @@
 	return end, true
 }
 
-// barred reports whether the request has been quarantined since it was admitted.
-func (j *job) barred() bool {
+// isQuarantined reports whether the request has been quarantined since it was admitted.
+func (j *job) isQuarantined() bool {
 	if j.f.Quarantine.Empty() {
 		return false
 	}
@@ -96,7 +96,7 @@
 	args := []any{"request", j.ID, "print", j.fingerprint(), "engine", e.ID, "peer", e.Addr, "crashes", r.Standing()}
 	citronevent.Log(ctx, j.f.Log, citronevent.RunCrashed, args...)
 	j.f.Metrics.Crashes.Inc()
-	if j.barred() {
+	if j.isQuarantined() {
 		citronevent.Log(ctx, j.f.Log, citronevent.RequestBarred, append(args, "source", "own")...)
 	}
 }
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -166,7 +166,7 @@
 	switch {
 	case reason != "":
 		return noPath, reason
-	case s.barred():
+	case s.isQuarantined():
 		return noPath, reasonQuarantined
 	}
 	s.bind(p)
@@ -216,7 +216,7 @@
 		s.runs++ // the engines may have started to run the request
 		return false
 	case noPath:
-		return !s.barred() && s.waitForCapacity(ctx)
+		return !s.isQuarantined() && s.waitForCapacity(ctx)
 	case runRefused:
 		s.refused++
 		s.retryAfter = retryBusy
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -88,7 +88,7 @@
 		j.avoid[e.ID] = true
 		if res.outcome == notRun {
 			j.refused++
-			if ctx.Err() != nil || j.barred() || !j.mayTryNextEngine() {
+			if ctx.Err() != nil || j.isQuarantined() || !j.mayTryNextEngine() {
 				break
 			}
 			continue
