--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -65,9 +65,9 @@
 	return barred
 }
 
-// suspect reports whether the request is a suspect: it is quarantined, or one more crash
+// isSuspect reports whether the request is a suspect: it is quarantined, or one more crash
 // would quarantine it.
-func (j *job) suspect() bool {
+func (j *job) isSuspect() bool {
 	return !j.f.Quarantine.Empty() && j.f.Quarantine.Suspect(j.fingerprint())
 }
 
--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -358,7 +358,7 @@
 // mayRetry reports whether the request may be retried after an engine may have run it.
 // If so, it charges the retry to the budget.
 func (j *job) mayRetry() bool {
-	return j.within(crashesUsed, !j.suspect()) && j.within(attemptsUsed, j.route.Idempotent() && j.runs < max(1, j.route.MaxAttempts)) && j.takeBudget()
+	return j.within(crashesUsed, !j.isSuspect()) && j.within(attemptsUsed, j.route.Idempotent() && j.runs < max(1, j.route.MaxAttempts)) && j.takeBudget()
 }
 
 // mayTryNextEngine reports whether the request may be sent to another engine after one refused
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -301,7 +301,7 @@
 func (w *watch) reroute() action {
 	s := w.s
 	current := s.f.Current()
-	if s.suspect() && !s.ranSuccessfully {
+	if s.isSuspect() && !s.ranSuccessfully {
 		return replaceRun // a repath would start the suspect request on another engine
 	}
 	q := s.query(current, s.path[0].Engine.ID)
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -282,7 +282,7 @@
 	if s.firstEngineEnded() {
 		runs--
 	}
-	return s.within(crashesUsed, !s.suspect()) && s.within(attemptsUsed, runs < max(1, s.route.MaxAttempts))
+	return s.within(crashesUsed, !s.isSuspect()) && s.within(attemptsUsed, runs < max(1, s.route.MaxAttempts))
 }
 
 // firstEngineEnded reports whether the first engine's process has certainly ended,
@@ -300,7 +300,7 @@
 		s.budgetCharged = false
 		return true
 	}
-	if !s.suspect() && !s.canResume() {
+	if !s.isSuspect() && !s.canResume() {
 		_ = s.f.probe(context.Background(), s.path[0].Engine, 0) // a shared report may be from before the process ended
 	}
 	return s.canResume() && s.takeBudget()
