--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -71,8 +71,8 @@
 	return !j.f.Quarantine.Empty() && j.f.Quarantine.Suspect(j.fingerprint())
 }
 
-// proven records that the request has run successfully.
-func (j *job) proven() {
+// markSuccessful records that the request has run successfully.
+func (j *job) markSuccessful() {
 	if j.ranSuccessfully {
 		return
 	}
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -492,7 +492,7 @@
 	s.lastEventAt = now
 	s.run = s.run.WithEvent(now)
 	if s.run.eventSpan() >= minSuccessfulRun {
-		s.proven()
+		s.markSuccessful()
 	}
 	return 0, false
 }
@@ -522,7 +522,7 @@
 			return runBroken // an empty stream is not a valid response
 		}
 		s.path[0].Engine.Answered(s.pathSince, s.f.Clock.Now())
-		s.proven()
+		s.markSuccessful()
 		return runFinished
 	}
 	if ctx.Err() != nil {
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -78,7 +78,7 @@
 		res := j.attempt(ctx, e, hops)
 		j.f.Metrics.Attempts.WithLabelValues(res.outcome.String()).Inc()
 		if res.outcome == answered {
-			j.proven()
+			j.markSuccessful()
 			j.f.Metrics.Whole.Observe(j.f.Clock.Now().Sub(j.Received).Seconds())
 			j.out.Answer(res.status, res.header, res.body)
 			j.answered("engine", e.ID, "status", res.status, "runs", j.runs+1)
