--- a/citronforward/accused.go
+++ b/citronforward/accused.go
@@ -17,8 +17,8 @@
 // stream through it is stalled.
 const accusedProbeTimeout = 60 * time.Millisecond
 
-// accusation is a probe of an accused engine.
-type accusation struct {
+// accusedProbe is a probe of an accused engine.
+type accusedProbe struct {
 	engine  string
 	askedAt time.Time
 	answer  chan error
@@ -70,7 +70,7 @@
 	for _, h := range w.s.path {
 		if h.Engine.Accused(now) {
 			answer := make(chan error, 1)
-			w.accused = &accusation{engine: h.Engine.ID, askedAt: now, answer: answer}
+			w.accused = &accusedProbe{engine: h.Engine.ID, askedAt: now, answer: answer}
 			go func() { answer <- w.s.f.probe(w.ctx, h.Engine, accusedProbeTimeout) }()
 			return
 		}
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -105,7 +105,7 @@
 	reason string
 	// accused is the probe of an accused engine: one that another engine named as
 	// the cause of a refused request.
-	accused *accusation
+	accused *accusedProbe
 	// switchZoneAt is when the stream moves to another zone.
 	switchZoneAt time.Time
 	// leftAt is when a leaving engine was first seen on the path.
