--- a/citronforward/accused.go
+++ b/citronforward/accused.go
@@ -27,9 +27,9 @@
 	cleared bool
 }
 
-// accusedPart returns the index of the first hop of a stalled stream whose engine is
+// accusedHop returns the index of the first hop of a stalled stream whose engine is
 // accused and does not answer a probe, or -1.
-func (w *watch) accusedPart(now time.Time, silence time.Duration) int {
+func (w *watch) accusedHop(now time.Time, silence time.Duration) int {
 	if silence < quietAfter {
 		w.accused = nil // the stream resumed; a later stall needs a new probe
 		return -1
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -184,7 +184,7 @@
 		since = w.s.pathSince
 	}
 	pause := now.Sub(since)
-	if bad := w.accusedPart(now, pause); bad >= 0 {
+	if bad := w.accusedHop(now, pause); bad >= 0 {
 		return w.replace(bad, reasonAccused)
 	}
 	if pause > checkInterval*3 {
