--- a/citronforward/leaving.go
+++ b/citronforward/leaving.go
@@ -51,10 +51,10 @@
 	return defaultDrain
 }
 
-// leavingPart returns the index of the first hop whose engine is leaving or no longer
+// leavingHop returns the index of the first hop whose engine is leaving or no longer
 // in the engine list. It returns -1 if there is none or this stream is not yet due to
 // move.
-func (w *watch) leavingPart(now time.Time) int {
+func (w *watch) leavingHop(now time.Time) int {
 	view := w.s.f.Current().View
 	for i, h := range w.s.path {
 		e, ok := view.ByID(h.Engine.ID)
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -192,7 +192,7 @@
 			return w.replace(bad, reasonDead)
 		}
 	}
-	if bad := w.leavingPart(now); bad >= 0 {
+	if bad := w.leavingHop(now); bad >= 0 {
 		return w.replace(bad, reasonLeaving)
 	}
 	limit := probeAfter
