--- a/citronforward/leaving.go
+++ b/citronforward/leaving.go
@@ -73,10 +73,10 @@
 	return -1
 }
 
-// mayWaitToLeave reports whether a stream that would have to move to another zone may
+// mayStayOnLeaving reports whether a stream that would have to move to another zone may
 // stay a little longer, because its own zone may soon have a complete replica again. If
 // so, it sets the time of the next check.
-func (w *watch) mayWaitToLeave(now time.Time) bool {
+func (w *watch) mayStayOnLeaving(now time.Time) bool {
 	if now.Sub(w.leftAt) >= maxZoneWait(w.s.f.drainPeriod()) {
 		return false
 	}
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -347,7 +347,7 @@
 func (w *watch) mayWaitForZone() bool {
 	now := w.s.f.Clock.Now()
 	if w.reason == reasonLeaving {
-		return w.mayWaitToLeave(now)
+		return w.mayStayOnLeaving(now)
 	}
 	if w.switchZoneAt.IsZero() {
 		w.switchZoneAt = now
