--- a/citronforward/leaving.go
+++ b/citronforward/leaving.go
@@ -24,9 +24,9 @@
 	drainMargin = 400 * time.Millisecond
 	// minMoveWindow is the minimum time over which streams move.
 	minMoveWindow = 200 * time.Millisecond
-	// leaveAgain is how often a stream checks whether another engine of the zone has
+	// leaveCheckInterval is how often a stream checks whether another engine of the zone has
 	// loaded the layers.
-	leaveAgain = 150 * time.Millisecond
+	leaveCheckInterval = 150 * time.Millisecond
 	// defaultDrain is the drain period if the settings do not state one.
 	defaultDrain = 2 * time.Second
 )
@@ -80,6 +80,6 @@
 	if now.Sub(w.leftAt) >= maxZoneWait(w.s.f.drainPeriod()) {
 		return false
 	}
-	w.leaveAt = now.Add(leaveAgain)
+	w.leaveAt = now.Add(leaveCheckInterval)
 	return true
 }
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -369,7 +369,7 @@
 	}
 	now := s.f.Clock.Now()
 	if w.reason == reasonLeaving {
-		w.leaveAt = now.Add(leaveAgain)
+		w.leaveAt = now.Add(leaveCheckInterval)
 		return keepRun
 	}
 	w.waitUntil = now.Add(4 * checkInterval)
