--- a/citronforward/leaving.go
+++ b/citronforward/leaving.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		if w.leaveAt.IsZero() {
-			w.leftAt = now
+			w.leavingSince = now
 			w.leaveAt = now.Add(replacementWait + rand.N(moveWindow(w.s.f.drainPeriod())))
 		}
 		if now.After(w.leaveAt) {
@@ -77,7 +77,7 @@
 // stay a little longer, because its own zone may soon have a complete replica again. If
 // so, it sets the time of the next check.
 func (w *watch) mayStayOnLeaving(now time.Time) bool {
-	if now.Sub(w.leftAt) >= maxZoneWait(w.s.f.drainPeriod()) {
+	if now.Sub(w.leavingSince) >= maxZoneWait(w.s.f.drainPeriod()) {
 		return false
 	}
 	w.leaveAt = now.Add(leaveCheckInterval)
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -108,8 +108,8 @@
 	accused *accusedProbe
 	// switchZoneAt is when the stream moves to another zone.
 	switchZoneAt time.Time
-	// leftAt is when a leaving engine was first seen on the path.
-	leftAt time.Time
+	// leavingSince is when a leaving engine was first seen on the path.
+	leavingSince time.Time
 	// leaveAt is when this stream moves away from a leaving engine.
 	leaveAt time.Time
 }
