--- a/citronforward/leaving.go
+++ b/citronforward/leaving.go
@@ -61,11 +61,11 @@
 		if ok && !e.Leaving {
 			continue
 		}
-		if w.leaveAt.IsZero() {
+		if w.moveAt.IsZero() {
 			w.leavingSince = now
-			w.leaveAt = now.Add(replacementWait + rand.N(moveWindow(w.s.f.drainPeriod())))
+			w.moveAt = now.Add(replacementWait + rand.N(moveWindow(w.s.f.drainPeriod())))
 		}
-		if now.After(w.leaveAt) {
+		if now.After(w.moveAt) {
 			return i
 		}
 		return -1
@@ -80,6 +80,6 @@
 	if now.Sub(w.leavingSince) >= maxZoneWait(w.s.f.drainPeriod()) {
 		return false
 	}
-	w.leaveAt = now.Add(leaveCheckInterval)
+	w.moveAt = now.Add(leaveCheckInterval)
 	return true
 }
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -110,8 +110,8 @@
 	switchZoneAt time.Time
 	// leavingSince is when a leaving engine was first seen on the path.
 	leavingSince time.Time
-	// leaveAt is when this stream moves away from a leaving engine.
-	leaveAt time.Time
+	// moveAt is when this stream moves away from a leaving engine.
+	moveAt time.Time
 }
 
 // probeResult is the result of probing the first engine of a path.
@@ -321,7 +321,7 @@
 	w.logReplacement("repath")
 	w.repaths++
 	w.repathing = true
-	w.leaveAt, w.switchZoneAt = time.Time{}, time.Time{}
+	w.moveAt, w.switchZoneAt = time.Time{}, time.Time{}
 	added := s.added(p)
 	go func() {
 		ctx, cancel := context.WithTimeout(w.ctx, repathTimeout)
@@ -369,7 +369,7 @@
 	}
 	now := s.f.Clock.Now()
 	if w.reason == reasonLeaving {
-		w.leaveAt = now.Add(leaveCheckInterval)
+		w.moveAt = now.Add(leaveCheckInterval)
 		return keepRun
 	}
 	w.waitUntil = now.Add(4 * checkInterval)
