--- a/citronforward/accused.go
+++ b/citronforward/accused.go
@@ -30,7 +30,7 @@
 // accusedHop returns the index of the first hop of a stalled stream whose engine is
 // accused and does not answer a probe, or -1.
 func (w *watch) accusedHop(now time.Time, silence time.Duration) int {
-	if silence < quietAfter {
+	if silence < stallCheckDelay {
 		w.accused = nil // the stream resumed; a later stall needs a new probe
 		return -1
 	}
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -32,9 +32,9 @@
 const (
 	// checkInterval is how often a running stream checks its path.
 	checkInterval = 50 * time.Millisecond
-	// quietAfter is the pause between events after which a stalled stream checks
+	// stallCheckDelay is the pause between events after which a stalled stream checks
 	// its path, then again every stalledCheckInterval.
-	quietAfter           = 70 * time.Millisecond
+	stallCheckDelay      = 70 * time.Millisecond
 	stalledCheckInterval = 20 * time.Millisecond
 	// nodePauseThreshold is the time between two checks above which this node
 	// itself must have been paused.
@@ -145,7 +145,7 @@
 // onEvent restarts the timer after an event was forwarded. It checks the path if
 // the last check is long enough ago.
 func (w *watch) onEvent() action {
-	w.timer.Reset(quietAfter)
+	w.timer.Reset(stallCheckDelay)
 	if w.s.lastEventAt.Sub(w.checkedAt) < checkInterval {
 		return keepRun
 	}
