--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -49,9 +49,9 @@
 	freeIn time.Duration
 }
 
-// permitted takes a permit for each of the given engines that has a rate limit. It
+// takePermits takes a permit for each of the given engines that has a rate limit. It
 // reports whether the request may be sent to all of them.
-func (j *job) permitted(ctx context.Context, engines ...*citronpool.Engine) bool {
+func (j *job) takePermits(ctx context.Context, engines ...*citronpool.Engine) bool {
 	for _, e := range engines {
 		if j.f.Limits.Of(e.ID).Limited && !j.takePermit(ctx, e) {
 			return false
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -68,7 +68,7 @@
 			}
 			break
 		}
-		if !j.permitted(ctx, targetEngines(e, hops)...) {
+		if !j.takePermits(ctx, targetEngines(e, hops)...) {
 			if ctx.Err() != nil {
 				break
 			}
