--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -140,9 +140,9 @@
 	citronevent.Log(context.Background(), j.f.Log, citronevent.LimitHeld, "request", j.ID, "service", j.service.Name, "engine", e.ID, "peer", e.Addr, "perSecond", j.f.Limits.Of(e.ID).PerSecond, "outcome", outcome, "wait", wait)
 }
 
-// waitsForPermit lets a request that no engine can accept at once select engines whose
+// beginPermitWait lets a request that no engine can accept at once select engines whose
 // rate limit admits it later. It reports whether there may be any.
-func (j *job) waitsForPermit() bool {
+func (j *job) beginPermitWait() bool {
 	if j.permits.mayWait || j.f.Limits.Limited() == 0 {
 		return false
 	}
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -194,7 +194,7 @@
 		}
 		switch {
 		case ok && ctx.Err() == nil:
-		case !ok && s.waitsForPermit():
+		case !ok && s.beginPermitWait():
 		case ok:
 			return nil, "the caller left"
 		case s.limitsUsedUp():
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -60,7 +60,7 @@
 		s := j.f.Current()
 		e, hops, ok := j.pickEngine(s)
 		if !ok {
-			if j.waitsForPermit() {
+			if j.beginPermitWait() {
 				continue
 			}
 			if j.limitsUsedUp() {
