--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -150,9 +150,9 @@
 	return true
 }
 
-// limitsUsedUp reports whether the request is refused because of rate limits. If so, it
+// rateLimitsExhausted reports whether the request is refused because of rate limits. If so, it
 // sets retryAfter to a delay after which a permit should be available.
-func (j *job) limitsUsedUp() bool {
+func (j *job) rateLimitsExhausted() bool {
 	if j.permits.denials == 0 {
 		return false
 	}
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -197,7 +197,7 @@
 		case !ok && s.beginPermitWait():
 		case ok:
 			return nil, "the caller left"
-		case s.limitsUsedUp():
+		case s.rateLimitsExhausted():
 			return nil, reasonLimited
 		case full:
 			return nil, "engines' cache is full"
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -63,7 +63,7 @@
 			if j.beginPermitWait() {
 				continue
 			}
-			if j.limitsUsedUp() {
+			if j.rateLimitsExhausted() {
 				reason = reasonLimited
 			}
 			break
