--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -189,9 +189,9 @@
 	return out
 }
 
-// mayAdd takes a permit to move a running stream to an engine, and reports whether the
+// takeMovePermit takes a permit to move a running stream to an engine, and reports whether the
 // move is allowed.
-func (f *Forwarder) mayAdd(ctx context.Context, e *citronpool.Engine) bool {
+func (f *Forwarder) takeMovePermit(ctx context.Context, e *citronpool.Engine) bool {
 	if !f.Limits.Of(e.ID).Limited {
 		return true
 	}
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -335,7 +335,7 @@
 // request, so it first takes a permit for each of them that has a rate limit.
 func (s *streamJob) repath(ctx context.Context, p citronpath.Path, added []*citronpool.Engine) error {
 	for _, e := range added {
-		if !s.f.mayAdd(ctx, e) {
+		if !s.f.takeMovePermit(ctx, e) {
 			return &citronupstream.PartError{Addr: e.Addr}
 		}
 	}
