--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -166,11 +166,11 @@
 	if len(p) == 0 {
 		return []*citronpool.Engine{e}
 	}
-	return engines(p)
+	return pathEngines(p)
 }
 
-// engines returns the engines of a path.
-func engines(p citronpath.Path) []*citronpool.Engine {
+// pathEngines returns the engines of a path.
+func pathEngines(p citronpath.Path) []*citronpool.Engine {
 	out := make([]*citronpool.Engine, len(p))
 	for i, h := range p {
 		out[i] = h.Engine
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -189,7 +189,7 @@
 func (s *streamJob) permittedPath(ctx context.Context) (citronpath.Path, string) {
 	for {
 		p, full, ok := s.awaitCapacity(ctx)
-		if ok && s.takePermits(ctx, engines(p)...) {
+		if ok && s.takePermits(ctx, pathEngines(p)...) {
 			return p, ""
 		}
 		switch {
