--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -178,8 +178,8 @@
 	return out
 }
 
-// added returns the engines of a path that the stream does not run on yet.
-func (s *streamJob) added(p citronpath.Path) []*citronpool.Engine {
+// addedEngines returns the engines of a path that the stream does not run on yet.
+func (s *streamJob) addedEngines(p citronpath.Path) []*citronpool.Engine {
 	var out []*citronpool.Engine
 	for _, h := range p {
 		if !s.path.Has(h.Engine.ID) {
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -322,7 +322,7 @@
 	w.repaths++
 	w.repathing = true
 	w.moveAt, w.switchZoneAt = time.Time{}, time.Time{}
-	added := s.added(p)
+	added := s.addedEngines(p)
 	go func() {
 		ctx, cancel := context.WithTimeout(w.ctx, repathTimeout)
 		defer cancel()
