--- a/citronforward/metrics.go
+++ b/citronforward/metrics.go
@@ -15,7 +15,7 @@
 	Permits       *prometheus.CounterVec
 	FirstEvent    prometheus.Histogram
 	Pause         prometheus.Histogram
-	Whole         prometheus.Histogram
+	UnaryDuration prometheus.Histogram
 }
 
 // latencyBuckets spans 5 ms to 20 s, from a cached response to the longest deadline.
@@ -35,8 +35,8 @@
 		InvalidLimits: prometheus.NewCounter(prometheus.CounterOpts{Name: "citrondeck_invalid_limits_total", Help: "Answers with a rate limit that cannot be read."}),
 		FirstEvent:    prometheus.NewHistogram(prometheus.HistogramOpts{Name: "citrondeck_first_event_seconds", Help: "Time to the first event of a stream.", Buckets: latencyBuckets}),
 		Pause:         prometheus.NewHistogram(prometheus.HistogramOpts{Name: "citrondeck_pause_seconds", Help: "Longest pause between events of a stream.", Buckets: latencyBuckets}),
-		Whole:         prometheus.NewHistogram(prometheus.HistogramOpts{Name: "citrondeck_answer_seconds", Help: "Time to a whole answer.", Buckets: latencyBuckets}),
+		UnaryDuration: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "citrondeck_answer_seconds", Help: "Time to a whole answer.", Buckets: latencyBuckets}),
 	}
-	r.MustRegister(m.Requests, m.Refusals, m.Attempts, m.Repairs, m.BudgetSpent, m.Crashes, m.LimitedSends, m.InvalidLimits, m.Permits, m.FirstEvent, m.Pause, m.Whole)
+	r.MustRegister(m.Requests, m.Refusals, m.Attempts, m.Repairs, m.BudgetSpent, m.Crashes, m.LimitedSends, m.InvalidLimits, m.Permits, m.FirstEvent, m.Pause, m.UnaryDuration)
 	return m
 }
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -79,7 +79,7 @@
 		j.f.Metrics.Attempts.WithLabelValues(res.outcome.String()).Inc()
 		if res.outcome == answered {
 			j.markSuccessful()
-			j.f.Metrics.Whole.Observe(j.f.Clock.Now().Sub(j.Received).Seconds())
+			j.f.Metrics.UnaryDuration.Observe(j.f.Clock.Now().Sub(j.Received).Seconds())
 			j.out.Answer(res.status, res.header, res.body)
 			j.answered("engine", e.ID, "status", res.status, "runs", j.runs+1)
 			return
