--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -159,7 +159,7 @@
 	return &citronupstream.Reply{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), Signed: true}
 }
 
-func shed(fault string) *citronupstream.Reply {
+func refusal(fault string) *citronupstream.Reply {
 	r := reply(http.StatusServiceUnavailable, "")
 	r.NotRun, r.Fault, r.Signed = true, fault, false
 	return r
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -305,7 +305,9 @@
 		engines = append(engines, engine(fmt.Sprintf("m%d", i), "a", 0, 8))
 	}
 	r := newRig(t, engines...)
-	r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) { return shed(""), nil }
+	r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
+		return refusal(""), nil
+	}
 	got := r.ask("stream", 10*time.Second)
 	is.Equal(got.status, 503)
 	is.True(got.retryAfter > 0)
@@ -325,7 +327,7 @@
 			rep.Body = breaking{strings.NewReader(events(1, 3)), errReset}
 			return rep, nil
 		case n < 12:
-			return shed(""), nil
+			return refusal(""), nil
 		}
 		return reply(200, events(4, 5)), nil
 	}
@@ -550,7 +552,7 @@
 	}
 	r.engines.answer = func(_ context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		if c.Engine.ID == "m1" {
-			return shed("m2:1"), nil
+			return refusal("m2:1"), nil
 		}
 		return reply(200, events(1, 2)), nil
 	}
@@ -607,7 +609,7 @@
 	}
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		if n == 0 {
-			return shed(""), nil
+			return refusal(""), nil
 		}
 		return reply(200, events(1, 3)), nil
 	}
--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -50,7 +50,7 @@
 	notSent := func() (*citronupstream.Reply, error) { return nil, errors.Mark(errReset, citronupstream.ErrNotSent) }
 	foreign := func() (*citronupstream.Reply, error) { return nil, errors.Mark(errReset, citronupstream.ErrForeign) }
 	fails := func() (*citronupstream.Reply, error) { return reply(500, "broken"), nil }
-	full := func() (*citronupstream.Reply, error) { return shed(""), nil }
+	full := func() (*citronupstream.Reply, error) { return refusal(""), nil }
 	unsigned := func() (*citronupstream.Reply, error) {
 		rep := reply(200, "x")
 		rep.Signed = false
