--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -22,7 +22,7 @@
 		crashed[c.Engine.Addr] = true
 		r.engines.mu.Unlock()
 		rep := reply(200, "")
-		rep.Body = breaking{strings.NewReader(text), io.ErrUnexpectedEOF}
+		rep.Body = failingBody{strings.NewReader(text), io.ErrUnexpectedEOF}
 		return rep, nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
--- a/citronforward/refused_test.go
+++ b/citronforward/refused_test.go
@@ -27,7 +27,7 @@
 	r.engines.answer = func(_ context.Context, n int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		if n == 0 {
 			rep := reply(200, "")
-			rep.Body = breaking{strings.NewReader(events(1, 1)), errReset}
+			rep.Body = failingBody{strings.NewReader(events(1, 1)), errReset}
 			return rep, nil
 		}
 		if n > 1 {
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -29,13 +29,13 @@
 	return b.String()
 }
 
-// breaking is a body that returns an error after its text.
-type breaking struct {
+// failingBody is a body that returns an error after its text.
+type failingBody struct {
 	io.Reader
 	err error
 }
 
-func (b breaking) Read(p []byte) (int, error) {
+func (b failingBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if errors.Is(err, io.EOF) {
 		err = b.err
@@ -43,7 +43,7 @@
 	return n, err
 }
 
-func (breaking) Close() error { return nil }
+func (failingBody) Close() error { return nil }
 
 // silent is a body that sends nothing after its text until ctx ends.
 type silent struct {
@@ -89,7 +89,7 @@
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		if n == 0 {
 			rep := reply(200, "")
-			rep.Body = breaking{strings.NewReader(events(1, 3) + "id: 4\ndata: t"), io.ErrUnexpectedEOF}
+			rep.Body = failingBody{strings.NewReader(events(1, 3) + "id: 4\ndata: t"), io.ErrUnexpectedEOF}
 			return rep, nil
 		}
 		return reply(200, events(4, 6)), nil
@@ -124,7 +124,7 @@
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		if n == 0 {
 			rep := reply(200, "")
-			rep.Body = breaking{strings.NewReader(events(1, 3)), errReset}
+			rep.Body = failingBody{strings.NewReader(events(1, 3)), errReset}
 			return rep, nil
 		}
 		return reply(200, events(2, 5)), nil
@@ -139,7 +139,7 @@
 	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "a", 0, 8))
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, "")
-		rep.Body = breaking{strings.NewReader(events(n+1, n+1)), errReset}
+		rep.Body = failingBody{strings.NewReader(events(n+1, n+1)), errReset}
 		return rep, nil
 	}
 	got := r.ask("stream", time.Second)
@@ -324,7 +324,7 @@
 		switch {
 		case n == 0:
 			rep := reply(200, "")
-			rep.Body = breaking{strings.NewReader(events(1, 3)), errReset}
+			rep.Body = failingBody{strings.NewReader(events(1, 3)), errReset}
 			return rep, nil
 		case n < 12:
 			return refusal(""), nil
@@ -413,7 +413,7 @@
 		switch n {
 		case 0:
 			rep := reply(200, "")
-			rep.Body = breaking{strings.NewReader(events(1, 1)), errReset}
+			rep.Body = failingBody{strings.NewReader(events(1, 1)), errReset}
 			return rep, nil
 		case 1:
 			leaving := *state
@@ -470,7 +470,7 @@
 		case 0:
 			rep.Body = silent{strings.NewReader(events(1, 1)), ctx}
 		case 1:
-			rep.Body = breaking{strings.NewReader(events(2, 2)), errReset}
+			rep.Body = failingBody{strings.NewReader(events(2, 2)), errReset}
 		}
 		return rep, nil
 	}
@@ -582,7 +582,7 @@
 			r.Budget = citronbudget.New(citronbudget.Limits{Slack: c.slack, Window: 10 * time.Second})
 			r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 				rep := reply(200, "")
-				rep.Body = breaking{strings.NewReader(events(n+1, n+1)), errReset}
+				rep.Body = failingBody{strings.NewReader(events(n+1, n+1)), errReset}
 				return rep, nil
 			}
 			is.True(r.ask("stream", time.Second).aborted)
