--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -150,7 +150,7 @@
 	r := newRig(t, engine("m1", "a", 0, 4), engine("m2", "a", 4, 8), engine("m3", "a", 4, 8), engine("m4", "a", 4, 8))
 	r.engines.answer = func(ctx context.Context, _ int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, "")
-		rep.Body = silent{strings.NewReader(events(1, 1)), ctx}
+		rep.Body = stallingBody{strings.NewReader(events(1, 1)), ctx}
 		return rep, nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -45,13 +45,13 @@
 
 func (failingBody) Close() error { return nil }
 
-// silent is a body that sends nothing after its text until ctx ends.
-type silent struct {
+// stallingBody is a body that sends nothing after its text until ctx ends.
+type stallingBody struct {
 	io.Reader
 	ctx context.Context
 }
 
-func (s silent) Read(p []byte) (int, error) {
+func (s stallingBody) Read(p []byte) (int, error) {
 	n, err := s.Reader.Read(p)
 	if errors.Is(err, io.EOF) {
 		<-s.ctx.Done()
@@ -60,7 +60,7 @@
 	return n, err
 }
 
-func (silent) Close() error { return nil }
+func (stallingBody) Close() error { return nil }
 
 // stuckUntil returns a stream of four events that stalls after two until resumed is
 // closed.
@@ -248,7 +248,7 @@
 			return reply(200, events(3, 4)), nil
 		}
 		rep := reply(200, "")
-		rep.Body = silent{strings.NewReader(events(1, 2)), ctx}
+		rep.Body = stallingBody{strings.NewReader(events(1, 2)), ctx}
 		return rep, nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
@@ -383,7 +383,7 @@
 	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "a", 0, 8))
 	r.engines.answer = func(ctx context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, "")
-		rep.Body = silent{strings.NewReader(events(n+1, n+1)), ctx}
+		rep.Body = stallingBody{strings.NewReader(events(n+1, n+1)), ctx}
 		return rep, nil
 	}
 	r.engines.report = func(string) (citronupstream.Report, error) { return citronupstream.Report{}, context.DeadlineExceeded }
@@ -468,7 +468,7 @@
 		rep := reply(200, events(3, 4))
 		switch n {
 		case 0:
-			rep.Body = silent{strings.NewReader(events(1, 1)), ctx}
+			rep.Body = stallingBody{strings.NewReader(events(1, 1)), ctx}
 		case 1:
 			rep.Body = failingBody{strings.NewReader(events(2, 2)), errReset}
 		}
