--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -149,7 +149,7 @@
 		dead := ""
 		r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 			dead = c.Hops[1].Engine.Addr
-			return stuckUntil(ctx, moved), nil
+			return stalledStream(ctx, moved), nil
 		}
 		r.engines.report = func(addr string) (citronupstream.Report, error) {
 			if addr == dead {
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -62,9 +62,9 @@
 
 func (stallingBody) Close() error { return nil }
 
-// stuckUntil returns a stream of four events that stalls after two until resumed is
+// stalledStream returns a stream of four events that stalls after two until resumed is
 // closed.
-func stuckUntil(ctx context.Context, resumed <-chan struct{}) *citronupstream.Reply {
+func stalledStream(ctx context.Context, resumed <-chan struct{}) *citronupstream.Reply {
 	body, w := io.Pipe()
 	go func() {
 		_, _ = io.WriteString(w, events(1, 2))
@@ -158,7 +158,7 @@
 	dead := ""
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		dead = c.Hops[1].Engine.Addr
-		return stuckUntil(ctx, moved), nil
+		return stalledStream(ctx, moved), nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		if addr == dead {
@@ -188,7 +188,7 @@
 	var stalled atomic.Pointer[string]
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		stalled.Store(&c.Hops[1].Engine.Addr)
-		return stuckUntil(ctx, moved), nil
+		return stalledStream(ctx, moved), nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		if addr == "m1:1" {
@@ -218,7 +218,7 @@
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		dead, last = c.Hops[1].Engine.Addr, c.Hops[2].Engine.ID
 		c.Hops[2].Engine.Begin(100_000) // other requests have started since the path was chosen
-		return stuckUntil(ctx, moved), nil
+		return stalledStream(ctx, moved), nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		if addr == dead {
@@ -497,7 +497,7 @@
 	var hung atomic.Pointer[citronpool.Engine]
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		hung.Store(c.Hops[1].Engine)
-		return stuckUntil(ctx, moved), nil
+		return stalledStream(ctx, moved), nil
 	}
 	never := make(chan struct{})
 	t.Cleanup(func() { close(never) })
@@ -532,7 +532,7 @@
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		c.Hops[1].Engine.Accuse(time.Now())
 		time.AfterFunc(220*time.Millisecond, func() { close(resumed) })
-		return stuckUntil(ctx, resumed), nil
+		return stalledStream(ctx, resumed), nil
 	}
 	is.Equal(r.ask("stream", 5*time.Second).body, events(1, 4))
 	is.Equal(len(r.engines.repaths), 0)
