--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -264,7 +264,7 @@
 func (j *job) query(s *State, first string) citronpath.Query {
 	j.list = s.ListRevision
 	return citronpath.Query{
-		Patient: j.permits.mayWait,
+		CanWait: j.permits.mayWait,
 		Spec:    *j.service.Model, Zone: j.f.Zone, Now: j.f.Clock.Now(), Avoid: j.avoid, First: first, Others: s.OtherNodesCache, Own: j.f.Loads.Sums(), ZoneCost: j.zoneJitter,
 	}
 }
--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -52,9 +52,9 @@
 	// Zone is the zone of the node that received the request.
 	Zone string
 	Now  time.Time
-	// Patient is true if the request can wait for an engine whose rate limit
+	// CanWait is true if the request can wait for an engine whose rate limit
 	// is used up.
-	Patient bool
+	CanWait bool
 	// Avoid holds the IDs of engines that this request must not use.
 	Avoid map[string]bool
 	// First, if set, is the ID of the engine that must be the first hop.
@@ -213,7 +213,7 @@
 
 // usable reports whether the request may run on an engine.
 func (q Query) usable(e *citronpool.Engine) bool {
-	return e.Usable(q.Now) || (q.Patient || q.Keep.Has(e.ID)) && e.Sound(q.Now)
+	return e.Usable(q.Now) || (q.CanWait || q.Keep.Has(e.ID)) && e.Sound(q.Now)
 }
 
 // search walks the layer boundaries in ascending order. For each boundary and
