--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -305,7 +305,7 @@
 		return replaceRun // a repath would start the suspect request on another engine
 	}
 	q := s.query(current, s.path[0].Engine.ID)
-	q.Keep = s.path
+	q.CurrentPath = s.path
 	p, ok := citronpath.Choose(current.View.ByService[s.service.Name], q)
 	if !ok || w.repaths >= maxRepaths {
 		return w.resume()
--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -59,9 +59,9 @@
 	Avoid map[string]bool
 	// First, if set, is the ID of the engine that must be the first hop.
 	First string
-	// Keep is the current path of a running request. An engine that is not on
+	// CurrentPath is the current path of a running request. An engine that is not on
 	// it would first have to process all of the request's tokens so far.
-	Keep Path
+	CurrentPath Path
 	// Others is the cache, in tokens, that requests of other nodes use in each
 	// zone. Own is the same for the requests of this node.
 	Others, Own map[string]int64
@@ -213,7 +213,7 @@
 
 // usable reports whether the request may run on an engine.
 func (q Query) usable(e *citronpool.Engine) bool {
-	return e.Usable(q.Now) || (q.CanWait || q.Keep.Has(e.ID)) && e.Sound(q.Now)
+	return e.Usable(q.Now) || (q.CanWait || q.CurrentPath.Has(e.ID)) && e.Sound(q.Now)
 }
 
 // search walks the layer boundaries in ascending order. For each boundary and
@@ -279,10 +279,10 @@
 // prefillCost returns the cost of having an engine process a running request's
 // tokens for a layer range. It is zero if the engine has already done so.
 func (q Query) prefillCost(e *citronpool.Engine, span citronmodel.Span) float64 {
-	if len(q.Keep) == 0 {
+	if len(q.CurrentPath) == 0 {
 		return 0
 	}
-	for _, h := range q.Keep {
+	for _, h := range q.CurrentPath {
 		if h.Engine.ID == e.ID && h.Span.Covers(span) {
 			return 0
 		}
