--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -62,9 +62,9 @@
 	// CurrentPath is the current path of a running request. An engine that is not on
 	// it would first have to process all of the request's tokens so far.
 	CurrentPath Path
-	// Others is the cache, in tokens, that requests of other nodes use in each
+	// OthersTokens is the cache, in tokens, that requests of other nodes use in each
 	// zone. Own is the same for the requests of this node.
-	Others, Own map[string]int64
+	OthersTokens, Own map[string]int64
 	// ZoneCost is the additional cost of starting in each zone other than
 	// Zone. Nodes that all see the same best zone would send all requests there
 	// until the next load update. A cost drawn at random for each request
@@ -112,7 +112,7 @@
 	if capacity <= 0 {
 		return math.Inf(1)
 	}
-	return (float64(e.Tokens()) + float64(q.Others[e.Zone])*q.trafficShare(e)) / capacity
+	return (float64(e.Tokens()) + float64(q.OthersTokens[e.Zone])*q.trafficShare(e)) / capacity
 }
 
 // priorTokens is the weight, in tokens, of the assumption that requests spread
--- a/citronpath/path_test.go
+++ b/citronpath/path_test.go
@@ -111,7 +111,7 @@
 			"surge: requests of other nodes fill the own zone",
 			append(zoneB, engine("a1", "a", "fast", 0, 4), engine("a2", "a", "fast", 4, 8)),
 			func(q *citronpath.Query, _ []*citronpool.Engine) {
-				q.Others = map[string]int64{"a": int64(spec.CacheTokens("fast", 4))}
+				q.OthersTokens = map[string]int64{"a": int64(spec.CacheTokens("fast", 4))}
 			},
 			"b1[0,4) b2[4,8) ",
 		},
@@ -181,12 +181,12 @@
 	es := view(engine("a1", "a", "fast", 0, 8), engine("b1", "b", "fast", 0, 8))
 	q := query()
 	q.Spec.Slots, q.Spec.MeanTokens = 8, 900
-	q.Others = map[string]int64{"a": 7 * 900}
+	q.OthersTokens = map[string]int64{"a": 7 * 900}
 	is.True(q.Spec.CacheTokens("fast", 8) > 100*900)
 	p, ok := citronpath.Choose(es, q)
 	is.True(ok)
 	is.Equal(ids(p), "b1[0,8) ")
-	q.Others["a"] = 2 * 900
+	q.OthersTokens["a"] = 2 * 900
 	p, _ = citronpath.Choose(es, q)
 	is.Equal(ids(p), "a1[0,8) ")
 }
--- a/citronpath/spread_test.go
+++ b/citronpath/spread_test.go
@@ -32,10 +32,10 @@
 	for range streams {
 		for i := range views {
 			q := query()
-			q.Own, q.Others = map[string]int64{"a": own[i]}, map[string]int64{}
+			q.Own, q.OthersTokens = map[string]int64{"a": own[i]}, map[string]int64{}
 			for j := range own {
 				if j != i {
-					q.Others["a"] += own[j]
+					q.OthersTokens["a"] += own[j]
 				}
 			}
 			p, ok := citronpath.Choose(views[i], q)
