--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -64,7 +64,7 @@
 	CurrentPath Path
 	// OthersTokens is the cache, in tokens, that requests of other nodes use in each
 	// zone. Own is the same for the requests of this node.
-	OthersTokens, Own map[string]int64
+	OthersTokens, OwnTokens map[string]int64
 	// ZoneCost is the additional cost of starting in each zone other than
 	// Zone. Nodes that all see the same best zone would send all requests there
 	// until the next load update. A cost drawn at random for each request
@@ -126,7 +126,7 @@
 // same layers would hide that all nodes prefer the fastest of them: its streams
 // would be late while the others have free capacity.
 func (q Query) trafficShare(e *citronpool.Engine) float64 {
-	return min(1, (float64(e.Tokens())+priorTokens/max(1, e.Copies))/(float64(q.Own[e.Zone])+priorTokens))
+	return min(1, (float64(e.Tokens())+priorTokens/max(1, e.Copies))/(float64(q.OwnTokens[e.Zone])+priorTokens))
 }
 
 // Used returns the utilization of the path's most utilized engine.
--- a/citronpath/spread_test.go
+++ b/citronpath/spread_test.go
@@ -32,7 +32,7 @@
 	for range streams {
 		for i := range views {
 			q := query()
-			q.Own, q.OthersTokens = map[string]int64{"a": own[i]}, map[string]int64{}
+			q.OwnTokens, q.OthersTokens = map[string]int64{"a": own[i]}, map[string]int64{}
 			for j := range own {
 				if j != i {
 					q.OthersTokens["a"] += own[j]
