--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -57,8 +57,8 @@
 	CanWait bool
 	// Avoid holds the IDs of engines that this request must not use.
 	Avoid map[string]bool
-	// First, if set, is the ID of the engine that must be the first hop.
-	First string
+	// FirstID, if set, is the ID of the engine that must be the first hop.
+	FirstID string
 	// CurrentPath is the current path of a running request. An engine that is not on
 	// it would first have to process all of the request's tokens so far.
 	CurrentPath Path
@@ -226,7 +226,7 @@
 	for at, pos := range boundaries[:len(boundaries)-1] {
 		holders = holders[:0]
 		for i, e := range engines {
-			if e.Layers.From <= pos && pos < e.Layers.To && (pos > 0 || q.First == "" || e.ID == q.First) {
+			if e.Layers.From <= pos && pos < e.Layers.To && (pos > 0 || q.FirstID == "" || e.ID == q.FirstID) {
 				holders = append(holders, i)
 			}
 		}
--- a/citronpath/path_test.go
+++ b/citronpath/path_test.go
@@ -133,7 +133,7 @@
 		{
 			"a running request keeps its first engine",
 			[]citronmodel.Engine{engine("a1", "a", "slow", 0, 4), engine("a2", "a", "fast", 0, 4), engine("a3", "a", "fast", 4, 8)},
-			func(q *citronpath.Query, _ []*citronpool.Engine) { q.First = "a1" }, "a1[0,4) a3[4,8) ",
+			func(q *citronpath.Query, _ []*citronpool.Engine) { q.FirstID = "a1" }, "a1[0,4) a3[4,8) ",
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
