--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -102,12 +102,12 @@
 	overloadCost    = 60
 )
 
-// Used returns the share of an engine's capacity that running requests may need.
+// Utilization returns the share of an engine's capacity that running requests may need.
 // The capacity is limited by the engine's cache or by its request slots,
 // whichever is scarcer: small engines with few layers have cache for more
 // requests than they can run at once and would refuse the excess. The load from
 // other nodes is known only as a total per zone.
-func (q Query) Used(e *citronpool.Engine) float64 {
+func (q Query) Utilization(e *citronpool.Engine) float64 {
 	capacity := q.Spec.RoomTokens(e.Kind, e.Layers.Len())
 	if capacity <= 0 {
 		return math.Inf(1)
@@ -133,7 +133,7 @@
 func (p Path) Used(q Query) float64 {
 	most := 0.0
 	for _, h := range p {
-		most = max(most, q.Used(h.Engine))
+		most = max(most, q.Utilization(h.Engine))
 	}
 	return most
 }
@@ -141,7 +141,7 @@
 // layerCost returns the cost of running one layer on an engine.
 func (q Query) layerCost(e *citronpool.Engine) float64 {
 	ms := q.Spec.StepTime(e.Kind, 1, typicalRequests, typicalContext)
-	used := q.Used(e)
+	used := q.Utilization(e)
 	if math.IsInf(used, 1) {
 		return used
 	}
