--- a/citronforward/admit.go
+++ b/citronforward/admit.go
@@ -54,7 +54,7 @@
 		if !ok {
 			return nil, false, false
 		}
-		cacheUsage := p.Used(s.query(state, ""))
+		cacheUsage := p.Utilization(s.query(state, ""))
 		if cacheUsage <= maxCacheUsage || s.begun || s.ResumeAfter != "" {
 			return p, false, true
 		}
--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -129,8 +129,8 @@
 	return min(1, (float64(e.Tokens())+priorTokens/max(1, e.Copies))/(float64(q.OwnTokens[e.Zone])+priorTokens))
 }
 
-// Used returns the utilization of the path's most utilized engine.
-func (p Path) Used(q Query) float64 {
+// Utilization returns the utilization of the path's most utilized engine.
+func (p Path) Utilization(q Query) float64 {
 	most := 0.0
 	for _, h := range p {
 		most = max(most, q.Utilization(h.Engine))
