--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -231,9 +231,9 @@
 	go func() {
 		var wait sync.WaitGroup
 		for _, h := range path[1:] {
-			wait.Go(func() { _ = w.s.f.probe(w.ctx, h.Engine, citronprobe.Fresh) }) // Probe records the result in the engine's state
+			wait.Go(func() { _ = w.s.f.probe(w.ctx, h.Engine, citronprobe.MaxReportAge) }) // Probe records the result in the engine's state
 		}
-		r, err := w.s.f.probes.Ask(w.ctx, w.s.f.Upstream, path[0].Engine.Addr, citronprobe.Fresh)
+		r, err := w.s.f.probes.Ask(w.ctx, w.s.f.Upstream, path[0].Engine.Addr, citronprobe.MaxReportAge)
 		wait.Wait()
 		w.probeResults <- probeResult{r, err}
 	}()
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -189,7 +189,7 @@
 		}
 		// The accused engine may be full or dead. Streams that run through it need to
 		// know which, so probe it.
-		go func() { _ = j.f.probe(context.Background(), at, citronprobe.Fresh) }()
+		go func() { _ = j.f.probe(context.Background(), at, citronprobe.MaxReportAge) }()
 		return
 	}
 	if reply.Status == http.StatusMisdirectedRequest {
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// Fresh is the usual maximum age of a report that a stream takes over from
+	// MaxReportAge is the usual maximum age of a report that a stream takes over from
 	// another stream's probe.
-	Fresh = 500 * time.Millisecond
+	MaxReportAge = 500 * time.Millisecond
 	// probeTimeout is the time after which an engine that does not respond to a
 	// probe counts as dead. A healthy engine responds within a few milliseconds.
 	probeTimeout = 250 * time.Millisecond
