--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -110,7 +110,7 @@
 	report, err := f.probes.Ask(context.WithoutCancel(ctx), f.Upstream, e.Addr, maxCrashReportAge)
 	switch {
 	case err == nil:
-		citronprobe.Heard(e, report, f.Clock.Now())
+		citronprobe.RecordReport(e, report, f.Clock.Now())
 	case errors.Is(err, syscall.ECONNREFUSED):
 		citronprobe.Dead(e, err, f.Clock.Now())
 	}
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -256,7 +256,7 @@
 		citronprobe.Dead(first, r.err, now)
 		return w.replace(0, reasonDead)
 	}
-	citronprobe.Heard(first, r.report, now)
+	citronprobe.RecordReport(first, r.report, now)
 	if first.Ended() {
 		return w.replace(0, reasonDead)
 	}
--- a/citronprobe/heard_test.go
+++ b/citronprobe/heard_test.go
@@ -38,7 +38,7 @@
 			v := citronpool.Build(list, nil)
 			e, _ := v.ByID("i-1@100")
 			now := time.Now()
-			citronprobe.Heard(e, c.report, now)
+			citronprobe.RecordReport(e, c.report, now)
 			is.Equal(e.Usable(now), c.usable)
 			is.Equal(e.Ended(), c.ended)
 			is.Equal(len(v.StartedAnew()) > 0, c.report.Born > 100)
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -86,18 +86,18 @@
 	r, err := p.Ask(ctx, up, e.Addr, maxAge)
 	switch {
 	case err == nil:
-		Heard(e, r, clock.Now())
+		RecordReport(e, r, clock.Now())
 	case ctx.Err() == nil:
 		Dead(e, err, clock.Now())
 	}
 	return err
 }
 
-// Heard records the report of an engine. An engine may have restarted at the same
+// RecordReport records the report of an engine. An engine may have restarted at the same
 // address. The report is then that of a later incarnation, which holds no layers
 // and runs none of the requests of the earlier one. A report of an earlier
 // incarnation is ignored.
-func Heard(e *citronpool.Engine, r citronupstream.Report, now time.Time) {
+func RecordReport(e *citronpool.Engine, r citronupstream.Report, now time.Time) {
 	startsKnown := r.Born != 0 && e.Born != 0
 	switch {
 	case startsKnown && r.Born > e.Born:
