--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -112,7 +112,7 @@
 	case err == nil:
 		citronprobe.RecordReport(e, report, f.Clock.Now())
 	case errors.Is(err, syscall.ECONNREFUSED):
-		citronprobe.Dead(e, err, f.Clock.Now())
+		citronprobe.RecordDead(e, err, f.Clock.Now())
 	}
 	return e.Ended()
 }
--- a/citronforward/refused_test.go
+++ b/citronforward/refused_test.go
@@ -46,7 +46,7 @@
 		go func() {
 			_, _ = io.WriteString(w, events(2, 2))
 			time.Sleep(50 * time.Millisecond)
-			citronprobe.Dead(c.Engine, syscall.ECONNREFUSED, time.Now())
+			citronprobe.RecordDead(c.Engine, syscall.ECONNREFUSED, time.Now())
 			_, _ = io.WriteString(w, events(3, 3))
 			time.Sleep(2200 * time.Millisecond) // beyond the time at which the stream is due to move
 			_, _ = io.WriteString(w, events(4, 4))
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -253,7 +253,7 @@
 		if w.ctx.Err() != nil {
 			return keepRun
 		}
-		citronprobe.Dead(first, r.err, now)
+		citronprobe.RecordDead(first, r.err, now)
 		return w.replace(0, reasonDead)
 	}
 	citronprobe.RecordReport(first, r.report, now)
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -162,7 +162,7 @@
 func (j *job) classifyError(e *citronpool.Engine, err error) result {
 	switch {
 	case errors.Is(err, citronupstream.ErrNotSent):
-		citronprobe.Dead(e, err, j.f.Clock.Now())
+		citronprobe.RecordDead(e, err, j.f.Clock.Now())
 		return result{outcome: notRun, err: err}
 	case errors.Is(err, context.Canceled):
 		return result{outcome: unknown, err: err} // the client canceled the request
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -88,7 +88,7 @@
 	case err == nil:
 		RecordReport(e, r, clock.Now())
 	case ctx.Err() == nil:
-		Dead(e, err, clock.Now())
+		RecordDead(e, err, clock.Now())
 	}
 	return err
 }
@@ -123,9 +123,9 @@
 	}
 }
 
-// Dead records that an engine did not respond to a probe. If the connection was
+// RecordDead records that an engine did not respond to a probe. If the connection was
 // refused, it also records that the engine's process has ended.
-func Dead(e *citronpool.Engine, err error, now time.Time) {
+func RecordDead(e *citronpool.Engine, err error, now time.Time) {
 	e.Dead(now)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		e.End()
