--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -107,7 +107,7 @@
 	if e.Ended() {
 		return true
 	}
-	report, err := f.probes.Ask(context.WithoutCancel(ctx), f.Upstream, e.Addr, maxCrashReportAge)
+	report, err := f.probes.Report(context.WithoutCancel(ctx), f.Upstream, e.Addr, maxCrashReportAge)
 	switch {
 	case err == nil:
 		citronprobe.RecordReport(e, report, f.Clock.Now())
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -233,7 +233,7 @@
 		for _, h := range path[1:] {
 			wait.Go(func() { _ = w.s.f.probe(w.ctx, h.Engine, citronprobe.MaxReportAge) }) // Probe records the result in the engine's state
 		}
-		r, err := w.s.f.probes.Ask(w.ctx, w.s.f.Upstream, path[0].Engine.Addr, citronprobe.MaxReportAge)
+		r, err := w.s.f.probes.Report(w.ctx, w.s.f.Upstream, path[0].Engine.Addr, citronprobe.MaxReportAge)
 		wait.Wait()
 		w.probeResults <- probeResult{r, err}
 	}()
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -44,10 +44,10 @@
 	err    error
 }
 
-// Ask returns the report of the engine at addr. It uses the result of the previous
+// Report returns the report of the engine at addr. It uses the result of the previous
 // probe if that probe started at most maxAge ago. The report and the error are both
 // empty if this node was paused during the probe.
-func (p *Prober) Ask(ctx context.Context, up citronupstream.Engines, addr string, maxAge time.Duration) (citronupstream.Report, error) {
+func (p *Prober) Report(ctx context.Context, up citronupstream.Engines, addr string, maxAge time.Duration) (citronupstream.Report, error) {
 	p.mu.Lock()
 	if p.byAddr == nil {
 		p.byAddr = map[string]*sharedProbe{}
@@ -83,7 +83,7 @@
 // none, that the engine is dead. The error says why there is no report. If ctx has
 // ended, a failed probe is not recorded.
 func (p *Prober) Probe(ctx context.Context, up citronupstream.Engines, clock citronclock.Clock, e *citronpool.Engine, maxAge time.Duration) error {
-	r, err := p.Ask(ctx, up, e.Addr, maxAge)
+	r, err := p.Report(ctx, up, e.Addr, maxAge)
 	switch {
 	case err == nil:
 		RecordReport(e, r, clock.Now())
