--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -27,9 +27,9 @@
 	// tickInterval is how often the loop checks time-dependent state. Each tick
 	// increments the heartbeat counter of this node.
 	tickInterval = citronpeer.BeatEvery
-	// deadNews is how long a node keeps reporting an engine that it found dead. Other
+	// deadReportAge is how long a node keeps reporting an engine that it found dead. Other
 	// nodes verify the report themselves.
-	deadNews = 1500 * time.Millisecond
+	deadReportAge = 1500 * time.Millisecond
 )
 
 // Origins of a document, as logged.
@@ -245,7 +245,7 @@
 		c.self.Sent[service] = citronpeer.Sent(u)
 	}
 	if c.view != nil {
-		dead := c.view.Dead(now.Add(-deadNews))
+		dead := c.view.Dead(now.Add(-deadReportAge))
 		if len(dead) > len(c.self.Dead) {
 			c.n.notifyLeader()
 		}
