--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -41,8 +41,8 @@
 // message is an input of the control loop.
 type message interface{ isMessage() }
 
-// listSeen is the whole list of engines as of a revision.
-type listSeen struct {
+// listSnapshot is the whole list of engines as of a revision.
+type listSnapshot struct {
 	items    []citronkv.Item
 	revision citronkv.Revision
 	source   string
@@ -65,9 +65,9 @@
 	sums   []citronpeer.Sum
 }
 
-func (listSeen) isMessage()    {}
-func (listChanged) isMessage() {}
-func (membersSeen) isMessage() {}
+func (listSnapshot) isMessage() {}
+func (listChanged) isMessage()  {}
+func (membersSeen) isMessage()  {}
 
 // control is the state of the control loop.
 type control struct {
@@ -137,7 +137,7 @@
 
 func (c *control) take(ctx context.Context, m message) {
 	switch m := m.(type) {
-	case listSeen:
+	case listSnapshot:
 		if c.list.TakeWhole(ctx, m.items, m.revision, m.source == sourceStore) {
 			c.onListChanged(ctx, m.source)
 		}
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -340,5 +340,5 @@
 		n.send(ctx, listChanged{items: items, base: k.Engines.Base, revision: k.Engines.Revision, source: sourceNode})
 		return
 	}
-	n.send(ctx, listSeen{items: items, revision: k.Engines.Revision, source: sourceNode})
+	n.send(ctx, listSnapshot{items: items, revision: k.Engines.Revision, source: sourceNode})
 }
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -65,7 +65,7 @@
 		items = append(items, citronkv.Item{Key: "engines/" + key, Value: text, Revision: citronkv.RevisionOf(0, r.revision)})
 	}
 	if r.list.Revision().IsZero() {
-		r.take(context.Background(), listSeen{items: items, revision: citronkv.RevisionOf(0, r.revision)})
+		r.take(context.Background(), listSnapshot{items: items, revision: citronkv.RevisionOf(0, r.revision)})
 	} else {
 		r.take(context.Background(), listChanged{items: items, base: r.list.Revision(), revision: citronkv.RevisionOf(0, r.revision)})
 	}
@@ -159,7 +159,7 @@
 	// entry must not take the address back.
 	old := citronkv.Item{Key: "engines/i-1", Value: listEntry(modelEngine("i-1", "a:1", 0, 8)), Revision: citronkv.RevisionOf(0, 11)}
 	now := citronkv.Item{Key: "engines/i-9", Value: listEntry(modelEngine("i-9", "a:1", 0, 0)), Revision: citronkv.RevisionOf(0, 12)}
-	r.take(context.Background(), listSeen{items: []citronkv.Item{old, now}, revision: citronkv.RevisionOf(0, 30)})
+	r.take(context.Background(), listSnapshot{items: []citronkv.Item{old, now}, revision: citronkv.RevisionOf(0, 30)})
 	r.publish()
 	is.Equal(r.inUse()["a:1"].ID, "i-9")
 	is.Equal(len(r.inUse()), 1)
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -145,7 +145,7 @@
 	if config {
 		n.sendConfig(ctx, items)
 	} else {
-		n.send(ctx, listSeen{items: items, revision: rev, source: sourceStore})
+		n.send(ctx, listSnapshot{items: items, revision: rev, source: sourceStore})
 	}
 	return rev, nil
 }
