--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -48,8 +48,8 @@
 	source   string
 }
 
-// listChanged is the set of changes to the list of engines after base, up to revision.
-type listChanged struct {
+// listDelta is the set of changes to the list of engines after base, up to revision.
+type listDelta struct {
 	items          []citronkv.Item
 	base, revision citronkv.Revision
 	source         string
@@ -66,7 +66,7 @@
 }
 
 func (listSnapshot) isMessage() {}
-func (listChanged) isMessage()  {}
+func (listDelta) isMessage()    {}
 func (membersSeen) isMessage()  {}
 
 // control is the state of the control loop.
@@ -141,7 +141,7 @@
 		if c.list.TakeWhole(ctx, m.items, m.revision, m.source == sourceStore) {
 			c.onListChanged(ctx, m.source)
 		}
-	case listChanged:
+	case listDelta:
 		if c.list.TakeChanges(ctx, m.items, m.base, m.revision, m.source == sourceStore) {
 			c.onListChanged(ctx, m.source)
 		}
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -337,7 +337,7 @@
 		return
 	}
 	if !k.Engines.Base.IsZero() {
-		n.send(ctx, listChanged{items: items, base: k.Engines.Base, revision: k.Engines.Revision, source: sourceNode})
+		n.send(ctx, listDelta{items: items, base: k.Engines.Base, revision: k.Engines.Revision, source: sourceNode})
 		return
 	}
 	n.send(ctx, listSnapshot{items: items, revision: k.Engines.Revision, source: sourceNode})
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -67,7 +67,7 @@
 	if r.list.Revision().IsZero() {
 		r.take(context.Background(), listSnapshot{items: items, revision: citronkv.RevisionOf(0, r.revision)})
 	} else {
-		r.take(context.Background(), listChanged{items: items, base: r.list.Revision(), revision: citronkv.RevisionOf(0, r.revision)})
+		r.take(context.Background(), listDelta{items: items, base: r.list.Revision(), revision: citronkv.RevisionOf(0, r.revision)})
 	}
 	r.publish()
 }
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -174,7 +174,7 @@
 			n.sendConfig(ctx, events)
 			continue
 		}
-		n.send(ctx, listChanged{items: events, revision: rev, source: sourceStore})
+		n.send(ctx, listDelta{items: events, revision: rev, source: sourceStore})
 		if len(events) > 0 {
 			_ = n.clock.Sleep(ctx, watchBatchDelay)
 		}
