--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -55,9 +55,9 @@
 	source         string
 }
 
-// membersSeen is an update about other nodes: complete entries, gauges, or only the
+// memberUpdate is an update about other nodes: complete entries, gauges, or only the
 // heartbeat counters in a digest, together with the zone totals.
-type membersSeen struct {
+type memberUpdate struct {
 	// from is the node that sent the update. told is what it knows about others.
 	from   citronpeer.Member
 	told   citronpeer.Diff
@@ -67,7 +67,7 @@
 
 func (listSnapshot) isMessage() {}
 func (listDelta) isMessage()    {}
-func (membersSeen) isMessage()  {}
+func (memberUpdate) isMessage() {}
 
 // control is the state of the control loop.
 type control struct {
@@ -145,7 +145,7 @@
 		if c.list.TakeChanges(ctx, m.items, m.base, m.revision, m.source == sourceStore) {
 			c.onListChanged(ctx, m.source)
 		}
-	case membersSeen:
+	case memberUpdate:
 		c.mergeMembers(citronpeer.Diff{Members: []citronpeer.Member{m.from}})
 		c.mergeMembers(m.told)
 		c.mergeGauges(m.told.Gauges)
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -320,7 +320,7 @@
 func (n *Node) merge(ctx context.Context, k citronpeer.Knowledge) {
 	n.mergeSuspects(ctx, k.From.Name, k.Suspects)
 	n.mergeLimits(ctx, k.From.Name, k.Limits)
-	n.send(ctx, membersSeen{from: k.From, told: k.Diff, digest: k.Digest, sums: k.Sums})
+	n.send(ctx, memberUpdate{from: k.From, told: k.Diff, digest: k.Digest, sums: k.Sums})
 	if len(k.Config.Body) > 0 {
 		n.offerConfig(ctx, k.Config.Version, k.Config.Body, sourceNode)
 	}
--- a/citronnode/outage_test.go
+++ b/citronnode/outage_test.go
@@ -19,7 +19,7 @@
 	r := newLoop(t)
 	now := time.Now()
 	r.n.health.Note(citronhealth.Call{Begun: now, Ended: now, Err: citronkv.ErrUnavailable})
-	r.take(context.Background(), membersSeen{told: citronpeer.Diff{Members: []citronpeer.Member{{Name: "n2", Store: citronhealth.Status{Answered: true, Served: true}}}}})
+	r.take(context.Background(), memberUpdate{told: citronpeer.Diff{Members: []citronpeer.Member{{Name: "n2", Store: citronhealth.Status{Answered: true, Served: true}}}}})
 	r.tick(context.Background())
 	is.True(r.self.Store.Away)
 	is.True(!r.storeAway)
