--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -168,7 +168,7 @@
 	unreadable int
 	// retained is the number of engines in use whose entries are missing.
 	retained int
-	// listWhole reports that the list is complete: no missing entries are expected to
+	// listCompleteAfter reports that the list is complete: no missing entries are expected to
 	// come back.
 	listWhole bool
 }
