--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -313,7 +313,7 @@
 // it is ready. On a cold start, engines are still registering.
 const listStableDelay = 300 * time.Millisecond
 
-// listCompleteAfter is the time that must pass after the first list before a node considers the
+// listComplete is the time that must pass after the first list before a node considers the
 // list complete. Entries that expired before the first list are back by then. Entries
 // that expire later are retained in the list meanwhile.
 const listCompleteAfter = 2200 * time.Millisecond
@@ -322,7 +322,7 @@
 func (c *control) publish() {
 	old := c.n.snap.Load()
 	s := &snapshot{eraAt: c.eraAt, config: c.config, configAt: c.configAt, listAt: c.listAt, self: c.self, traffic: old.traffic, engines: old.engines}
-	s.listWhole = !c.listSince.IsZero() && c.n.clock.Now().Sub(c.listSince) > listCompleteAfter
+	s.listComplete = !c.listSince.IsZero() && c.n.clock.Now().Sub(c.listSince) > listCompleteAfter
 	s.listStable = !c.listSince.IsZero() && c.n.clock.Now().Sub(c.listSince) > listStableDelay
 	s.unreadable = c.list.Unreadable()
 	s.retained = c.list.Kept()
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -168,9 +168,9 @@
 	unreadable int
 	// retained is the number of engines in use whose entries are missing.
 	retained int
-	// listCompleteAfter reports that the list is complete: no missing entries are expected to
+	// listComplete reports that the list is complete: no missing entries are expected to
 	// come back.
-	listWhole bool
+	listComplete bool
 }
 
 // New returns a node. hc is used to talk to other nodes.
