--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -161,7 +161,7 @@
 		updateAge = max(updateAge, 2*c.members.NearGap()+time.Duration(sum.AgeMS)*time.Millisecond)
 	}
 	s.roster = citronroster.New(c.self.Zone, append(alive, citronroster.Entry{Member: c.self, Print: citronroster.Of(c.self)}))
-	s.goals = c.lastKnownTargets(now)
+	s.targets = c.lastKnownTargets(now)
 	used := map[string]citronbudget.Usage{}
 	for service, u := range others.Sent {
 		used[service] = citronbudget.Usage(u)
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -161,8 +161,8 @@
 	eraAt time.Time
 	// configAt and listAt are when the configuration and the list last changed here.
 	configAt, listAt time.Time
-	// goals holds the target layer ranges that a leader announced recently.
-	goals      map[string]citronmodel.Span
+	// targets holds the target layer ranges that a leader announced recently.
+	targets    map[string]citronmodel.Span
 	listStable bool
 	// unreadable is the number of entries in the list that do not describe an engine.
 	unreadable int
