--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -298,7 +298,7 @@
 // leader. If it dies, the next leader continues with them.
 func (c *control) publishTargets() {
 	goals := map[string][2]int{}
-	if f := c.n.goals.Load(); f != nil {
+	if f := c.n.targets.Load(); f != nil {
 		for id, s := range (*f)() {
 			goals[id] = [2]int{s.From, s.To}
 		}
--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -228,7 +228,7 @@
 	n.places.Store(true)
 	p := &citronplacer.Placer{Orders: n.src.Orders, Clock: n.clock, Log: n.log, Current: n.placement}
 	goals := p.Goals
-	n.goals.Store(&goals)
+	n.targets.Store(&goals)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -236,7 +236,7 @@
 	}()
 	return func() {
 		<-done
-		n.goals.Store(nil)
+		n.targets.Store(nil)
 		n.places.Store(false)
 	}
 }
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -130,8 +130,8 @@
 	// leads is set while this node holds the lease or is the acting leader. places is set
 	// while it places layers.
 	leads, places atomic.Bool
-	// goals returns the target layer ranges that this node has chosen as the leader.
-	goals atomic.Pointer[func() map[string]citronmodel.Span]
+	// targets returns the target layer ranges that this node has chosen as the leader.
+	targets atomic.Pointer[func() map[string]citronmodel.Span]
 	// leaderless is the time since which no leader has been heard of.
 	leaderless atomic.Pointer[time.Time]
 	// registered holds the peer addresses found in the store.
