--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -330,7 +330,7 @@
 		c.collectDue = false
 		c.collectMembers(s)
 	} else {
-		s.members, s.stale, s.roster, s.sums, s.others, s.targets = old.members, old.stale, old.roster, old.sums, old.others, old.targets
+		s.members, s.stale, s.roster, s.zoneTotals, s.others, s.targets = old.members, old.stale, old.roster, old.zoneTotals, old.others, old.targets
 	}
 	if c.configChanged || c.listVersion != c.list.Version() {
 		c.configChanged, c.listVersion = false, c.list.Version()
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -110,7 +110,7 @@
 func (s *snapshot) gossipState() citronpeer.Knowledge {
 	k := s.update()
 	k.Digest = s.roster.Digest()
-	k.Sums = s.sums
+	k.Sums = s.zoneTotals
 	return k
 }
 
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -149,15 +149,15 @@
 	own := others.Clone()
 	own.Add(c.self.Load, c.self.Sent)
 	c.sums.Set(citronpeer.Sum{Load: own.Load, Sent: own.Sent}, now)
-	s.sums = c.sums.Tell(now)
-	for _, sum := range s.sums {
+	s.zoneTotals = c.sums.Tell(now)
+	for _, sum := range s.zoneTotals {
 		if sum.Zone != c.self.Zone {
 			others.Add(sum.Load, sum.Sent)
 		}
 	}
 	s.others = others.Load
 	updateAge := 2 * c.members.NearGap()
-	for _, sum := range s.sums {
+	for _, sum := range s.zoneTotals {
 		updateAge = max(updateAge, 2*c.members.NearGap()+time.Duration(sum.AgeMS)*time.Millisecond)
 	}
 	s.roster = citronroster.New(c.self.Zone, append(alive, citronroster.Entry{Member: c.self, Print: citronroster.Of(c.self)}))
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -153,8 +153,8 @@
 	self   citronpeer.Member
 	// roster describes this node and the members, as sent to other nodes.
 	roster citronroster.Roster
-	// sums holds the zone totals, including those of this node's zone.
-	sums []citronpeer.Sum
+	// zoneTotals holds the zone totals, including those of this node's zone.
+	zoneTotals []citronpeer.Sum
 	// others is the cache used by the requests of other nodes, by zone.
 	others map[string]int64
 	// eraAt is when this node observed that the store was restored from an older copy.
