--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -47,7 +47,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.news:
+		case <-n.updates:
 			_ = n.clock.Sleep(ctx, minUpdateGap-n.clock.Now().Sub(lastSent))
 			n.sendUpdate(ctx, n.partners())
 			lastSent = n.clock.Now()
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -89,9 +89,9 @@
 	startedAt time.Time
 	// leftAt is when the node began to stop.
 	leftAt atomic.Pointer[time.Time]
-	// news wakes the gossip loop after a document has changed on this node. alarms does
+	// updates wakes the gossip loop after a document has changed on this node. alarms does
 	// the same if the leader must be informed too.
-	news, alarms chan struct{}
+	updates, alarms chan struct{}
 	// accused is when this node last reported an accused engine: an engine that another
 	// engine named as the cause of a failed request.
 	accused atomic.Pointer[time.Time]
@@ -181,7 +181,7 @@
 		set: set, src: src, health: health, clock: clock, log: log, budget: budget, loads: loads,
 		peers:   &citronpeer.Client{HC: hc, Timeout: exchangeTimeout},
 		control: make(chan message, inboxSize),
-		news:    make(chan struct{}, 1),
+		updates: make(chan struct{}, 1),
 		alarms:  make(chan struct{}, 1),
 
 		barredNews: make(chan struct{}, 1),
@@ -308,7 +308,7 @@
 const drainPollInterval = 50 * time.Millisecond
 
 // tell wakes the gossip loop to inform other nodes of a changed document.
-func (n *Node) tell() { wake(n.news) }
+func (n *Node) tell() { wake(n.updates) }
 
 // notifyLeader wakes the gossip loop to inform the leader too.
 func (n *Node) notifyLeader() { wake(n.alarms) }
