--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -51,7 +51,7 @@
 			_ = n.clock.Sleep(ctx, minUpdateGap-n.clock.Now().Sub(lastSent))
 			n.sendUpdate(ctx, n.partners())
 			lastSent = n.clock.Now()
-		case <-n.alarms:
+		case <-n.urgentUpdates:
 			n.sendUpdate(ctx, append(n.leaders(), n.partners()...))
 			lastSent = n.clock.Now()
 		case <-timer.C:
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -91,7 +91,7 @@
 	leftAt atomic.Pointer[time.Time]
 	// updates wakes the gossip loop after a document has changed on this node. alarms does
 	// the same if the leader must be informed too.
-	updates, alarms chan struct{}
+	updates, urgentUpdates chan struct{}
 	// accused is when this node last reported an accused engine: an engine that another
 	// engine named as the cause of a failed request.
 	accused atomic.Pointer[time.Time]
@@ -179,10 +179,10 @@
 	src.Store = citronhealth.Observe(src.Store, clock, health.Note)
 	n := &Node{
 		set: set, src: src, health: health, clock: clock, log: log, budget: budget, loads: loads,
-		peers:   &citronpeer.Client{HC: hc, Timeout: exchangeTimeout},
-		control: make(chan message, inboxSize),
-		updates: make(chan struct{}, 1),
-		alarms:  make(chan struct{}, 1),
+		peers:         &citronpeer.Client{HC: hc, Timeout: exchangeTimeout},
+		control:       make(chan message, inboxSize),
+		updates:       make(chan struct{}, 1),
+		urgentUpdates: make(chan struct{}, 1),
 
 		barredNews: make(chan struct{}, 1),
 		configs:    newConfigInbox(src.DecodeConfig),
@@ -311,7 +311,7 @@
 func (n *Node) tell() { wake(n.updates) }
 
 // notifyLeader wakes the gossip loop to inform the leader too.
-func (n *Node) notifyLeader() { wake(n.alarms) }
+func (n *Node) notifyLeader() { wake(n.urgentUpdates) }
 
 func wake(c chan<- struct{}) {
 	select {
