--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -168,7 +168,7 @@
 	if c.listSince.IsZero() {
 		c.listSince = c.listAt
 	}
-	c.n.tell()
+	c.n.notifyPeers()
 	e := citronevent.EnginesChanged
 	if source != sourceStore {
 		e = citronevent.EnginesHeard // one line of each node for each change would hide everything else
@@ -210,7 +210,7 @@
 	c.table, c.configAt = d.table, c.n.clock.Now()
 	c.config = citronpeer.ConfigDocument{Version: d.table.Version, Body: d.body}
 	c.configChanged = true
-	c.n.tell()
+	c.n.notifyPeers()
 	citronevent.Log(ctx, c.n.log, citronevent.TableApplied, "version", d.table.Version, "source", d.source)
 }
 
@@ -305,7 +305,7 @@
 	}
 	if !maps.Equal(goals, c.self.Goals) {
 		c.self.Goals = goals
-		c.n.tell()
+		c.n.notifyPeers()
 	}
 }
 
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -29,7 +29,7 @@
 // limitsChanged tells other nodes that limits changed, and stops throttling the engines
 // in eased, whose limits were raised or removed.
 func (n *Node) limitsChanged(eased []string) {
-	n.tell()
+	n.notifyPeers()
 	t := n.snap.Load().traffic
 	if t == nil {
 		return
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -31,7 +31,7 @@
 		c.collectDue = true
 		c.joined = append(c.joined, m.Name)
 		if m.Leaving {
-			c.n.tell()
+			c.n.notifyPeers()
 		}
 	}
 }
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -191,7 +191,7 @@
 	n.limits.Notify(n.limitsChanged)
 	n.quarantine = citronquarantine.New(set.Name, clock)
 	n.quarantine.Notify(func() {
-		n.tell()
+		n.notifyPeers()
 		wake(n.barredNews)
 	})
 	n.loans = citronloan.New(budget, n.peers, clock, func() []citronpeer.Member { return n.snap.Load().members })
@@ -307,8 +307,8 @@
 
 const drainPollInterval = 50 * time.Millisecond
 
-// tell wakes the gossip loop to inform other nodes of a changed document.
-func (n *Node) tell() { wake(n.updates) }
+// notifyPeers wakes the gossip loop to inform other nodes of a changed document.
+func (n *Node) notifyPeers() { wake(n.updates) }
 
 // notifyLeader wakes the gossip loop to inform the leader too.
 func (n *Node) notifyLeader() { wake(n.urgentUpdates) }
