--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -45,12 +45,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.barredNews:
+		case <-n.quarantineChanged:
 		}
 		for _, e := range n.quarantine.Dirty() {
 			if err := n.saveQuarantined(ctx, e); err != nil {
 				citronevent.Log(ctx, n.log, citronevent.BarredUnsaved, "print", e.Print, "err", err)
-				time.AfterFunc(retryMost, func() { wake(n.barredNews) })
+				time.AfterFunc(retryMost, func() { wake(n.quarantineChanged) })
 				break
 			}
 			n.quarantine.MarkSaved(e)
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -163,7 +163,7 @@
 			c.eraAt = c.listAt
 		}
 		c.n.quarantine.InvalidateSaved()
-		wake(c.n.barredNews)
+		wake(c.n.quarantineChanged)
 	}
 	if c.listSince.IsZero() {
 		c.listSince = c.listAt
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -115,8 +115,8 @@
 	// limitsRejectedFrom holds the names of the nodes that sent them.
 	limitsRejected     atomic.Int64
 	limitsRejectedFrom sync.Map
-	// barredNews wakes the goroutine that saves quarantine records to the store.
-	barredNews chan struct{}
+	// quarantineChanged wakes the goroutine that saves quarantine records to the store.
+	quarantineChanged chan struct{}
 	// suspectsRejected counts the invalid messages of other nodes, and the invalid
 	// records in the store, about suspects: requests under which engines have crashed.
 	// rejectedFrom holds the names of the nodes that sent the messages, and "store" for
@@ -184,15 +184,15 @@
 		updates:       make(chan struct{}, 1),
 		urgentUpdates: make(chan struct{}, 1),
 
-		barredNews: make(chan struct{}, 1),
-		configs:    newConfigInbox(src.DecodeConfig),
+		quarantineChanged: make(chan struct{}, 1),
+		configs:           newConfigInbox(src.DecodeConfig),
 	}
 	n.limits, n.permits = citronlimit.NewBook(clock), citronpermit.NewDealer()
 	n.limits.Notify(n.limitsChanged)
 	n.quarantine = citronquarantine.New(set.Name, clock)
 	n.quarantine.Notify(func() {
 		n.notifyPeers()
-		wake(n.barredNews)
+		wake(n.quarantineChanged)
 	})
 	n.loans = citronloan.New(budget, n.peers, clock, func() []citronpeer.Member { return n.snap.Load().members })
 	n.snap.Store(&snapshot{self: citronpeer.Member{Name: set.Name, Zone: set.Zone, Front: set.Front, Peer: set.Peer, Weak: set.weak(), Started: clock.Now().UnixNano()}})
