--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -119,10 +119,10 @@
 	quarantineChanged chan struct{}
 	// suspectsRejected counts the invalid messages of other nodes, and the invalid
 	// records in the store, about suspects: requests under which engines have crashed.
-	// rejectedFrom holds the names of the nodes that sent the messages, and "store" for
+	// suspectsRejectedFrom holds the names of the nodes that sent the messages, and "store" for
 	// the records.
-	suspectsRejected atomic.Int64
-	rejectedFrom     sync.Map
+	suspectsRejected     atomic.Int64
+	suspectsRejectedFrom sync.Map
 	// readablePrefixes is the number of followed prefixes for which the store answers.
 	readablePrefixes atomic.Int64
 	// health records the results of this node's calls to the store.
--- a/citronnode/suspects.go
+++ b/citronnode/suspects.go
@@ -100,7 +100,7 @@
 // the first one in the store, is logged.
 func (n *Node) rejectSuspects(ctx context.Context, from string, err error) {
 	n.suspectsRejected.Add(1)
-	if _, logged := n.rejectedFrom.LoadOrStore(from, true); !logged {
+	if _, logged := n.suspectsRejectedFrom.LoadOrStore(from, true); !logged {
 		citronevent.Log(ctx, n.log, citronevent.SuspectsRejected, "peer", from, "err", err)
 	}
 }
