--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -99,9 +99,9 @@
 	configs configInbox
 	// pull fetches documents that other nodes have announced.
 	pull puller
-	// settling determines when a started node knows the other nodes. hasStabilized is
+	// stabilizer determines when a started node knows the other nodes. hasStabilized is
 	// set once it does.
-	settling      settling
+	stabilizer    settling
 	hasStabilized atomic.Bool
 	// loans borrows retry budget from other nodes.
 	loans *citronloan.Borrower
--- a/citronnode/settle.go
+++ b/citronnode/settle.go
@@ -94,7 +94,7 @@
 	if n.clock.Now().Sub(n.startedAt) < minStartWait {
 		return false
 	}
-	if len(n.seeds()) > 0 && !n.settling.done() {
+	if len(n.seeds()) > 0 && !n.stabilizer.done() {
 		return false
 	}
 	n.hasStabilized.Store(true)
