--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -101,7 +101,7 @@
 	pull puller
 	// stabilizer determines when a started node knows the other nodes. hasStabilized is
 	// set once it does.
-	stabilizer    settling
+	stabilizer    stabilizer
 	hasStabilized atomic.Bool
 	// loans borrows retry budget from other nodes.
 	loans *citronloan.Borrower
--- a/citronnode/settle.go
+++ b/citronnode/settle.go
@@ -39,9 +39,9 @@
 	minStartWait = 500 * time.Millisecond
 )
 
-// settling determines when a started node knows the other nodes. Its zero value is ready
+// stabilizer determines when a started node knows the other nodes. Its zero value is ready
 // to use.
-type settling struct {
+type stabilizer struct {
 	mu sync.Mutex
 	// unchanged is the number of consecutive successful exchanges with nodes that knew no
 	// more members than this one, while this one learned of no new members either.
@@ -56,7 +56,7 @@
 
 // exchanged records the result of an exchange and how many members each side knew before
 // it.
-func (s *settling) exchanged(ours, theirs citronpeer.Digest, err error) {
+func (s *stabilizer) exchanged(ours, theirs citronpeer.Digest, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // done reports whether the node knows the other nodes, or that there are none.
-func (s *settling) done() bool {
+func (s *stabilizer) done() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.unchanged >= stableAfter || s.answered >= maxAnswered || s.refused >= aloneAfter || s.failed >= aloneAfterTimeouts
--- a/citronnode/settle_test.go
+++ b/citronnode/settle_test.go
@@ -16,15 +16,15 @@
 	down, silent := errors.Wrap(syscall.ECONNREFUSED, "dial"), errors.New("timeout")
 	cases := []struct {
 		name  string
-		step  func(s *settling, i int)
+		step  func(s *stabilizer, i int)
 		steps int
 	}{
-		{"others know the same number", func(s *settling, _ int) { s.exchanged(knows(3), knows(3), nil) }, 1 + stableAfter},
-		{"others always know more", func(s *settling, i int) { s.exchanged(knows(i), knows(i+1), nil) }, maxAnswered},
-		{"no other node exists", func(s *settling, _ int) { s.exchanged(knows(1), knows(0), down) }, aloneAfter},
-		{"all starting nodes know the same number", func(s *settling, i int) { s.exchanged(knows(i+1), knows(i+1), nil) }, maxAnswered},
-		{"no node answers", func(s *settling, _ int) { s.exchanged(knows(1), knows(0), silent) }, aloneAfterTimeouts},
-		{"the only other node dies", func(s *settling, i int) {
+		{"others know the same number", func(s *stabilizer, _ int) { s.exchanged(knows(3), knows(3), nil) }, 1 + stableAfter},
+		{"others always know more", func(s *stabilizer, i int) { s.exchanged(knows(i), knows(i+1), nil) }, maxAnswered},
+		{"no other node exists", func(s *stabilizer, _ int) { s.exchanged(knows(1), knows(0), down) }, aloneAfter},
+		{"all starting nodes know the same number", func(s *stabilizer, i int) { s.exchanged(knows(i+1), knows(i+1), nil) }, maxAnswered},
+		{"no node answers", func(s *stabilizer, _ int) { s.exchanged(knows(1), knows(0), silent) }, aloneAfterTimeouts},
+		{"the only other node dies", func(s *stabilizer, i int) {
 			var err error
 			if i > 0 {
 				err = down
@@ -35,7 +35,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var s settling
+			var s stabilizer
 			for i := range c.steps {
 				is.True(!s.done())
 				c.step(&s, i)
