--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -179,7 +179,7 @@
 	k := s.gossipState()
 	k.SuspectSum, k.LimitSum = n.quarantine.Sum(), n.limits.Sum()
 	theirs, err := n.peers.Exchange(ctx, addr, k)
-	n.stabilizer.exchanged(k.Digest, theirs.Digest, err)
+	n.stabilizer.recordExchange(k.Digest, theirs.Digest, err)
 	if err != nil {
 		citronevent.Log(ctx, n.log, citronevent.GossipFailed, "peer", addr, "err", err)
 		return
--- a/citronnode/settle.go
+++ b/citronnode/settle.go
@@ -54,9 +54,9 @@
 	answered, refused, failed int
 }
 
-// exchanged records the result of an exchange and how many members each side knew before
+// recordExchange records the result of an exchange and how many members each side knew before
 // it.
-func (s *stabilizer) exchanged(ours, theirs citronpeer.Digest, err error) {
+func (s *stabilizer) recordExchange(ours, theirs citronpeer.Digest, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
--- a/citronnode/settle_test.go
+++ b/citronnode/settle_test.go
@@ -19,17 +19,17 @@
 		step  func(s *stabilizer, i int)
 		steps int
 	}{
-		{"others know the same number", func(s *stabilizer, _ int) { s.exchanged(knows(3), knows(3), nil) }, 1 + stableAfter},
-		{"others always know more", func(s *stabilizer, i int) { s.exchanged(knows(i), knows(i+1), nil) }, maxAnswered},
-		{"no other node exists", func(s *stabilizer, _ int) { s.exchanged(knows(1), knows(0), down) }, aloneAfter},
-		{"all starting nodes know the same number", func(s *stabilizer, i int) { s.exchanged(knows(i+1), knows(i+1), nil) }, maxAnswered},
-		{"no node answers", func(s *stabilizer, _ int) { s.exchanged(knows(1), knows(0), silent) }, aloneAfterTimeouts},
+		{"others know the same number", func(s *stabilizer, _ int) { s.recordExchange(knows(3), knows(3), nil) }, 1 + stableAfter},
+		{"others always know more", func(s *stabilizer, i int) { s.recordExchange(knows(i), knows(i+1), nil) }, maxAnswered},
+		{"no other node exists", func(s *stabilizer, _ int) { s.recordExchange(knows(1), knows(0), down) }, aloneAfter},
+		{"all starting nodes know the same number", func(s *stabilizer, i int) { s.recordExchange(knows(i+1), knows(i+1), nil) }, maxAnswered},
+		{"no node answers", func(s *stabilizer, _ int) { s.recordExchange(knows(1), knows(0), silent) }, aloneAfterTimeouts},
 		{"the only other node dies", func(s *stabilizer, i int) {
 			var err error
 			if i > 0 {
 				err = down
 			}
-			s.exchanged(knows(1), knows(2), err)
+			s.recordExchange(knows(1), knows(2), err)
 		}, 1 + aloneAfter},
 	}
 	for _, c := range cases {
