--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -39,7 +39,7 @@
 }
 
 // keepBarred writes quarantine records to the store when they change, until ctx ends.
-// After a failed write it tries again after retryMost.
+// After a failed write it tries again after maxRetryWait.
 func (n *Node) keepBarred(ctx context.Context) {
 	for {
 		select {
@@ -50,7 +50,7 @@
 		for _, e := range n.quarantine.Dirty() {
 			if err := n.saveQuarantined(ctx, e); err != nil {
 				citronevent.Log(ctx, n.log, citronevent.BarredUnsaved, "print", e.Print, "err", err)
-				time.AfterFunc(retryMost, func() { wake(n.quarantineChanged) })
+				time.AfterFunc(maxRetryWait, func() { wake(n.quarantineChanged) })
 				break
 			}
 			n.quarantine.MarkSaved(e)
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// minRetryWait and retryMost limit the wait after a failed call to the store. All
+	// minRetryWait and maxRetryWait limit the wait after a failed call to the store. All
 	// nodes see an outage at the same time, so the wait is random and grows: the nodes
 	// must not all call the store again at the same moment.
 	minRetryWait = 150 * time.Millisecond
-	retryMost    = 800 * time.Millisecond
+	maxRetryWait = 800 * time.Millisecond
 	// watchBatchDelay is how long changes to the list of engines are collected before
 	// the next watch, because each watch is a priced call.
 	watchBatchDelay = 150 * time.Millisecond
@@ -69,7 +69,7 @@
 			citronevent.Log(ctx, n.log, citronevent.StoreLost, "step", prefix, "err", err)
 		}
 		_ = n.clock.Sleep(ctx, wait/2+rand.N(wait))
-		wait = min(wait*2, retryMost)
+		wait = min(wait*2, maxRetryWait)
 	}
 }
 
@@ -360,7 +360,7 @@
 			continue
 		}
 		citronevent.Log(ctx, n.log, citronevent.GossipFailed, "peer", nodePrefix, "err", err)
-		_ = n.clock.Sleep(ctx, retryMost+rand.N(retryMost))
+		_ = n.clock.Sleep(ctx, maxRetryWait+rand.N(maxRetryWait))
 	}
 }
 
