--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -320,7 +320,7 @@
 func (n *Node) merge(ctx context.Context, k citronpeer.Knowledge) {
 	n.mergeSuspects(ctx, k.From.Name, k.Suspects)
 	n.mergeLimits(ctx, k.From.Name, k.Limits)
-	n.send(ctx, memberUpdate{from: k.From, told: k.Diff, digest: k.Digest, sums: k.Sums})
+	n.sendToLoop(ctx, memberUpdate{from: k.From, told: k.Diff, digest: k.Digest, sums: k.Sums})
 	if len(k.Config.Body) > 0 {
 		n.offerConfig(ctx, k.Config.Version, k.Config.Body, sourceNode)
 	}
@@ -337,8 +337,8 @@
 		return
 	}
 	if !k.Engines.Base.IsZero() {
-		n.send(ctx, listDelta{items: items, base: k.Engines.Base, revision: k.Engines.Revision, source: sourceNode})
+		n.sendToLoop(ctx, listDelta{items: items, base: k.Engines.Base, revision: k.Engines.Revision, source: sourceNode})
 		return
 	}
-	n.send(ctx, listSnapshot{items: items, revision: k.Engines.Revision, source: sourceNode})
+	n.sendToLoop(ctx, listSnapshot{items: items, revision: k.Engines.Revision, source: sourceNode})
 }
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -145,7 +145,7 @@
 	if config {
 		n.sendConfig(ctx, items)
 	} else {
-		n.send(ctx, listSnapshot{items: items, revision: rev, source: sourceStore})
+		n.sendToLoop(ctx, listSnapshot{items: items, revision: rev, source: sourceStore})
 	}
 	return rev, nil
 }
@@ -174,7 +174,7 @@
 			n.sendConfig(ctx, events)
 			continue
 		}
-		n.send(ctx, listDelta{items: events, revision: rev, source: sourceStore})
+		n.sendToLoop(ctx, listDelta{items: events, revision: rev, source: sourceStore})
 		if len(events) > 0 {
 			_ = n.clock.Sleep(ctx, watchBatchDelay)
 		}
@@ -299,7 +299,7 @@
 	}
 }
 
-func (n *Node) send(ctx context.Context, m message) {
+func (n *Node) sendToLoop(ctx context.Context, m message) {
 	select {
 	case n.control <- m:
 	case <-ctx.Done():
