--- a/citronnode/status.go
+++ b/citronnode/status.go
@@ -21,8 +21,8 @@
 	// Unreadable counts the entries in the list that do not describe an engine, written
 	// by some other program.
 	Unreadable int
-	// Kept counts the retained engines: engines in use whose entries are missing.
-	Kept int
+	// Retained counts the retained engines: engines in use whose entries are missing.
+	Retained int
 	// Suspects counts the requests under which engines have ended. Barred counts those
 	// of them that are quarantined and not sent to engines. SuspectsRejected counts the
 	// rejected messages of other nodes, and the rejected records in the store, about such
@@ -42,7 +42,7 @@
 // Status returns the current status of the node.
 func (n *Node) Status() Status {
 	s := n.snap.Load()
-	out := Status{ConfigVersion: s.config.Version, ListRevision: s.list.Revision.Number(), StoreEra: s.list.Revision.Era(), Nodes: len(s.members), Unreadable: s.unreadable, Kept: s.retained, Watching: s.self.Watching, Leads: s.self.Leads, Places: n.places.Load()}
+	out := Status{ConfigVersion: s.config.Version, ListRevision: s.list.Revision.Number(), StoreEra: s.list.Revision.Era(), Nodes: len(s.members), Unreadable: s.unreadable, Retained: s.retained, Watching: s.self.Watching, Leads: s.self.Leads, Places: n.places.Load()}
 	out.Suspects, out.Barred = n.quarantine.Count()
 	out.Limited, out.LimitsRejected = n.limits.Limited(), n.limitsRejected.Load()
 	out.SuspectsRejected = n.suspectsRejected.Load()
--- a/citronstat/node.go
+++ b/citronstat/node.go
@@ -25,7 +25,7 @@
 	gauge("engines_ready", "Engines that take new work.", func(s citronnode.Status) float64 { return float64(s.Ready) })
 	gauge("engines_leaving", "Engines that are leaving.", func(s citronnode.Status) float64 { return float64(s.Leaving) })
 	gauge("entries_unreadable", "Entries of the list that name no engine, of another writer.", func(s citronnode.Status) float64 { return float64(s.Unreadable) })
-	gauge("engines_kept", "Engines that stay in use although their entries are missing.", func(s citronnode.Status) float64 { return float64(s.Kept) })
+	gauge("engines_kept", "Engines that stay in use although their entries are missing.", func(s citronnode.Status) float64 { return float64(s.Retained) })
 	gauge("nodes_heard", "Other nodes that are heard.", func(s citronnode.Status) float64 { return float64(s.Nodes) })
 	gauge("suspects", "Requests under which engines have ended.", func(s citronnode.Status) float64 { return float64(s.Suspects) })
 	gauge("requests_barred", "Requests that are not sent to engines because they crash them.", func(s citronnode.Status) float64 { return float64(s.Barred) })
