--- a/citronnode/status.go
+++ b/citronnode/status.go
@@ -27,8 +27,8 @@
 	// of them that are quarantined and not sent to engines. SuspectsRejected counts the
 	// rejected messages of other nodes, and the rejected records in the store, about such
 	// requests.
-	Suspects, Barred int
-	SuspectsRejected int64
+	Suspects, Quarantined int
+	SuspectsRejected      int64
 	// Limited counts the engines that have announced a rate limit. LimitsRejected counts
 	// the rejected messages of other nodes about limits.
 	Limited        int
@@ -43,7 +43,7 @@
 func (n *Node) Status() Status {
 	s := n.snap.Load()
 	out := Status{ConfigVersion: s.config.Version, ListRevision: s.list.Revision.Number(), StoreEra: s.list.Revision.Era(), Nodes: len(s.members), Unreadable: s.unreadable, Retained: s.retained, Watching: s.self.Watching, Leads: s.self.Leads, Places: n.places.Load()}
-	out.Suspects, out.Barred = n.quarantine.Count()
+	out.Suspects, out.Quarantined = n.quarantine.Count()
 	out.Limited, out.LimitsRejected = n.limits.Limited(), n.limitsRejected.Load()
 	out.SuspectsRejected = n.suspectsRejected.Load()
 	now := n.clock.Now()
--- a/citronstat/node.go
+++ b/citronstat/node.go
@@ -28,7 +28,7 @@
 	gauge("engines_kept", "Engines that stay in use although their entries are missing.", func(s citronnode.Status) float64 { return float64(s.Retained) })
 	gauge("nodes_heard", "Other nodes that are heard.", func(s citronnode.Status) float64 { return float64(s.Nodes) })
 	gauge("suspects", "Requests under which engines have ended.", func(s citronnode.Status) float64 { return float64(s.Suspects) })
-	gauge("requests_barred", "Requests that are not sent to engines because they crash them.", func(s citronnode.Status) float64 { return float64(s.Barred) })
+	gauge("requests_barred", "Requests that are not sent to engines because they crash them.", func(s citronnode.Status) float64 { return float64(s.Quarantined) })
 	gauge("limited_engines", "Engines that name a rate limit.", func(s citronnode.Status) float64 { return float64(s.Limited) })
 	gauge("limits_rejected", "Messages of other nodes about rate limits of which nothing was taken.", func(s citronnode.Status) float64 { return float64(s.LimitsRejected) })
 	gauge("suspects_rejected", "Messages of other nodes about suspects of which nothing was taken.", func(s citronnode.Status) float64 { return float64(s.SuspectsRejected) })
