--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -45,7 +45,7 @@
 	}
 	for i := range size {
 		m := f.add(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
-		m.gate.closed.Store(i%4 == 3) // these nodes learn of the restore from other nodes only
+		m.gate.rejecting.Store(i%4 == 3) // these nodes learn of the restore from other nodes only
 	}
 	f.untilAllKnowAll()
 	eventually(t, "all nodes use all engines", func() bool { return f.usableAt("e0") == size && f.usableAt("e19") == size })
@@ -175,14 +175,14 @@
 	}
 	eventually(t, "a node places layers", func() bool { return len(placers()) == 1 })
 	for i := range 3 {
-		f.nodes[i].gate.closed.Store(true)
+		f.nodes[i].gate.rejecting.Store(true)
 		f.store.Return(copied)
 		for end := time.Now().Add(800 * time.Millisecond); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 			if names := placers(); len(names) > 1 {
 				t.Fatalf("nodes %v place layers at the same time", names)
 			}
 		}
-		f.nodes[i].gate.closed.Store(false)
+		f.nodes[i].gate.rejecting.Store(false)
 	}
 	eventually(t, "a node places layers again", func() bool { return len(placers()) == 1 })
 }
--- a/citronnode/leaving_test.go
+++ b/citronnode/leaving_test.go
@@ -115,7 +115,7 @@
 func TestLeavingEngineIsNotMistakenForOutage(t *testing.T) {
 	setRejecting := func(nodes []*member, rejecting bool) {
 		for _, m := range nodes {
-			m.gate.closed.Store(rejecting)
+			m.gate.rejecting.Store(rejecting)
 		}
 	}
 	cases := []struct {
@@ -185,7 +185,7 @@
 	t.Parallel()
 	f := twelve(t, "a", "b", "c")
 	for _, m := range f.nodes {
-		m.gate.closed.Store(true)
+		m.gate.rejecting.Store(true)
 	}
 	time.Sleep(2600 * time.Millisecond) // over two heartbeats of 1.2 s
 	var all []string
@@ -194,7 +194,7 @@
 	}
 	f.remove(all...)
 	for _, m := range f.nodes {
-		m.gate.closed.Store(false)
+		m.gate.rejecting.Store(false)
 	}
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for i, m := range f.nodes {
--- a/citronnode/node_test.go
+++ b/citronnode/node_test.go
@@ -20,7 +20,7 @@
 	f.config("1")
 	a, b := f.add("a", "z1"), f.add("b", "z1")
 	eventually(t, "both nodes have version 1", func() bool { return a.version() == 1 && b.version() == 1 })
-	b.gate.closed.Store(true)
+	b.gate.rejecting.Store(true)
 	f.config("2")
 	eventually(t, "the rejected node has version 2", func() bool { return b.version() == 2 })
 }
@@ -34,7 +34,7 @@
 	a := f.add("a", "z1")
 	eventually(t, "the first node is ready", a.Ready)
 	b := f.add("b", "z1")
-	b.gate.closed.Store(true)
+	b.gate.rejecting.Store(true)
 	eventually(t, "the second node has the configuration and the engines", func() bool {
 		return b.version() == 1 && len(b.Traffic().View.ByService["app"]) == 1
 	})
@@ -63,7 +63,7 @@
 	f.config("2")
 	eventually(t, "all nodes have version 2", all(2))
 	for _, m := range f.nodes[:4] {
-		m.gate.closed.Store(true)
+		m.gate.rejecting.Store(true)
 	}
 	f.config("3")
 	eventually(t, "all nodes have version 3, from nodes that did not watch before", all(3))
@@ -251,8 +251,8 @@
 	}
 	eventually(t, "all engines hold layers", func() bool { return held() >= spec.Layers })
 	before := f.orders.count()
-	a.gate.closed.Store(true)
-	b.gate.closed.Store(true)
+	a.gate.rejecting.Store(true)
+	b.gate.rejecting.Store(true)
 	time.Sleep(1500 * time.Millisecond) // over two lifetimes of the lease
 	for _, e := range a.Traffic().View.ByService["model"] {
 		if e.Layers.To == spec.Layers {
@@ -280,8 +280,8 @@
 	b, c := f.add("b", "z1"), f.add("c", "z1")
 	eventually(t, "the second and third node are ready", func() bool { return b.Ready() && c.Ready() })
 	time.Sleep(2500 * time.Millisecond) // their lists count as complete
-	b.gate.closed.Store(true)
-	c.gate.closed.Store(true)
+	b.gate.rejecting.Store(true)
+	c.gate.rejecting.Store(true)
 	a.stop()
 	before := f.orders.count()
 	for _, e := range b.Traffic().View.ByService["model"] {
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -30,8 +30,8 @@
 // of all nodes, except Grant, Delete and Revoke, and it can stall watches.
 type gatedStore struct {
 	*citronkv.Server
-	// closed makes the store reject this node.
-	closed atomic.Bool
+	// rejecting makes the store reject this node.
+	rejecting atomic.Bool
 	// away makes the store reject all nodes.
 	away *atomic.Bool
 	// silent makes watches report nothing until they end.
@@ -44,7 +44,7 @@
 }
 
 func (d *gatedStore) rejects() bool {
-	return d.closed.Load() || d.away != nil && d.away.Load()
+	return d.rejecting.Load() || d.away != nil && d.away.Load()
 }
 
 var errRejected = errors.Mark(errors.New("the fake store rejects this node"), citronkv.ErrUnavailable)
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -51,7 +51,7 @@
 	const size = 45
 	for i := range size {
 		m := f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
-		m.gate.closed.Store(i%3 == 1)
+		m.gate.rejecting.Store(i%3 == 1)
 	}
 	f.untilAllKnowAll()
 	for i := range 3 {
