--- a/citronnode/leaving_test.go
+++ b/citronnode/leaving_test.go
@@ -128,9 +128,9 @@
 			eventually(t, "the node notices", func() bool { return !f.nodes[1].Status().Watching })
 		}, []string{"e3"}},
 		{"one node's watch is stalled and the node notices late", func(t *testing.T, f *fleet) {
-			f.nodes[1].gate.silent.Store(true)
+			f.nodes[1].gate.stalled.Store(true)
 			eventually(t, "the node notices", func() bool { return !f.nodes[1].Status().Watching })
-			f.nodes[1].gate.silent.Store(false)
+			f.nodes[1].gate.stalled.Store(false)
 		}, []string{"e3"}},
 		{"all watches are cut and the store answers again at once", func(t *testing.T, f *fleet) {
 			setRejecting(f.nodes, true)
--- a/citronnode/node_test.go
+++ b/citronnode/node_test.go
@@ -77,7 +77,7 @@
 	f.config("1")
 	a, b := f.add("a", "z1"), f.add("b", "z2")
 	eventually(t, "both nodes have version 1", func() bool { return a.version() == 1 && b.version() == 1 })
-	b.gate.silent.Store(true)
+	b.gate.stalled.Store(true)
 	f.config("2")
 	eventually(t, "the node with the stalled watch has version 2", func() bool { return b.version() == 2 })
 }
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -34,8 +34,8 @@
 	rejecting atomic.Bool
 	// away makes the store reject all nodes.
 	away *atomic.Bool
-	// silent makes watches report nothing until they end.
-	silent atomic.Bool
+	// stalled makes watches report nothing until they end.
+	stalled atomic.Bool
 	// watches counts the pending watches.
 	watches atomic.Int64
 	// calls counts the calls of Range and Put, including rejected ones, and the watches
@@ -79,7 +79,7 @@
 	d.calls.Add(1)
 	d.watches.Add(1)
 	defer d.watches.Add(-1)
-	if d.silent.Load() {
+	if d.stalled.Load() {
 		<-ctx.Done()
 		return nil, citronkv.Revision{}, errors.Mark(ctx.Err(), citronkv.ErrUnavailable)
 	}
