--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -63,7 +63,7 @@
 		return true
 	}
 	eventually(t, "all nodes know each other", allKnown)
-	m.deaf.Store(true)
+	m.dropExchanges.Store(true)
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if !allKnown() {
 			t.Fatal("a healthy node was declared lost")
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -210,8 +210,8 @@
 	mu       sync.Mutex
 	handlers map[string]http.Handler
 	bytes    atomic.Int64
-	// deaf makes all exchanges between nodes fail. Updates still arrive.
-	deaf atomic.Bool
+	// dropExchanges makes all exchanges between nodes fail. Updates still arrive.
+	dropExchanges atomic.Bool
 }
 
 func newMesh() *mesh { return &mesh{handlers: map[string]http.Handler{}} }
@@ -234,7 +234,7 @@
 	m.mu.Lock()
 	h := m.handlers[r.URL.Host]
 	m.mu.Unlock()
-	if h == nil || m.deaf.Load() && strings.HasSuffix(r.URL.Path, "/Exchange") {
+	if h == nil || m.dropExchanges.Load() && strings.HasSuffix(r.URL.Path, "/Exchange") {
 		return nil, errors.Wrap(syscall.ECONNREFUSED, "dial")
 	}
 	w := httptest.NewRecorder()
