--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -190,7 +190,7 @@
 func TestSplitFleetRejoinsWithoutSeeds(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.net, f.strangers = newMesh(), true
+	f.net, f.ownZoneSeedsOnly = newMesh(), true
 	f.config("1")
 	for i := range 6 {
 		f.add(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -250,8 +250,8 @@
 	orders *orders
 	// net is the network that connects the nodes.
 	net network
-	// strangers gives nodes only seeds of their own zone.
-	strangers bool
+	// ownZoneSeedsOnly gives nodes only seeds of their own zone.
+	ownZoneSeedsOnly bool
 	// log handles the log records of all nodes.
 	log   slog.Handler
 	nodes []*member
@@ -292,7 +292,7 @@
 	addr, hc, disconnect := f.net.listen(mux)
 	var seeds []string
 	for _, m := range f.nodes[max(0, len(f.nodes)-maxSeeds):] {
-		if !f.strangers || m.zone == zone {
+		if !f.ownZoneSeedsOnly || m.zone == zone {
 			seeds = append(seeds, m.addr)
 		}
 	}
