--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -38,9 +38,9 @@
 	Refuted bool   `json:"refuted,omitempty"`
 }
 
-// keepBarred writes quarantine records to the store when they change, until ctx ends.
+// persistQuarantine writes quarantine records to the store when they change, until ctx ends.
 // After a failed write it tries again after maxRetryWait.
-func (n *Node) keepBarred(ctx context.Context) {
+func (n *Node) persistQuarantine(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -248,7 +248,7 @@
 	tasks.Go(func() { n.follow(ctx, n.src.EnginePrefix, false) })
 	tasks.Go(func() { n.lead(ctx) })
 	tasks.Go(func() { n.register(ctx) })
-	tasks.Go(func() { n.keepBarred(ctx) })
+	tasks.Go(func() { n.persistQuarantine(ctx) })
 }
 
 const (
