--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -76,8 +76,8 @@
 	return errors.Wrap(err, "put quarantine record")
 }
 
-// readBarred merges the quarantine records in the store.
-func (n *Node) readBarred(ctx context.Context) error {
+// loadQuarantine merges the quarantine records in the store.
+func (n *Node) loadQuarantine(ctx context.Context) error {
 	items, _, err := n.src.Store.Range(ctx, quarantinePrefix)
 	if err != nil {
 		return errors.Wrap(err, "read quarantine records")
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -45,7 +45,7 @@
 		if !n.mayWatch(ctx) {
 			continue
 		}
-		readBarred = readBarred || n.readBarred(ctx) == nil // after a failure, the next iteration reads them
+		readBarred = readBarred || n.loadQuarantine(ctx) == nil // after a failure, the next iteration reads them
 		err := n.followOnce(ctx, prefix, config, func() {
 			answered(true)
 			wait = minRetryWait
