--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -42,9 +42,9 @@
 	lowCPUDelay    = 700 * time.Millisecond
 )
 
-// weak reports whether a node has too little processor time for the tasks that a few
+// lowCPU reports whether a node has too little processor time for the tasks that a few
 // nodes perform for the whole fleet.
-func (s Settings) weak() bool { return s.Cores > 0 && s.Cores < minLeaderCores }
+func (s Settings) lowCPU() bool { return s.Cores > 0 && s.Cores < minLeaderCores }
 
 // errHeld means that another node holds the leader key.
 var errHeld = errors.New("leader key is held by another node")
@@ -58,7 +58,7 @@
 		if n.leaderKnown() {
 			continue
 		}
-		if n.set.weak() {
+		if n.set.lowCPU() {
 			_ = n.clock.Sleep(ctx, lowCPUDelay)
 			if n.leaderKnown() {
 				continue
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -195,7 +195,7 @@
 		wake(n.quarantineChanged)
 	})
 	n.loans = citronloan.New(budget, n.peers, clock, func() []citronpeer.Member { return n.snap.Load().members })
-	n.snap.Store(&snapshot{self: citronpeer.Member{Name: set.Name, Zone: set.Zone, Front: set.Front, Peer: set.Peer, Weak: set.weak(), Started: clock.Now().UnixNano()}})
+	n.snap.Store(&snapshot{self: citronpeer.Member{Name: set.Name, Zone: set.Zone, Front: set.Front, Peer: set.Peer, Weak: set.lowCPU(), Started: clock.Now().UnixNano()}})
 	return n
 }
 
