--- a/citronnode/leaving_test.go
+++ b/citronnode/leaving_test.go
@@ -17,9 +17,9 @@
 // just started has no history of the store's health.
 const warmUp = 3 * time.Second
 
-// twelve starts nodes with the given names before twelve engines, and returns when they
+// startFleetWithTwelveEngines starts nodes with the given names before twelve engines, and returns when they
 // have stabilized.
-func twelve(t *testing.T, names ...string) *fleet {
+func startFleetWithTwelveEngines(t *testing.T, names ...string) *fleet {
 	t.Helper()
 	f := newFleet(t)
 	f.config("1")
@@ -97,7 +97,7 @@
 //	17.32 engines.changed peer=10.3.64.42:8145 gone=true lapsed=2.508s
 func TestStoreErrorAnswerIsNotAnOutage(t *testing.T) {
 	is := is.New(t)
-	f := twelve(t, "a", "b", "c", "d", "e", "f")
+	f := startFleetWithTwelveEngines(t, "a", "b", "c", "d", "e", "f")
 	eventually(t, "a node leads", func() bool { return f.leader() != nil })
 	formerLeader := f.leader()
 	held, err := f.store.Get(context.Background(), "deck/leader")
@@ -167,7 +167,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			f := twelve(t, "a", "b", "c")
+			f := startFleetWithTwelveEngines(t, "a", "b", "c")
 			c.injectFault(t, f)
 			left := time.Now()
 			f.remove(c.leave...)
@@ -183,7 +183,7 @@
 // that is not back two seconds later has ended.
 func TestEnginesExpiredDuringOutageStayInUse(t *testing.T) {
 	t.Parallel()
-	f := twelve(t, "a", "b", "c")
+	f := startFleetWithTwelveEngines(t, "a", "b", "c")
 	for _, m := range f.nodes {
 		m.gate.rejecting.Store(true)
 	}
