--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -14,8 +14,8 @@
 
 var suspect = citronquarantine.PrintOf("council", "POST", "h", "/nest/7", []byte("a plan"))
 
-// barredAt returns how many nodes quarantine a request.
-func (f *fleet) barredAt(p citronquarantine.Print) int {
+// quarantinedAt returns how many nodes quarantine a request.
+func (f *fleet) quarantinedAt(p citronquarantine.Print) int {
 	n := 0
 	for _, m := range f.nodes {
 		if _, barred := m.Quarantine().Blocked(p); barred {
@@ -58,7 +58,7 @@
 		f.nodes[i*size/3].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
 	from := time.Now()
-	eventually(t, "all nodes quarantine the request", func() bool { return f.barredAt(suspect) == size })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == size })
 	took := time.Since(from)
 	t.Logf("%d nodes quarantined the request within %v", size, took)
 	is.True(took < knownWithin)
@@ -77,12 +77,12 @@
 	for i := range 3 {
 		f.nodes[0].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
-	eventually(t, "all nodes quarantine the request", func() bool { return f.barredAt(suspect) == 3 })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == 3 })
 	time.Sleep(2 * time.Second) // its record is no longer recent
 	f.add("d", "z1")
-	eventually(t, "the new node quarantines it too", func() bool { return f.barredAt(suspect) == 4 })
+	eventually(t, "the new node quarantines it too", func() bool { return f.quarantinedAt(suspect) == 4 })
 	f.nodes[3].Quarantine().Succeeded(suspect)
-	eventually(t, "all nodes learn that it succeeded", func() bool { return f.barredAt(suspect) == 0 })
+	eventually(t, "all nodes learn that it succeeded", func() bool { return f.quarantinedAt(suspect) == 0 })
 }
 
 // Guards against a request that crashes three more engines after all nodes restarted at
@@ -115,11 +115,11 @@
 	}
 	restart()
 	from := time.Now()
-	eventually(t, "all nodes quarantine the request", func() bool { return f.barredAt(suspect) == len(names) })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == len(names) })
 	is.True(time.Since(from) < knownWithin)
 	// The request turns out to be harmless. No node quarantines it again.
 	f.nodes[0].Quarantine().Succeeded(suspect)
-	eventually(t, "no node quarantines it", func() bool { return f.barredAt(suspect) == 0 })
+	eventually(t, "no node quarantines it", func() bool { return f.quarantinedAt(suspect) == 0 })
 }
 
 // Guards against messages that no healthy node sends: impossible counts and ages, or a
@@ -157,5 +157,5 @@
 	}
 	is.Equal(m.Status().SuspectsRejected, int64(len(invalid)))
 	is.Equal(m.Status().Suspects, 0)
-	is.Equal(f.barredAt(suspect), 0)
+	is.Equal(f.quarantinedAt(suspect), 0)
 }
