--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -47,7 +47,7 @@
 		m := f.add(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
 		m.gate.rejecting.Store(i%4 == 3) // these nodes learn of the restore from other nodes only
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	eventually(t, "all nodes use all engines", func() bool { return f.usableAt("e0") == size && f.usableAt("e19") == size })
 	copied := f.store.Copy()
 
@@ -95,7 +95,7 @@
 	for _, name := range []string{"a", "b", "c"} {
 		f.add(name, "z1")
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	for i := range 3 {
 		f.nodes[0].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
@@ -164,7 +164,7 @@
 	for i := range 5 {
 		f.add(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	placers := func() (names []string) {
 		for _, m := range f.nodes {
 			if m.Status().Places {
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -240,7 +240,7 @@
 	for i := range nodes {
 		f.add(fmt.Sprintf("z%d-n%03d", i%3, i), fmt.Sprintf("z%d", i%3))
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	eventually(f.t, "all nodes know all upstreams", func() bool {
 		for _, m := range f.nodes {
 			if s := m.Traffic(); s == nil || len(s.View.ByService["app"]) < upstreams {
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -29,7 +29,7 @@
 	for i := range size {
 		f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	time.Sleep(2 * time.Second)
 	return f, m
 }
@@ -118,7 +118,7 @@
 	f.engine(appEngine("limited"))
 	f.add("a", "z1")
 	f.add("b", "z1")
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	eventually(b, "all nodes know the engine", func() bool { return f.usableAt("limited") == 2 })
 	f.nodes[0].Limits().Heard("limited", citronlimit.Record{}, citronupstream.PerSecond(1e9))
 	eventually(b, "both nodes know the limit", func() bool { return f.limitedAt("limited") == 2 })
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -25,7 +25,7 @@
 	return n
 }
 
-func (f *fleet) untilAllKnowAll() {
+func (f *fleet) awaitFullMembership() {
 	f.t.Helper()
 	eventually(f.t, "all nodes know each other", func() bool {
 		for _, n := range f.nodes {
@@ -53,7 +53,7 @@
 		m := f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 		m.gate.rejecting.Store(i%3 == 1)
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	for i := range 3 {
 		f.nodes[i*size/3].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
@@ -73,7 +73,7 @@
 	for _, name := range []string{"a", "b", "c"} {
 		f.add(name, "z1")
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	for i := range 3 {
 		f.nodes[0].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
@@ -96,7 +96,7 @@
 	for _, name := range names {
 		f.add(name, "z1")
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	for i := range 3 {
 		f.nodes[i].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
