--- a/citronnode/outage_test.go
+++ b/citronnode/outage_test.go
@@ -16,7 +16,7 @@
 // report is outdated and the store counts as unavailable.
 func TestLostNodeDoesNotHideStoreOutage(t *testing.T) {
 	is := is.New(t)
-	r := newLoop(t)
+	r := newLoopRig(t)
 	now := time.Now()
 	r.n.health.Note(citronhealth.Call{Begun: now, Ended: now, Err: citronkv.ErrUnavailable})
 	r.take(context.Background(), memberUpdate{told: citronpeer.Diff{Members: []citronpeer.Member{{Name: "n2", Store: citronhealth.Status{Answered: true, Served: true}}}}})
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -28,7 +28,7 @@
 	revision int64
 }
 
-func newLoop(t testingT) *loopRig {
+func newLoopRig(t testingT) *loopRig {
 	t.Helper()
 	set := Settings{Name: "n1", Zone: "z"}
 	src := Sources{EnginePrefix: "engines/", DecodeEngine: func(key string, text []byte) (citronmodel.Engine, error) {
@@ -46,7 +46,7 @@
 	return &loopRig{control: c, revision: 10}
 }
 
-// testingT is the part of testing.T and rapid.T that newLoop uses.
+// testingT is the part of testing.T and rapid.T that newLoopRig uses.
 type testingT interface {
 	Fatalf(format string, args ...any)
 	Helper()
@@ -94,7 +94,7 @@
 // previous one.
 func TestListEntryOfRestartedEngine(t *testing.T) {
 	is := is.New(t)
-	r := newLoop(t)
+	r := newLoopRig(t)
 	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 100, 8))})
 	before, _ := r.view.ByID("i-1@100")
 	before.Failed(time.Now())
@@ -117,7 +117,7 @@
 // The node must act on the report at once, and other nodes on the node's message.
 func TestReportOfRestartedEngine(t *testing.T) {
 	is := is.New(t)
-	r, other := newLoop(t), newLoop(t)
+	r, other := newLoopRig(t), newLoopRig(t)
 	old := map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 100, 8)), "i-2": listEntry(modelEngine("i-2", "b:1", 100, 8))}
 	r.deliver(old)
 	other.deliver(old)
@@ -148,7 +148,7 @@
 // streams on the predecessor have ended.
 func TestAddressBelongsToLatestEntry(t *testing.T) {
 	is := is.New(t)
-	r := newLoop(t)
+	r := newLoopRig(t)
 	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 0, 8))})
 	before, _ := r.view.ByID("i-1")
 	r.deliver(map[string][]byte{"i-9": listEntry(modelEngine("i-9", "a:1", 0, 0))})
@@ -172,7 +172,7 @@
 // engines.
 func TestCorruptEntryDoesNotAffectOtherEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newLoop(t)
+		r := newLoopRig(t)
 		n := rapid.IntRange(1, 8).Draw(t, "engines")
 		entries := map[string][]byte{}
 		for i := range n {
@@ -214,7 +214,7 @@
 // which engines with expired entries stay in use.
 func TestManyCorruptEntriesAreNotAnOutage(t *testing.T) {
 	is := is.New(t)
-	r := newLoop(t)
+	r := newLoopRig(t)
 	entries, corrupt := map[string][]byte{}, map[string][]byte{}
 	for i := range 12 {
 		name := fmt.Sprintf("i-%d", i)
