--- a/citronplace/copies.go
+++ b/citronplace/copies.go
@@ -40,7 +40,7 @@
 	memory, held := 0.0, 0
 	for _, e := range engines {
 		memory += spec.Kinds[e.Kind].MemoryMB
-		held += e.Goal.Len()
+		held += e.Target.Len()
 	}
 	replicaMB := spec.LayerMB * float64(spec.Layers)
 	if replicaMB <= 0 {
@@ -66,25 +66,25 @@
 	replicas = make([]replica, n)
 	var placed []Engine
 	for _, e := range engines {
-		if e.Goal.Empty() {
+		if e.Target.Empty() {
 			free = append(free, e)
 		} else {
 			placed = append(placed, e)
 		}
 	}
 	sort.SliceStable(placed, func(i, j int) bool {
-		a, b := placed[i].Goal, placed[j].Goal
+		a, b := placed[i].Target, placed[j].Target
 		return a.From < b.From || a.From == b.From && a.To > b.To
 	})
 	for _, e := range placed {
-		i := nextReplica(replicas, e.Goal)
+		i := nextReplica(replicas, e.Target)
 		if i < 0 {
 			free = append(free, e)
 			continue
 		}
 		r := &replicas[i]
 		r.engines = append(r.engines, e)
-		r.end = max(r.end, e.Goal.To)
+		r.end = max(r.end, e.Target.To)
 	}
 	return replicas, free
 }
@@ -123,7 +123,7 @@
 		return decideZone(spec, engines, served, bounds{scope: anyLayers})
 	}
 	replicas, free := splitReplicas(engines, n)
-	if !slices.ContainsFunc(engines, func(e Engine) bool { return !e.Goal.Empty() }) {
+	if !slices.ContainsFunc(engines, func(e Engine) bool { return !e.Target.Empty() }) {
 		return placeFirstReplicas(spec, free, n)
 	}
 	sort.SliceStable(replicas, func(i, j int) bool {
@@ -164,7 +164,7 @@
 	even := usefulCache(spec, engines)
 	all := slices.Concat(engines, free)
 	for _, e := range all {
-		if e.Goal != e.Layers {
+		if e.Target != e.Layers {
 			return Plan{}
 		}
 	}
--- a/citronplace/cover_test.go
+++ b/citronplace/cover_test.go
@@ -126,7 +126,7 @@
 			spare = e.ID
 			continue
 		}
-		engines[i].Layers, engines[i].Goal = spans[next], spans[next]
+		engines[i].Layers, engines[i].Target = spans[next], spans[next]
 		next++
 	}
 	order, ok := citronplace.Decide(spec, engines, nil)[spare]
--- a/citronplace/improve.go
+++ b/citronplace/improve.go
@@ -21,7 +21,7 @@
 // only while no order is pending.
 func improve(spec citronmodel.Spec, engines []Engine, even float64, scope duplicateScope) Plan {
 	for _, e := range engines {
-		if e.Goal != e.Layers {
+		if e.Target != e.Layers {
 			return Plan{}
 		}
 	}
@@ -69,7 +69,7 @@
 func afterPlan(engines []Engine, plan Plan) []Engine {
 	out := withGoals(engines, plan)
 	for i := range out {
-		out[i].Layers = out[i].Goal
+		out[i].Layers = out[i].Target
 	}
 	return out
 }
--- a/citronplace/plan.go
+++ b/citronplace/plan.go
@@ -34,9 +34,9 @@
 type Engine struct {
 	// Engine.Layers is the layer range that the engine holds now.
 	citronmodel.Engine
-	// Goal is the target layer range: the range that the engine was last
+	// Target is the target layer range: the range that the engine was last
 	// ordered to hold, or Layers if no order is pending.
-	Goal citronmodel.Span
+	Target citronmodel.Span
 	// Fresh marks an engine that has just joined. It waits to take over from
 	// the engine that it may replace, and is not used as a spare yet.
 	Fresh bool
@@ -118,7 +118,7 @@
 func Gaps(spec citronmodel.Spec, engines []Engine) []citronmodel.Span {
 	held := make([]bool, spec.Layers)
 	for _, e := range engines {
-		for l := max(0, e.Goal.From); l < min(e.Goal.To, spec.Layers); l++ {
+		for l := max(0, e.Target.From); l < min(e.Target.To, spec.Layers); l++ {
 			held[l] = true
 		}
 	}
@@ -206,7 +206,7 @@
 	if o, ok := plan[e.ID]; ok {
 		return o.Span
 	}
-	return e.Goal
+	return e.Target
 }
 
 // overlap returns the layers that both spans contain; the result may be
@@ -229,7 +229,7 @@
 	}
 	order := slices.Clone(engines)
 	sort.SliceStable(order, func(i, j int) bool {
-		a, b := order[i].Goal.Empty(), order[j].Goal.Empty()
+		a, b := order[i].Target.Empty(), order[j].Target.Empty()
 		if a != b {
 			return a
 		}
@@ -237,7 +237,7 @@
 	})
 	var out []Engine
 	for _, e := range order {
-		if _, taken := plan[e.ID]; taken || e.Goal != e.Layers {
+		if _, taken := plan[e.ID]; taken || e.Target != e.Layers {
 			continue
 		}
 		s := e.Layers
@@ -269,15 +269,15 @@
 	order := slices.Clone(engines)
 	sort.SliceStable(order, func(i, j int) bool {
 		a, b := order[i], order[j]
-		if a.Goal.Empty() != b.Goal.Empty() {
-			return b.Goal.Empty()
+		if a.Target.Empty() != b.Target.Empty() {
+			return b.Target.Empty()
 		}
-		if a.Goal.Empty() {
+		if a.Target.Empty() {
 			// Slow engines first: they get few layers, and duplicates of the
 			// first layers take little memory.
 			return spec.Kinds[a.Kind].StepFactor > spec.Kinds[b.Kind].StepFactor
 		}
-		return a.Goal.From < b.Goal.From
+		return a.Target.From < b.Target.From
 	})
 	return duplicateLayers(spec, engines, assign(order, counts, 0, cut), b.scope)
 }
--- a/citronplace/plan_test.go
+++ b/citronplace/plan_test.go
@@ -38,7 +38,7 @@
 	out := append([]citronplace.Engine(nil), engines...)
 	for i, e := range out {
 		if o, ok := plan[e.ID]; ok {
-			out[i].Layers, out[i].Goal = o.Span, o.Span
+			out[i].Layers, out[i].Target = o.Span, o.Span
 		}
 	}
 	return out
@@ -177,7 +177,7 @@
 			// twin.
 			for _, o := range engines {
 				if o.ID == twin {
-					engines[i].Goal = o.Layers
+					engines[i].Target = o.Layers
 				}
 			}
 			engines[i].Layers = citronmodel.Span{}
@@ -224,7 +224,7 @@
 	var left []citronplace.Engine
 	hold := func(id, kind string, from, to int) {
 		s := citronmodel.Span{From: from, To: to}
-		left = append(left, citronplace.Engine{Engine: citronmodel.Engine{ID: id, Zone: "z", Kind: kind, Addr: id, Layers: s}, Goal: s})
+		left = append(left, citronplace.Engine{Engine: citronmodel.Engine{ID: id, Zone: "z", Kind: kind, Addr: id, Layers: s}, Target: s})
 	}
 	hold("slow0", "slow", 0, 6)
 	hold("slow1", "slow", 0, 6) // the spare
--- a/citronplace/repair.go
+++ b/citronplace/repair.go
@@ -71,7 +71,7 @@
 		for _, e := range engines {
 			_, taken := plan[e.ID]
 			capacity := layerCapacity(spec, e.Kind, tokens)
-			if taken || !e.Goal.Empty() || !e.Layers.Empty() || capacity < g.Len() {
+			if taken || !e.Target.Empty() || !e.Layers.Empty() || capacity < g.Len() {
 				continue
 			}
 			if best.ID == "" || capacity < leastCapacity {
@@ -158,7 +158,7 @@
 func withGoals(engines []Engine, plan Plan) []Engine {
 	out := slices.Clone(engines)
 	for i, e := range out {
-		out[i].Goal = plannedSpan(plan, e)
+		out[i].Target = plannedSpan(plan, e)
 	}
 	return out
 }
@@ -251,9 +251,9 @@
 	free := spares(spec, engines, Plan{})
 	var left, right []Engine
 	for _, e := range holdersInOrder(engines, free) {
-		if e.Goal.To <= g.From {
+		if e.Target.To <= g.From {
 			left = append(left, e)
-		} else if e.Goal.From >= g.To {
+		} else if e.Target.From >= g.To {
 			right = append(right, e)
 		}
 	}
@@ -261,10 +261,10 @@
 		l, rt := left[max(0, len(left)-r):], right[:min(r, len(right))]
 		span := citronmodel.Span{From: g.From, To: g.To}
 		if len(l) > 0 {
-			span.From = l[0].Goal.From
+			span.From = l[0].Target.From
 		}
 		if len(rt) > 0 {
-			span.To = rt[len(rt)-1].Goal.To
+			span.To = rt[len(rt)-1].Target.To
 		}
 		order := slices.Concat(l, free, rt)
 		even := evenCacheFor(spec, order, span.Len())
@@ -287,10 +287,10 @@
 	}
 	var out []Engine
 	for _, e := range engines {
-		if !spare[e.ID] && !e.Goal.Empty() {
+		if !spare[e.ID] && !e.Target.Empty() {
 			out = append(out, e)
 		}
 	}
-	sort.SliceStable(out, func(i, j int) bool { return out[i].Goal.From < out[j].Goal.From })
+	sort.SliceStable(out, func(i, j int) bool { return out[i].Target.From < out[j].Target.From })
 	return out
 }
--- a/citronplacer/board.go
+++ b/citronplacer/board.go
@@ -50,7 +50,7 @@
 func (ts targetSet) withTargets(engines []citronmodel.Engine) []citronplace.Engine {
 	out := make([]citronplace.Engine, len(engines))
 	for i, e := range engines {
-		out[i] = citronplace.Engine{Engine: e, Goal: e.Layers}
+		out[i] = citronplace.Engine{Engine: e, Target: e.Layers}
 		t := ts[e.ID]
 		if t == nil {
 			continue
@@ -59,7 +59,7 @@
 			delete(ts, e.ID)
 			continue
 		}
-		out[i].Goal = t.order.Span
+		out[i].Target = t.order.Span
 	}
 	return out
 }
@@ -80,7 +80,7 @@
 // assign gives an engine a new target and reports whether it differs from the current
 // one.
 func (ts targetSet) assign(e citronplace.Engine, o citronplace.Order, now time.Time) bool {
-	if e.Goal == o.Span {
+	if e.Target == o.Span {
 		return false
 	}
 	calling := ts[e.ID] != nil && ts[e.ID].calling
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -191,7 +191,7 @@
 			continue
 		}
 		p.dirty = true
-		citronevent.Log(ctx, p.Log, citronevent.PlacePlanned, "engine", e.ID, "peer", e.Addr, "kind", e.Kind, "zone", e.Zone, "from", o.From, "to", o.To, "cut", o.Cut, "hadFrom", e.Layers.From, "hadTo", e.Layers.To, "goalFrom", e.Goal.From, "goalTo", e.Goal.To)
+		citronevent.Log(ctx, p.Log, citronevent.PlacePlanned, "engine", e.ID, "peer", e.Addr, "kind", e.Kind, "zone", e.Zone, "from", o.From, "to", o.To, "cut", o.Cut, "hadFrom", e.Layers.From, "hadTo", e.Layers.To, "goalFrom", e.Target.From, "goalTo", e.Target.To)
 	}
 }
 
