--- a/citronplace/copies.go
+++ b/citronplace/copies.go
@@ -173,7 +173,7 @@
 			return Plan{e.ID: {Span: s}}
 		}
 	}
-	plan, ok := addHelper(spec, slices.DeleteFunc(all, func(e Engine) bool { return e.Layers.Empty() && e.Fresh }), even, true)
+	plan, ok := addHelper(spec, slices.DeleteFunc(all, func(e Engine) bool { return e.Layers.Empty() && e.JustJoined }), even, true)
 	if !ok || !lowersStrain(spec, all, plan, even) {
 		return Plan{}
 	}
--- a/citronplace/cover.go
+++ b/citronplace/cover.go
@@ -35,7 +35,7 @@
 	z := newZoneCache(spec, engines, plan)
 	tokens := min(usefulCache(spec, engines), fullCache(spec)) * headroom
 	for _, e := range engines {
-		if !plannedSpan(plan, e).Empty() || e.Fresh {
+		if !plannedSpan(plan, e).Empty() || e.JustJoined {
 			continue
 		}
 		s := z.bestDuplicate(engines, plan, e.Kind, layerCapacity(spec, e.Kind, tokens), scope)
--- a/citronplace/improve.go
+++ b/citronplace/improve.go
@@ -146,7 +146,7 @@
 		// A spare that duplicates layers other than the first ones already
 		// helps an engine. If it were moved, it would go from one weak engine
 		// to the next forever.
-		if s.ID == weakest.ID || s.Fresh || capacity < minHelpLayers || !s.Layers.Empty() && (idleOnly || s.Layers.From > 0) {
+		if s.ID == weakest.ID || s.JustJoined || capacity < minHelpLayers || !s.Layers.Empty() && (idleOnly || s.Layers.From > 0) {
 			continue
 		}
 		from := min(weakest.Layers.From, spec.Layers-capacity)
--- a/citronplace/plan.go
+++ b/citronplace/plan.go
@@ -37,9 +37,9 @@
 	// Target is the target layer range: the range that the engine was last
 	// ordered to hold, or Layers if no order is pending.
 	Target citronmodel.Span
-	// Fresh marks an engine that has just joined. It waits to take over from
+	// JustJoined marks an engine that has just joined. It waits to take over from
 	// the engine that it may replace, and is not used as a spare yet.
-	Fresh bool
+	JustJoined bool
 }
 
 // Order tells an engine which layers to hold.
--- a/citronplacer/board_test.go
+++ b/citronplacer/board_test.go
@@ -117,7 +117,7 @@
 	z.targets.retainListed(seen)
 	engines := z.targets.withTargets(seen)
 	for i, e := range engines {
-		engines[i].Fresh = z.now.Sub(z.joined[e.ID]) < freshPeriod
+		engines[i].JustJoined = z.now.Sub(z.joined[e.ID]) < freshPeriod
 	}
 	served := map[string][]citronmodel.Span{}
 	for _, e := range z.leaving {
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -262,7 +262,7 @@
 		if _, ok := p.joined[e.ID]; !ok {
 			p.joined[e.ID] = now
 		}
-		placed[i].Fresh = now.Sub(p.joined[e.ID]) < freshPeriod
+		placed[i].JustJoined = now.Sub(p.joined[e.ID]) < freshPeriod
 	}
 	return placed, served
 }
