--- a/citronplace/orders.go
+++ b/citronplace/orders.go
@@ -25,8 +25,8 @@
 // ErrRefused means that the engine did not accept an order.
 var ErrRefused = errors.New("engine refused the order")
 
-// Orders reads the state of engines and tells them which layers to hold.
-type Orders interface {
+// EngineClient reads the state of engines and tells them which layers to hold.
+type EngineClient interface {
 	State(ctx context.Context, addr string) (EngineState, error)
 	// Place orders an engine to hold a layer range. The engine refuses the order
 	// unless it has accepted exactly the given number of orders so far, so an
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -49,7 +49,7 @@
 
 // Placer places the layers of all models during one term of a leader.
 type Placer struct {
-	Orders citronplace.Orders
+	Orders citronplace.EngineClient
 	Clock  citronclock.Clock
 	Log    *slog.Logger
 	// Current returns the latest state, or nil before there is one.
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -30,7 +30,7 @@
 	accepted int64
 }
 
-// fakeEngines implements citronplace.Orders with scripted answers.
+// fakeEngines implements citronplace.EngineClient with scripted answers.
 type fakeEngines struct {
 	mu    sync.Mutex
 	state citronplace.EngineState
