--- a/citronentry/serve.go
+++ b/citronentry/serve.go
@@ -241,7 +241,7 @@
 // reportBackend reports a back end that failed to the control goroutine.
 func (a *api) reportBackend(b *citronroute.Backend, reason citronroute.Reason) {
 	if reason == citronroute.Leaving {
-		b.SaidLeaving(a.e.clock.Now())
+		b.MarkLeaving(a.e.clock.Now())
 	}
 	select {
 	case a.e.reports <- report{backend: b.Spec.Name, reason: reason}:
--- a/citronroute/backend.go
+++ b/citronroute/backend.go
@@ -73,9 +73,9 @@
 // report in its snapshots by then.
 const leavingTTL = 2 * time.Second
 
-// SaidLeaving records that b has answered a request with the report that it
+// MarkLeaving records that b has answered a request with the report that it
 // is leaving, and keeps further requests away from b for leavingTTL.
-func (b *Backend) SaidLeaving(now time.Time) { b.reportedLeaving.Store(now.UnixNano()) }
+func (b *Backend) MarkLeaving(now time.Time) { b.reportedLeaving.Store(now.UnixNano()) }
 
 func (a *activity) isLeaving(now time.Time) bool {
 	at := a.reportedLeaving.Load()
