--- a/citronentry/plain.go
+++ b/citronentry/plain.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	if once != nil {
-		err := b.DoPatiently(a.e.clock, once.freeze, func() error { return call(ctx) })
+		err := b.DoWithoutCancel(a.e.clock, once.freeze, func() error { return call(ctx) })
 		return res, err
 	}
 	err := b.Do(ctx, a.e.clock, call)
--- a/citronroute/backend.go
+++ b/citronroute/backend.go
@@ -100,10 +100,10 @@
 	return err
 }
 
-// DoPatiently runs fn as Do does, but if b freezes it calls onFrozen and
+// DoWithoutCancel runs fn as Do does, but if b freezes it calls onFrozen and
 // continues to wait. A call that must not run twice cannot be sent elsewhere,
 // and its answer is worth recording if b recovers.
-func (b *Backend) DoPatiently(clock citronclock.Clock, onFrozen func(), fn func() error) error {
+func (b *Backend) DoWithoutCancel(clock citronclock.Clock, onFrozen func(), fn func() error) error {
 	return b.track(clock, onFrozen, fn)
 }
 
