--- a/citronentry/model.go
+++ b/citronentry/model.go
@@ -192,7 +192,7 @@
 // that remain in the chain keep their caches; new ones recompute the positions
 // before pos. rebuildChain returns false if no chain covers the layers.
 func (m *modelRun) rebuildChain(ctx context.Context, i, pos int) bool {
-	if to := m.picker.Twin(m.r.svc, m.chain[i]); to != nil {
+	if to := m.picker.SameLayers(m.r.svc, m.chain[i]); to != nil {
 		m.setStage(i, to)
 		m.prefill[i] = pos
 		return true
@@ -287,7 +287,7 @@
 func (m *modelRun) pickReplacement(s *citronroute.Snapshot, b *citronroute.Backend) *citronroute.Backend {
 	picker := m.picker
 	picker.Snapshot = s
-	return picker.Twin(m.r.svc, b)
+	return picker.SameLayers(m.r.svc, b)
 }
 
 // cancelAll cancels the failed request at all engines of the chain. Otherwise
--- a/citronroute/snapshot.go
+++ b/citronroute/snapshot.go
@@ -163,9 +163,9 @@
 	return nil
 }
 
-// Twin returns the least loaded usable engine, other than b, that holds
+// SameLayers returns the least loaded usable engine, other than b, that holds
 // exactly b's layers. It returns nil if there is none.
-func (p *Picker) Twin(svc citronfleet.Service, b *Backend) *Backend {
+func (p *Picker) SameLayers(svc citronfleet.Service, b *Backend) *Backend {
 	var best *Backend
 	for _, e := range svc.Engines {
 		if e.Name == b.Spec.Name || e.Range != b.Spec.Range {
