--- a/citronentry/once.go
+++ b/citronentry/once.go
@@ -140,7 +140,7 @@
 		return res, nil
 	}
 	ref := refusal("in_progress", "a request with this idempotency key was started and has no recorded answer yet; it will not run again", retryAfterBusy)
-	if own := rec.Incarnation == e.incarnation; !own && !e.snap.Load().Lives(rec.Entry, rec.Incarnation) {
+	if own := rec.Incarnation == e.incarnation; !own && !e.snap.Load().HasEntry(rec.Entry, rec.Incarnation) {
 		// The process that ran the request is gone and cannot record an
 		// answer. If it got "in progress", the caller would retry forever.
 		e.metrics.unknown.Add(1)
--- a/citronroute/snapshot.go
+++ b/citronroute/snapshot.go
@@ -59,9 +59,9 @@
 	return c, ok
 }
 
-// Lives reports whether the snapshot lists an entry process with the given
+// HasEntry reports whether the snapshot lists an entry process with the given
 // name and incarnation.
-func (s *Snapshot) Lives(name, incarnation string) bool {
+func (s *Snapshot) HasEntry(name, incarnation string) bool {
 	return slices.ContainsFunc(s.Entries, func(e EntryAddr) bool { return e.Name == name && e.Incarnation == incarnation })
 }
 
