--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -126,7 +126,7 @@
 // same layers would hide that all nodes prefer the fastest of them: its streams
 // would be late while the others have free capacity.
 func (q Query) trafficShare(e *citronpool.Engine) float64 {
-	return min(1, (float64(e.Tokens())+priorTokens/max(1, e.Copies))/(float64(q.OwnTokens[e.Zone])+priorTokens))
+	return min(1, (float64(e.Tokens())+priorTokens/max(1, e.Replicas))/(float64(q.OwnTokens[e.Zone])+priorTokens))
 }
 
 // Utilization returns the utilization of the path's most utilized engine.
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -16,9 +16,9 @@
 type Engine struct {
 	citronmodel.Engine
 	*State
-	// Copies is the average number of engines in the zone, this one included,
+	// Replicas is the average number of engines in the zone, this one included,
 	// that hold each of the engine's layers.
-	Copies float64
+	Replicas float64
 }
 
 // epoch is the reference for all stored timestamps. Differences to it use the
--- a/citronpool/view.go
+++ b/citronpool/view.go
@@ -49,7 +49,7 @@
 	if old.Engine == e {
 		return old
 	}
-	p := &Engine{Engine: e, State: old.State, Copies: old.Copies}
+	p := &Engine{Engine: e, State: old.State, Replicas: old.Replicas}
 	switch {
 	case old.Layers == e.Layers:
 	case !old.Replaced():
@@ -143,9 +143,9 @@
 		held[e.Zone] = layers
 	}
 	for i, e := range engines {
-		if replicas := averageReplicas(e, held[e.Zone]); replicas != e.Copies {
+		if replicas := averageReplicas(e, held[e.Zone]); replicas != e.Replicas {
 			next := *e
-			next.Copies = replicas
+			next.Replicas = replicas
 			engines[i] = &next
 		}
 	}
--- a/citronpool/view_test.go
+++ b/citronpool/view_test.go
@@ -17,7 +17,7 @@
 	out := ""
 	for _, name := range []string{"a", "b"} {
 		for _, e := range v.ByService[name] {
-			out += fmt.Sprintf("%+v replicas %.2f\n", e.Engine, e.Copies)
+			out += fmt.Sprintf("%+v replicas %.2f\n", e.Engine, e.Replicas)
 			if found, ok := v.ByID(e.ID); !ok || found != e {
 				out += "not found by its ID\n"
 			}
