--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -132,7 +132,7 @@
 // for its permit.
 func (j *job) stillHealthy(e *citronpool.Engine) bool {
 	now, ok := j.f.Current().View.ByID(e.ID)
-	return ok && now.Sound(j.f.Clock.Now())
+	return ok && now.Healthy(j.f.Clock.Now())
 }
 
 // logLimitHeld logs that an engine's rate limit delays the request or rejects it.
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -226,7 +226,7 @@
 		// The second pass accepts engines that recently failed other requests: such an
 		// engine is better than none.
 		for _, e := range s.View.ByService[j.service.Name] {
-			if j.avoid[e.ID] || e.Leaving || (!lenient && !e.Sound(now)) || (!j.permits.mayWait && e.ThrottledFor(now) > 0) {
+			if j.avoid[e.ID] || e.Leaving || (!lenient && !e.Healthy(now)) || (!j.permits.mayWait && e.ThrottledFor(now) > 0) {
 				continue
 			}
 			if c := plainCost(e, j.f.Zone); best == nil || c < bestCost {
--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -213,7 +213,7 @@
 
 // usable reports whether the request may run on an engine.
 func (q Query) usable(e *citronpool.Engine) bool {
-	return e.Usable(q.Now) || (q.CanWait || q.CurrentPath.Has(e.ID)) && e.Sound(q.Now)
+	return e.Usable(q.Now) || (q.CanWait || q.CurrentPath.Has(e.ID)) && e.Healthy(q.Now)
 }
 
 // search walks the layer boundaries in ascending order. For each boundary and
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -260,12 +260,12 @@
 
 // Usable reports whether the engine may receive new work now.
 func (e *Engine) Usable(now time.Time) bool {
-	return e.ThrottledFor(now) == 0 && e.Sound(now)
+	return e.ThrottledFor(now) == 0 && e.Healthy(now)
 }
 
-// Sound reports whether the engine is healthy: it may receive new work as soon
+// Healthy reports whether the engine is healthy: it may receive new work as soon
 // as its rate limit allows it.
-func (e *Engine) Sound(now time.Time) bool {
+func (e *Engine) Healthy(now time.Time) bool {
 	at := sinceEpoch(now)
 	return !e.Leaving && !e.Replaced() && e.avoidUntil.Load() <= at && e.misplacedUntil.Load() <= at
 }
