--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -265,7 +265,7 @@
 	j.list = s.ListRevision
 	return citronpath.Query{
 		CanWait: j.permits.mayWait,
-		Spec:    *j.service.Model, Zone: j.f.Zone, Now: j.f.Clock.Now(), Avoid: j.avoid, FirstID: first, OthersTokens: s.OtherNodesCache, OwnTokens: j.f.Loads.Sums(), ZoneCost: j.zoneJitter,
+		Spec:    *j.service.Model, Zone: j.f.Zone, Now: j.f.Clock.Now(), Avoid: j.avoid, FirstID: first, OthersTokens: s.OtherNodesCache, OwnTokens: j.f.Loads.ZoneTotals(), ZoneCost: j.zoneJitter,
 	}
 }
 
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -239,7 +239,7 @@
 	c.recordRestarts(ctx)
 	c.n.limits.Tick()
 	c.publishTargets()
-	c.self.Load = c.n.loads.Sums()
+	c.self.Load = c.n.loads.ZoneTotals()
 	c.self.Sent = map[string]citronpeer.Sent{}
 	for service, u := range c.n.budget.Used(now) {
 		c.self.Sent[service] = citronpeer.Sent(u)
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -286,8 +286,8 @@
 // Add adds tokens to the total of a zone. A negative number subtracts.
 func (l *Loads) Add(zone string, tokens int) { l.zone(zone).Add(int64(tokens)) }
 
-// Sums returns the zone totals in tokens.
-func (l *Loads) Sums() map[string]int64 {
+// ZoneTotals returns the zone totals in tokens.
+func (l *Loads) ZoneTotals() map[string]int64 {
 	out := map[string]int64{}
 	l.zones.Range(func(k, v any) bool {
 		out[k.(string)] = v.(*atomic.Int64).Load()
