--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -221,7 +221,7 @@
 	}
 	for _, id := range ids {
 		if e, ok := c.view.ByID(id); ok {
-			e.Suspect(c.n.clock.Now())
+			e.AvoidBriefly(c.n.clock.Now())
 		}
 	}
 }
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -126,9 +126,9 @@
 	s.failedStates.add(s)
 }
 
-// Suspect avoids the engine for initialAvoid because another node found it
+// AvoidBriefly avoids the engine for initialAvoid because another node found it
 // dead.
-func (s *State) Suspect(now time.Time) {
+func (s *State) AvoidBriefly(now time.Time) {
 	if until := sinceEpoch(now.Add(initialAvoid)); s.avoidUntil.Load() < until {
 		s.avoidUntil.Store(until)
 	}
