--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -122,7 +122,7 @@
 	r.deliver(old)
 	other.deliver(old)
 	before, _ := r.view.ByID("i-1@100")
-	before.StartedAnew(200, time.Now())
+	before.MarkRestarted(200, time.Now())
 	r.tick(context.Background())
 	r.publish()
 	is.Equal(r.inUse()["a:1"], modelEngine("i-1", "a:1", 100, 8).Reborn(200))
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -369,7 +369,7 @@
 	switch {
 	case !ok:
 	case startedLater:
-		seen.StartedAnew(st.Born, now)
+		seen.MarkRestarted(st.Born, now)
 	default:
 		seen.Replace(now)
 	}
--- a/citronpool/view.go
+++ b/citronpool/view.go
@@ -205,7 +205,7 @@
 	return out
 }
 
-// StartedAnew returns the engines of the view that are known to have restarted.
+// MarkRestarted returns the engines of the view that are known to have restarted.
 func (v *View) StartedAnew() []*Engine {
 	var out []*Engine
 	v.failedStates.forEach(v, func(e *Engine) {
--- a/citronpool/view_test.go
+++ b/citronpool/view_test.go
@@ -101,7 +101,7 @@
 	one, _ := v.ByID("i1")
 	two, _ := v.ByID("i2")
 	one.Dead(now)
-	two.StartedAnew(7, now)
+	two.MarkRestarted(7, now)
 	dead := v.Dead(now.Add(-time.Second))
 	slices.Sort(dead)
 	is.Equal(dead, []string{"i1", "i2"})
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -101,7 +101,7 @@
 	startsKnown := r.Born != 0 && e.Born != 0
 	switch {
 	case startsKnown && r.Born > e.Born:
-		e.StartedAnew(r.Born, now)
+		e.MarkRestarted(r.Born, now)
 		return
 	case startsKnown && r.Born < e.Born:
 		return
