--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -177,9 +177,9 @@
 // or to another engine.
 func (s *State) Replaced() bool { return s.replaced.Load() }
 
-// LaterStart returns when the engine restarted, in milliseconds since 1970, or
+// RestartedAt returns when the engine restarted, in milliseconds since 1970, or
 // zero if it didn't.
-func (s *State) LaterStart() int64 { return s.restartedAt.Load() }
+func (s *State) RestartedAt() int64 { return s.restartedAt.Load() }
 
 // misplacedPause is how long an engine is avoided that doesn't hold the layers
 // in the list. An engine writes its entry as soon as its layers change, and the
--- a/citronpool/view.go
+++ b/citronpool/view.go
@@ -209,7 +209,7 @@
 func (v *View) StartedAnew() []*Engine {
 	var out []*Engine
 	v.failedStates.forEach(v, func(e *Engine) {
-		if e.LaterStart() > 0 {
+		if e.RestartedAt() > 0 {
 			out = append(out, e)
 		}
 	})
