--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -190,7 +190,7 @@
 // them with other nodes.
 func (c *control) recordRestarts(ctx context.Context) {
 	if c.view != nil {
-		for _, e := range c.view.StartedAnew() {
+		for _, e := range c.view.Restarted() {
 			c.list.StartedAnew(ctx, e.Instance, e.RestartedAt())
 		}
 	}
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -247,7 +247,7 @@
 	listed.Born = 100
 	s := state(listed)
 	run(t, e, s)
-	eventually(t, "the restart is recorded in the view", func() bool { return len(s.View.StartedAnew()) == 1 })
+	eventually(t, "the restart is recorded in the view", func() bool { return len(s.View.Restarted()) == 1 })
 	is.Equal(len(e.orders()), 0)
 }
 
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -156,7 +156,7 @@
 // End marks an engine whose process is known to have ended.
 func (s *State) End() { s.ended.Store(true) }
 
-// MarkRestarted marks an engine that has restarted: the requests it ran and the
+// Restarted marks an engine that has restarted: the requests it ran and the
 // layers it held are lost. The parameter born is the time of the restart in
 // milliseconds since 1970.
 func (s *State) MarkRestarted(born int64, now time.Time) {
--- a/citronpool/view.go
+++ b/citronpool/view.go
@@ -205,8 +205,8 @@
 	return out
 }
 
-// MarkRestarted returns the engines of the view that are known to have restarted.
-func (v *View) StartedAnew() []*Engine {
+// Restarted returns the engines of the view that are known to have restarted.
+func (v *View) Restarted() []*Engine {
 	var out []*Engine
 	v.failedStates.forEach(v, func(e *Engine) {
 		if e.RestartedAt() > 0 {
--- a/citronpool/view_test.go
+++ b/citronpool/view_test.go
@@ -105,7 +105,7 @@
 	dead := v.Dead(now.Add(-time.Second))
 	slices.Sort(dead)
 	is.Equal(dead, []string{"i1", "i2"})
-	is.Equal(len(v.StartedAnew()), 1)
+	is.Equal(len(v.Restarted()), 1)
 	is.Equal(len(v.Dead(now.Add(time.Second))), 0)
 	one.Answered(now, now.Add(time.Millisecond))
 	is.Equal(v.Dead(now.Add(-time.Second)), []string{"i2"})
@@ -113,5 +113,5 @@
 	is.Equal(len(v.Dead(now.Add(-time.Second))), 2)
 	v = citronpool.Build(engines[:1], v)
 	is.Equal(v.Dead(now.Add(-time.Second)), []string{"i1"})
-	is.Equal(len(v.StartedAnew()), 0)
+	is.Equal(len(v.Restarted()), 0)
 }
--- a/citronprobe/heard_test.go
+++ b/citronprobe/heard_test.go
@@ -41,7 +41,7 @@
 			citronprobe.RecordReport(e, c.report, now)
 			is.Equal(e.Usable(now), c.usable)
 			is.Equal(e.Ended(), c.ended)
-			is.Equal(len(v.StartedAnew()) > 0, c.report.Born > 100)
+			is.Equal(len(v.Restarted()) > 0, c.report.Born > 100)
 			// A list with other layers for the engine is newer than the report and
 			// makes the engine usable again.
 			list[0].Layers = citronmodel.Span{From: 2, To: 5}
