--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -203,7 +203,7 @@
 	got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.Wait = 5 * time.Second })
 	is.Equal(got.body, events(1, 4))
 	is.Equal(len(r.engines.repaths), 1)
-	is.Equal(len(r.view.Dead(time.Time{})), 0)
+	is.Equal(len(r.view.DeadAfter(time.Time{})), 0)
 }
 
 // One hop of a path fails. A later hop is healthy, but the zone's other replica has a
--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -248,7 +248,7 @@
 		return nil
 	}
 	dead := map[string]int{}
-	for _, id := range s.traffic.View.Dead(n.clock.Now().Add(-deadReportAge)) {
+	for _, id := range s.traffic.View.DeadAfter(n.clock.Now().Add(-deadReportAge)) {
 		dead[id]++
 	}
 	for _, m := range s.members {
--- a/citronpool/view.go
+++ b/citronpool/view.go
@@ -194,8 +194,8 @@
 
 func (s *State) deadOrRestarted() bool { return s.deadSince.Load() != 0 || s.restartedAt.Load() != 0 }
 
-// Dead returns the IDs of engines that were found dead after the given time.
-func (v *View) Dead(after time.Time) []string {
+// DeadAfter returns the IDs of engines that were found dead after the given time.
+func (v *View) DeadAfter(after time.Time) []string {
 	var out []string
 	v.failedStates.forEach(v, func(e *Engine) {
 		if e.DeadSince().After(after) {
