--- a/citronnode/node_test.go
+++ b/citronnode/node_test.go
@@ -259,7 +259,7 @@
 			f.orders.markDead(e.Addr)
 			for _, m := range []*member{a, b} {
 				own, _ := m.Traffic().View.ByID(e.ID)
-				own.Dead(time.Now())
+				own.MarkDead(time.Now())
 			}
 		}
 	}
@@ -295,7 +295,7 @@
 					case <-stop:
 						return
 					default:
-						own.Dead(time.Now())
+						own.MarkDead(time.Now())
 					}
 				}
 			}()
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -118,9 +118,9 @@
 	s.avoidUntil.Store(sinceEpoch(now.Add(wait)))
 }
 
-// Dead marks an engine that no longer responds. Requests that run through it
+// MarkDead marks an engine that no longer responds. Requests that run through it
 // are moved to other engines.
-func (s *State) Dead(now time.Time) {
+func (s *State) MarkDead(now time.Time) {
 	s.Failed(now)
 	s.deadSince.Store(sinceEpoch(now))
 	s.failedStates.add(s)
@@ -169,7 +169,7 @@
 // again. Its next incarnation has a State of its own.
 func (s *State) Replace(now time.Time) {
 	s.replaced.Store(true)
-	s.Dead(now)
+	s.MarkDead(now)
 	s.End()
 }
 
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -126,7 +126,7 @@
 // RecordDead records that an engine did not respond to a probe. If the connection was
 // refused, it also records that the engine's process has ended.
 func RecordDead(e *citronpool.Engine, err error, now time.Time) {
-	e.Dead(now)
+	e.MarkDead(now)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		e.End()
 	}
