--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -272,7 +272,7 @@
 			// and assign its layers to other engines. Those would have to
 			// load them in turn, until most engines of the zone are lost.
 			if h.Engine.Usable(now) {
-				h.Engine.Failed(now)
+				h.Engine.RecordFailure(now)
 			}
 			return w.replace(i, reasonStalled)
 		}
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -167,7 +167,7 @@
 	case errors.Is(err, context.Canceled):
 		return result{outcome: unknown, err: err} // the client canceled the request
 	default:
-		e.Failed(j.f.Clock.Now())
+		e.RecordFailure(j.f.Clock.Now())
 		return result{outcome: unknown, err: err}
 	}
 }
@@ -193,7 +193,7 @@
 		return
 	}
 	if reply.Status == http.StatusMisdirectedRequest {
-		e.Failed(now)
+		e.RecordFailure(now)
 		return
 	}
 	e.Busy(now, busyPause)
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -97,7 +97,7 @@
 	r := newLoopRig(t)
 	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 100, 8))})
 	before, _ := r.view.ByID("i-1@100")
-	before.Failed(time.Now())
+	before.RecordFailure(time.Now())
 	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 200, 0))})
 	is.True(before.Ended())
 	is.True(!before.DeadSince().IsZero())
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -102,9 +102,9 @@
 	maxAvoid     = 4 * time.Second
 )
 
-// Failed records a failure and avoids the engine. The time doubles with each
+// RecordFailure records a failure and avoids the engine. The time doubles with each
 // consecutive failure up to maxAvoid.
-func (s *State) Failed(now time.Time) {
+func (s *State) RecordFailure(now time.Time) {
 	n := s.failures.Add(1)
 	wait := maxAvoid
 	if n < 5 {
@@ -121,7 +121,7 @@
 // MarkDead marks an engine that no longer responds. Requests that run through it
 // are moved to other engines.
 func (s *State) MarkDead(now time.Time) {
-	s.Failed(now)
+	s.RecordFailure(now)
 	s.deadSince.Store(sinceEpoch(now))
 	s.failedStates.add(s)
 }
