--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -404,7 +404,7 @@
 		for i, h := range m.path {
 			if h.Engine.Addr == part.Addr && i > 0 {
 				s.avoid[h.Engine.ID] = true
-				h.Engine.Busy(s.f.Clock.Now(), busyPause)
+				h.Engine.Avoid(s.f.Clock.Now(), busyPause)
 				return w.reroute()
 			}
 		}
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -196,7 +196,7 @@
 		e.RecordFailure(now)
 		return
 	}
-	e.Busy(now, busyPause)
+	e.Avoid(now, busyPause)
 }
 
 const (
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -113,8 +113,8 @@
 	s.avoidUntil.Store(sinceEpoch(now.Add(wait)))
 }
 
-// Busy avoids the engine for the given time without counting a failure.
-func (s *State) Busy(now time.Time, wait time.Duration) {
+// Avoid avoids the engine for the given time without counting a failure.
+func (s *State) Avoid(now time.Time, wait time.Duration) {
 	s.avoidUntil.Store(sinceEpoch(now.Add(wait)))
 }
 
