--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -153,8 +153,8 @@
 	return 1
 }
 
-// End marks an engine whose process is known to have ended.
-func (s *State) End() { s.ended.Store(true) }
+// MarkEnded marks an engine whose process is known to have ended.
+func (s *State) MarkEnded() { s.ended.Store(true) }
 
 // Restarted marks an engine that has restarted: the requests it ran and the
 // layers it held are lost. The parameter born is the time of the restart in
@@ -170,7 +170,7 @@
 func (s *State) Replace(now time.Time) {
 	s.replaced.Store(true)
 	s.MarkDead(now)
-	s.End()
+	s.MarkEnded()
 }
 
 // Replaced reports whether the engine's address belongs to a later incarnation
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -128,6 +128,6 @@
 func RecordDead(e *citronpool.Engine, err error, now time.Time) {
 	e.MarkDead(now)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		e.End()
+		e.MarkEnded()
 	}
 }
