--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -112,7 +112,7 @@
 	r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{After: 100 * time.Millisecond}})
 	time.AfterFunc(30*time.Millisecond, func() {
 		e, _ := r.view.ByID("p1")
-		e.Replace(time.Now())
+		e.MarkReplaced(time.Now())
 	})
 	is.True(r.ask("unsafe", time.Second).refused)
 	is.Equal(len(r.engines.seen()), 0)
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -182,7 +182,7 @@
 		return
 	}
 	if seen, ok := c.view.ByID(e.ID); ok {
-		seen.Replace(c.n.clock.Now())
+		seen.MarkReplaced(c.n.clock.Now())
 	}
 }
 
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -371,7 +371,7 @@
 	case startedLater:
 		seen.MarkRestarted(st.Born, now)
 	default:
-		seen.Replace(now)
+		seen.MarkReplaced(now)
 	}
 	p.markDirty()
 	return true
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -161,13 +161,13 @@
 // milliseconds since 1970.
 func (s *State) MarkRestarted(born int64, now time.Time) {
 	s.restartedAt.Store(born)
-	s.Replace(now) // also adds s to the failed states
+	s.MarkReplaced(now) // also adds s to the failed states
 }
 
-// Replace marks an engine whose address belongs to a later incarnation or to
+// MarkReplaced marks an engine whose address belongs to a later incarnation or to
 // another engine. Unlike an engine that doesn't respond, it never receives work
 // again. Its next incarnation has a State of its own.
-func (s *State) Replace(now time.Time) {
+func (s *State) MarkReplaced(now time.Time) {
 	s.replaced.Store(true)
 	s.MarkDead(now)
 	s.MarkEnded()
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -110,7 +110,7 @@
 		// an order to load them. An engine that has never accepted an order has
 		// restarted without reporting its start time. Requests through it are
 		// refused until its old entry expires after three heartbeats.
-		e.Replace(now)
+		e.MarkReplaced(now)
 		return
 	}
 	e.Slow(r.Slowdown, now)
