--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -471,7 +471,7 @@
 		return 0, false
 	}
 	now := s.f.Clock.Now()
-	s.path[0].Engine.Lives()
+	s.path[0].Engine.RecordAlive()
 	if s.run.firstEvent.IsZero() {
 		s.markAdmitted()
 	}
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -201,11 +201,11 @@
 // that merely doesn't respond may still run the requests sent to it.
 func (s *State) Ended() bool { return s.ended.Load() || s.Replaced() }
 
-// Lives records that the engine has sent data. It clears the ended and the dead
+// RecordAlive records that the engine has sent data. It clears the ended and the dead
 // mark of an engine that End has marked: an engine that refuses connections may
 // be leaving and finishing its running requests. A replaced engine stays
 // replaced, and the dead mark of an engine that isn't marked ended stays.
-func (s *State) Lives() {
+func (s *State) RecordAlive() {
 	if s.ended.Load() && !s.Replaced() {
 		s.ended.Store(false)
 		s.deadSince.Store(0)
