--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -187,10 +187,10 @@
 // old, so the list may be the newer of the two.
 const misplacedPause = time.Second
 
-// Misplaced avoids an engine that doesn't hold the layers in the list. It would
+// MarkMisplaced avoids an engine that doesn't hold the layers in the list. It would
 // refuse every request that runs through it, from all nodes, until the list is
 // correct.
-func (s *State) Misplaced(now time.Time) {
+func (s *State) MarkMisplaced(now time.Time) {
 	s.misplacedUntil.Store(sinceEpoch(now.Add(misplacedPause)))
 }
 
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -119,7 +119,7 @@
 	case r.Holds.Covers(e.Layers):
 		e.Placed()
 	default:
-		e.Misplaced(now)
+		e.MarkMisplaced(now)
 	}
 }
 
