--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -194,8 +194,8 @@
 	s.misplacedUntil.Store(sinceEpoch(now.Add(misplacedPause)))
 }
 
-// Placed clears the effect of Misplaced.
-func (s *State) Placed() { s.misplacedUntil.Store(0) }
+// ClearMisplaced clears the effect of Misplaced.
+func (s *State) ClearMisplaced() { s.misplacedUntil.Store(0) }
 
 // Ended reports whether the engine's process is known to have ended. An engine
 // that merely doesn't respond may still run the requests sent to it.
--- a/citronpool/view.go
+++ b/citronpool/view.go
@@ -53,7 +53,7 @@
 	switch {
 	case old.Layers == e.Layers:
 	case !old.Replaced():
-		p.Placed()
+		p.ClearMisplaced()
 		p.refusalPauses.Store(0)
 	default: // the entry belongs to the next incarnation, which doesn't report its start time
 		p.State = newState(e.ID, v.failedStates)
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -117,7 +117,7 @@
 	switch {
 	case r.Holds == nil || e.Layers.Empty():
 	case r.Holds.Covers(e.Layers):
-		e.Placed()
+		e.ClearMisplaced()
 	default:
 		e.MarkMisplaced(now)
 	}
