--- a/citronpath/path_test.go
+++ b/citronpath/path_test.go
@@ -128,7 +128,7 @@
 		{
 			"an engine of the own zone reports a slowdown",
 			append(zoneB, engine("a1", "a", "fast", 0, 4), engine("a2", "a", "fast", 4, 8)),
-			func(_ *citronpath.Query, es []*citronpool.Engine) { es[2].Slow(5, now) }, "b1[0,4) b2[4,8) ",
+			func(_ *citronpath.Query, es []*citronpool.Engine) { es[2].RecordSlowdown(5, now) }, "b1[0,4) b2[4,8) ",
 		},
 		{
 			"a running request keeps its first engine",
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -138,8 +138,8 @@
 // only while a path through them is stalled.
 const slowReportTTL = 3 * time.Second
 
-// Slow records how many times slower than declared the engine is.
-func (s *State) Slow(factor float64, now time.Time) {
+// RecordSlowdown records how many times slower than declared the engine is.
+func (s *State) RecordSlowdown(factor float64, now time.Time) {
 	s.slowdown.Store(int64(factor * 100))
 	s.slowAt.Store(sinceEpoch(now))
 }
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -113,7 +113,7 @@
 		e.MarkReplaced(now)
 		return
 	}
-	e.Slow(r.Slowdown, now)
+	e.RecordSlowdown(r.Slowdown, now)
 	switch {
 	case r.Holds == nil || e.Layers.Empty():
 	case r.Holds.Covers(e.Layers):
