--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -521,7 +521,7 @@
 		if !s.begun {
 			return runBroken // an empty stream is not a valid response
 		}
-		s.path[0].Engine.Answered(s.pathSince, s.f.Clock.Now())
+		s.path[0].Engine.RecordResponse(s.pathSince, s.f.Clock.Now())
 		s.markSuccessful()
 		return runFinished
 	}
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -153,7 +153,7 @@
 		res.outcome = failed
 		return res
 	}
-	e.Answered(begin, j.f.Clock.Now())
+	e.RecordResponse(begin, j.f.Clock.Now())
 	return res
 }
 
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -225,8 +225,8 @@
 // latencyWeight is the inverse weight of a new sample in the moving average.
 const latencyWeight = 8
 
-// Answered records a successful response to a request sent at the given time.
-func (s *State) Answered(sent, now time.Time) {
+// RecordResponse records a successful response to a request sent at the given time.
+func (s *State) RecordResponse(sent, now time.Time) {
 	s.failures.Store(0)
 	s.deadSince.Store(0)
 	if s.Admitted(sent) {
--- a/citronpool/view_test.go
+++ b/citronpool/view_test.go
@@ -107,7 +107,7 @@
 	is.Equal(dead, []string{"i1", "i2"})
 	is.Equal(len(v.Restarted()), 1)
 	is.Equal(len(v.DeadAfter(now.Add(time.Second))), 0)
-	one.Answered(now, now.Add(time.Millisecond))
+	one.RecordResponse(now, now.Add(time.Millisecond))
 	is.Equal(v.DeadAfter(now.Add(-time.Second)), []string{"i2"})
 	one.MarkDead(now) // dead again, after Dead had removed the recovered engine from the failed states
 	is.Equal(len(v.DeadAfter(now.Add(-time.Second))), 2)
