--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -500,7 +500,7 @@
 // markAdmitted records that the engines of the path have admitted the stream.
 func (s *streamJob) markAdmitted() {
 	for _, h := range s.path {
-		h.Engine.Admitted(s.run.sent)
+		h.Engine.RecordAdmission(s.run.sent)
 	}
 }
 
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -229,7 +229,7 @@
 func (s *State) RecordResponse(sent, now time.Time) {
 	s.failures.Store(0)
 	s.deadSince.Store(0)
-	if s.Admitted(sent) {
+	if s.RecordAdmission(sent) {
 		s.avoidUntil.Store(0)
 	}
 	took := now.Sub(sent)
--- a/citronpool/refusal.go
+++ b/citronpool/refusal.go
@@ -66,10 +66,10 @@
 	return at != 0 && sinceEpoch(now)-at < int64(accusationTTL)
 }
 
-// Admitted records that the engine runs a request sent at the given time. It
+// RecordAdmission records that the engine runs a request sent at the given time. It
 // reports whether the request was sent after the last refusal. Older requests
 // prove nothing: a leaving engine finishes them and still refuses new ones.
-func (s *State) Admitted(sent time.Time) bool {
+func (s *State) RecordAdmission(sent time.Time) bool {
 	if sinceEpoch(sent) <= s.accusedAt.Load() {
 		return false
 	}
--- a/citronpool/refusal_test.go
+++ b/citronpool/refusal_test.go
@@ -51,11 +51,11 @@
 	countRefusals(e, now)
 	now = now.Add(outage + 2*time.Second)
 	is.True(e.Usable(now))
-	e.Admitted(now.Add(-time.Minute)) // sent before the last refusal
+	e.RecordAdmission(now.Add(-time.Minute)) // sent before the last refusal
 	is.True(e.Accuse(now))
 	is.True(!e.Usable(now.Add(time.Second)))
 	now = now.Add(2 * time.Second)
-	e.Admitted(now)
+	e.RecordAdmission(now)
 	is.True(e.Accuse(now.Add(time.Millisecond)))
 	is.True(e.Usable(now.Add(200 * time.Millisecond)))
 }
