--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -38,8 +38,8 @@
 	Services map[string]citrontable.Service
 	Engines  []citronmodel.Engine
 	View     *citronpool.View
-	// Whole is set if Engines is complete: it lacks no entry that may return.
-	Whole bool
+	// ListComplete is set if Engines is complete: it lacks no entry that may return.
+	ListComplete bool
 	// Dead is the number of nodes that have recently found an engine dead, by
 	// engine ID.
 	Dead map[string]int
@@ -144,7 +144,7 @@
 			continue
 		}
 		engines, served := p.placeableEngines(s, svc.Name, now)
-		if !s.Whole || !anyPlaced(engines) && now.Sub(p.listSizeSince) < listStablePeriod {
+		if !s.ListComplete || !anyPlaced(engines) && now.Sub(p.listSizeSince) < listStablePeriod {
 			p.markDirty() // the next round tries again
 			continue
 		}
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -92,7 +92,7 @@
 func state(es ...citronmodel.Engine) *citronplacer.State {
 	return &citronplacer.State{
 		Services: map[string]citrontable.Service{"m": {Name: "m", Model: &spec}}, Engines: es,
-		View: citronpool.Build(es, nil), Whole: true, Dead: map[string]int{},
+		View: citronpool.Build(es, nil), ListComplete: true, Dead: map[string]int{},
 	}
 }
 
@@ -157,7 +157,7 @@
 // memory of those engines with layers and leave no cache.
 func TestIncompleteListIsNotPlaced(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 0, 0))
-	s.Whole = false
+	s.ListComplete = false
 	e := &fakeEngines{}
 	run(t, e, s)
 	time.Sleep(500 * time.Millisecond)
