--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -40,9 +40,9 @@
 	View     *citronpool.View
 	// ListComplete is set if Engines is complete: it lacks no entry that may return.
 	ListComplete bool
-	// Dead is the number of nodes that have recently found an engine dead, by
+	// DeadReports is the number of nodes that have recently found an engine dead, by
 	// engine ID.
-	Dead map[string]int
+	DeadReports map[string]int
 	// Goals holds the previous leader's target layer ranges by engine ID.
 	Goals map[string]citronmodel.Span
 }
@@ -312,7 +312,7 @@
 // nodes report them: nodes that are short of processor time miss answers at the same
 // time. Trusting their reports would repartition whole zones of healthy engines.
 func (p *Placer) checkReportedDead(ctx context.Context, s *State, now time.Time) {
-	for id, reports := range s.Dead {
+	for id, reports := range s.DeadReports {
 		e, ok := s.View.ByID(id)
 		if !ok || e.Kind == "" || now.Sub(p.lastCheckedAt(id)) < recheckInterval {
 			continue
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -92,7 +92,7 @@
 func state(es ...citronmodel.Engine) *citronplacer.State {
 	return &citronplacer.State{
 		Services: map[string]citrontable.Service{"m": {Name: "m", Model: &spec}}, Engines: es,
-		View: citronpool.Build(es, nil), ListComplete: true, Dead: map[string]int{},
+		View: citronpool.Build(es, nil), ListComplete: true, DeadReports: map[string]int{},
 	}
 }
 
@@ -169,7 +169,7 @@
 func TestEngineReportedDeadByTwoNodesIsReplaced(t *testing.T) {
 	is := is.New(t)
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 4))
-	s.Dead["e2"] = 2
+	s.DeadReports["e2"] = 2
 	e := &fakeEngines{dead: "e2"}
 	run(t, e, s)
 	gap := citronmodel.Span{From: 4, To: 8}
@@ -191,7 +191,7 @@
 // repartitioned and rejects its callers for seconds.
 func TestEngineThatAnswersLeaderIsNotReplaced(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8))
-	s.Dead["e2"] = 3
+	s.DeadReports["e2"] = 3
 	e := &fakeEngines{}
 	run(t, e, s)
 	time.Sleep(1200 * time.Millisecond)
@@ -258,7 +258,7 @@
 // replaced within three seconds and their zones repartitioned.
 func TestOneMissedCheckIsNotDeath(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8))
-	s.Dead["e2"] = 1
+	s.DeadReports["e2"] = 1
 	e := &fakeEngines{misses: map[string]int{"e2": 1}}
 	run(t, e, s)
 	time.Sleep(1200 * time.Millisecond)
@@ -269,7 +269,7 @@
 // dead, although only one node reports it, and that its layers are placed.
 func TestTwoMissedChecksAreDeath(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 4))
-	s.Dead["e2"] = 1
+	s.DeadReports["e2"] = 1
 	e := &fakeEngines{dead: "e2"}
 	run(t, e, s)
 	eventually(t, "an order for the gap", func() bool { return len(e.orders()) > 0 })
@@ -282,7 +282,7 @@
 // once and not when its entry expires, or the zone rejects callers for four seconds.
 func TestEngineThatLostItsLayersIsReplaced(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 0))
-	s.Dead["e2"] = 1
+	s.DeadReports["e2"] = 1
 	e := &fakeEngines{restarted: "e2"}
 	run(t, e, s)
 	gap := citronmodel.Span{From: 4, To: 8}
