--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -256,5 +256,5 @@
 			dead[id]++
 		}
 	}
-	return &citronplacer.State{Services: s.traffic.Table.Services, Engines: s.engines, View: s.traffic.View, ListComplete: s.listComplete, DeadReports: dead, Goals: s.targets}
+	return &citronplacer.State{Services: s.traffic.Table.Services, Engines: s.engines, View: s.traffic.View, ListComplete: s.listComplete, DeadReports: dead, Targets: s.targets}
 }
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -43,8 +43,8 @@
 	// DeadReports is the number of nodes that have recently found an engine dead, by
 	// engine ID.
 	DeadReports map[string]int
-	// Goals holds the previous leader's target layer ranges by engine ID.
-	Goals map[string]citronmodel.Span
+	// Targets holds the previous leader's target layer ranges by engine ID.
+	Targets map[string]citronmodel.Span
 }
 
 // Placer places the layers of all models during one term of a leader.
@@ -161,7 +161,7 @@
 		return targets
 	}
 	now := p.Clock.Now()
-	for id, span := range s.Goals {
+	for id, span := range s.Targets {
 		targets[id] = &target{order: citronplace.Order{Span: span}, nextAttempt: now}
 	}
 	return targets
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -205,7 +205,7 @@
 func TestNextLeaderInheritsTargets(t *testing.T) {
 	is := is.New(t)
 	s := state(engine("e1", 0, 4), engine("e2", 0, 0), engine("e3", 0, 0))
-	s.Goals = map[string]citronmodel.Span{"e3": {From: 4, To: 8}}
+	s.Targets = map[string]citronmodel.Span{"e3": {From: 4, To: 8}}
 	e := &fakeEngines{state: citronplace.EngineState{Busy: true}}
 	run(t, e, s)
 	time.Sleep(700 * time.Millisecond)
