--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -227,7 +227,7 @@
 func (n *Node) startPlacing(ctx context.Context) (wait func()) {
 	n.places.Store(true)
 	p := &citronplacer.Placer{Orders: n.src.Orders, Clock: n.clock, Log: n.log, Current: n.placement}
-	goals := p.Goals
+	goals := p.Targets
 	n.targets.Store(&goals)
 	done := make(chan struct{})
 	go func() {
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -167,8 +167,8 @@
 	return targets
 }
 
-// Goals returns the target layer ranges that engines don't hold yet, by engine ID.
-func (p *Placer) Goals() map[string]citronmodel.Span {
+// Targets returns the target layer ranges that engines don't hold yet, by engine ID.
+func (p *Placer) Targets() map[string]citronmodel.Span {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.targets) == 0 {
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -307,7 +307,7 @@
 		var wait sync.WaitGroup
 		wait.Go(func() { p.Run(ctx) })
 		for range 100 {
-			_ = p.Goals()
+			_ = p.Targets()
 		}
 		cancel()
 		wait.Wait()
