--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -76,7 +76,7 @@
 	clock := citronclock.Real{}
 	budget := citronbudget.New(citronbudget.Limits{Ratio: set.RepeatRatio, Slack: set.RepeatSlack, Window: set.RepeatWindow})
 	loads := &citronpool.Loads{}
-	engines := platform.NewEngines()
+	engines := platform.NewEngineClient()
 	registry := prometheus.NewRegistry()
 	node := citronnode.New(citronnode.Settings{
 		Name: set.Name, Zone: set.Zone, Front: set.Front, Peer: set.Peer, Seeds: set.Seeds, Cores: set.Cores,
