--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -74,7 +74,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	clock := citronclock.Real{}
-	budget := citronbudget.New(citronbudget.Limits{Ratio: set.RetryRatio, Slack: set.RetrySlack, Window: set.RepeatWindow})
+	budget := citronbudget.New(citronbudget.Limits{Ratio: set.RetryRatio, Slack: set.RetrySlack, Window: set.RetryWindow})
 	loads := &citronpool.Loads{}
 	engines := platform.NewEngineClient()
 	registry := prometheus.NewRegistry()
