--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -80,7 +80,7 @@
 	registry := prometheus.NewRegistry()
 	node := citronnode.New(citronnode.Settings{
 		Name: set.Name, Zone: set.Zone, Front: set.Front, Peer: set.Peer, Seeds: set.Seeds, Cores: set.Cores,
-		LeaseTTL: max(leaderLease, set.LeaseMin), Grace: set.Grace, Heartbeat: set.Heartbeat, DrainWithin: set.DrainWithin,
+		LeaseTTL: max(leaderLease, set.MinLeaseTTL), Grace: set.Grace, Heartbeat: set.Heartbeat, DrainWithin: set.DrainWithin,
 	}, citronnode.Sources{
 		Store: citronstat.CountStore(platform.NewStore(set.Store), registry), ConfigKey: platform.ConfigKey, EnginePrefix: platform.EnginePrefix,
 		DecodeConfig: platform.DecodeConfig, DecodeEngine: platform.DecodeEngine, Orders: engines,
