--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -111,7 +111,7 @@
 	metrics := http.NewServeMux()
 	metrics.Handle("/metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	serveOn(set.Front, ingress)
-	serveOn(set.Ready, platform.Ready(node.Ready))
+	serveOn(set.Ready, platform.ReadyHandler(node.Ready))
 	serveOn(set.Peer, peers)
 	serveOn(set.Directory, &platform.Directory{Addresses: node.Addresses, TTL: min(directoryTTL, set.MaxTTL)})
 	serveOn(c.Metrics, metrics)
