--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -152,12 +152,12 @@
 	// reachedLimit is the limit that prevented the last retry, if any.
 	reachedLimit retryLimit
 	// cachedFingerprint is the request's fingerprint, nil until it is first needed.
-	cachedFingerprint *citronquarantine.Print
+	cachedFingerprint *citronquarantine.Fingerprint
 }
 
 // fingerprint returns the fingerprint that identifies the request when the client sends
 // it again. It is computed on first use, because most requests never need it.
-func (j *job) fingerprint() citronquarantine.Print {
+func (j *job) fingerprint() citronquarantine.Fingerprint {
 	if j.cachedFingerprint == nil {
 		p := citronquarantine.PrintOf(j.customer, j.Method, j.Host, j.Target, j.Body)
 		j.cachedFingerprint = &p
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -15,7 +15,7 @@
 var suspect = citronquarantine.PrintOf("council", "POST", "h", "/nest/7", []byte("a plan"))
 
 // quarantinedAt returns how many nodes quarantine a request.
-func (f *fleet) quarantinedAt(p citronquarantine.Print) int {
+func (f *fleet) quarantinedAt(p citronquarantine.Fingerprint) int {
 	n := 0
 	for _, m := range f.nodes {
 		if _, barred := m.Quarantine().Blocked(p); barred {
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -39,7 +39,7 @@
 
 // Entry is the record of one request with its fingerprint.
 type Entry struct {
-	Print Print
+	Print Fingerprint
 	Record
 }
 
@@ -51,7 +51,7 @@
 	size  atomic.Int64
 
 	mu      sync.Mutex
-	entries map[Print]*entry
+	entries map[Fingerprint]*entry
 	// onChange is called when there is an update for other nodes.
 	onChange func()
 	// summary is the cached summary for other nodes. It is nil after a change.
@@ -80,7 +80,7 @@
 
 // New returns an empty ledger for the node with the given name.
 func New(node string, clock citronclock.Clock) *Ledger {
-	return &Ledger{node: node, clock: clock, entries: map[Print]*entry{}, onChange: func() {}}
+	return &Ledger{node: node, clock: clock, entries: map[Fingerprint]*entry{}, onChange: func() {}}
 }
 
 // Notify sets the function that is called when there is an update for other nodes.
@@ -91,7 +91,7 @@
 func (l *Ledger) Empty() bool { return l.size.Load() == 0 }
 
 // Admit decides whether a request may run.
-func (l *Ledger) Admit(p Print) Verdict {
+func (l *Ledger) Admit(p Fingerprint) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.find(p)
@@ -110,7 +110,7 @@
 
 // Blocked reports whether a request that was admitted has been quarantined since, and
 // for how long.
-func (l *Ledger) Blocked(p Print) (time.Duration, bool) {
+func (l *Ledger) Blocked(p Fingerprint) (time.Duration, bool) {
 	if l.Empty() {
 		return 0, false
 	}
@@ -126,7 +126,7 @@
 
 // Suspect reports whether the request has so many crashes that it is quarantined or
 // that one more crash would quarantine it.
-func (l *Ledger) Suspect(p Print) bool {
+func (l *Ledger) Suspect(p Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.find(p)
@@ -136,7 +136,7 @@
 // releaseAt returns the time at which this node admits the request again. It is zero
 // if the request is not quarantined. The delay within releaseSpread is a hash of the
 // node name and the fingerprint.
-func (l *Ledger) releaseAt(p Print, r Record) time.Time {
+func (l *Ledger) releaseAt(p Fingerprint, r Record) time.Time {
 	until := r.quarantinedUntil()
 	if until.IsZero() {
 		return until
@@ -145,7 +145,7 @@
 	return until.Add(time.Duration(hash % uint64(releaseSpread)))
 }
 
-func (l *Ledger) endTrial(p Print) {
+func (l *Ledger) endTrial(p Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.entries[p]; e != nil {
@@ -156,7 +156,7 @@
 // Crashed records that an engine ended under a run of the request that had just
 // begun. engine is the ID of the engine's start, and began is when the run began. It
 // returns the request's record, and whether the record has changed.
-func (l *Ledger) Crashed(p Print, engine string, began time.Time) (r Record, updated bool) {
+func (l *Ledger) Crashed(p Fingerprint, engine string, began time.Time) (r Record, updated bool) {
 	l.mu.Lock()
 	e := l.find(p)
 	var known Record
@@ -178,7 +178,7 @@
 }
 
 // Succeeded records that the request has run successfully.
-func (l *Ledger) Succeeded(p Print) {
+func (l *Ledger) Succeeded(p Fingerprint) {
 	if l.Empty() {
 		return
 	}
@@ -364,7 +364,7 @@
 
 // find returns the entry of a request, or nil if there is none. It drops the entry if
 // it has expired, unless a trial run is in progress. The caller must hold l.mu.
-func (l *Ledger) find(p Print) *entry {
+func (l *Ledger) find(p Fingerprint) *entry {
 	e := l.entries[p]
 	if e == nil || e.onTrial || l.clock.Now().Before(e.expiresAt()) {
 		return e
@@ -374,7 +374,7 @@
 }
 
 // put merges a record into the ledger. The caller must hold l.mu.
-func (l *Ledger) put(p Print, r Record) *entry {
+func (l *Ledger) put(p Fingerprint, r Record) *entry {
 	e := l.find(p)
 	if e == nil {
 		l.evictIfFull()
@@ -403,7 +403,7 @@
 	if len(l.entries) < maxRecords {
 		return
 	}
-	var victim Print
+	var victim Fingerprint
 	var fewest *entry
 	for p, e := range l.entries {
 		if fewest == nil || cmp.Or(cmp.Compare(e.Standing(), fewest.Standing()), e.lastCrash().Compare(fewest.lastCrash())) < 0 {
@@ -419,7 +419,7 @@
 	}
 }
 
-func (l *Ledger) drop(p Print) {
+func (l *Ledger) drop(p Fingerprint) {
 	delete(l.entries, p)
 	l.size.Store(int64(len(l.entries)))
 	l.summary = nil
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -16,13 +16,13 @@
 	return citronquarantine.New(node, clock), clock
 }
 
-func request(i int) citronquarantine.Print {
+func request(i int) citronquarantine.Fingerprint {
 	return citronquarantine.PrintOf("council", "POST", "h", "/a", fmt.Append(nil, i))
 }
 
 // crash makes count engines end under a request. Their IDs are numbered consecutively,
 // beginning with from.
-func crash(l *citronquarantine.Ledger, p citronquarantine.Print, from, count int) {
+func crash(l *citronquarantine.Ledger, p citronquarantine.Fingerprint, from, count int) {
 	for i := range count {
 		l.Crashed(p, fmt.Sprintf("i-%d", from+i), time.Time{})
 	}
@@ -230,7 +230,7 @@
 	f.Add("")
 	f.Add(request(1).String())
 	f.Fuzz(func(t *testing.T, text string) {
-		var p citronquarantine.Print
+		var p citronquarantine.Fingerprint
 		if p.UnmarshalText([]byte(text)) == nil && len(text) != len(p.String()) {
 			t.Fatalf("fingerprint %q of invalid length was accepted", text)
 		}
--- a/citronquarantine/model_test.go
+++ b/citronquarantine/model_test.go
@@ -35,7 +35,7 @@
 // caller to retry it, and since is the time of the retry. Otherwise since is the start of
 // the run.
 type modelRun struct {
-	fingerprint citronquarantine.Print
+	fingerprint citronquarantine.Fingerprint
 	crashing    bool
 	engine      int
 	since       time.Time
@@ -53,14 +53,14 @@
 	runs        []*modelRun
 	sent        int
 	// quarantined holds the harmless requests that were quarantined.
-	quarantined map[citronquarantine.Print]bool
+	quarantined map[citronquarantine.Fingerprint]bool
 	// ended counts the engines that crashing requests have ended.
 	ended int
 }
 
 func newModel(seed uint64) *model {
 	clock := citronclock.NewManual(time.Unix(1_000_000, 0))
-	return &model{rand: rand.New(rand.NewPCG(seed, 1)), clock: clock, ledger: citronquarantine.New("n", clock), quarantined: map[citronquarantine.Print]bool{}}
+	return &model{rand: rand.New(rand.NewPCG(seed, 1)), clock: clock, ledger: citronquarantine.New("n", clock), quarantined: map[citronquarantine.Fingerprint]bool{}}
 }
 
 // send runs a request on a random available engine, unless it is quarantined.
--- a/citronquarantine/print.go
+++ b/citronquarantine/print.go
@@ -13,19 +13,19 @@
 // requests with the same fingerprint cannot be constructed, and short enough to gossip.
 const fingerprintSize = 16
 
-// Print is the fingerprint of a request. Two requests with the same customer, method,
+// Fingerprint is the fingerprint of a request. Two requests with the same customer, method,
 // host, target and body have the same fingerprint, whichever node receives them and
 // whatever their IDs are.
-type Print [fingerprintSize]byte
+type Fingerprint [fingerprintSize]byte
 
 // PrintOf returns the fingerprint of a request.
-func PrintOf(customer, method, host, target string, body []byte) Print {
+func PrintOf(customer, method, host, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, s := range []string{customer, method, host, target} {
 		hashField(h, []byte(s))
 	}
 	hashField(h, body)
-	var p Print
+	var p Fingerprint
 	copy(p[:], h.Sum(nil))
 	return p
 }
@@ -40,13 +40,13 @@
 }
 
 // String returns p in hexadecimal.
-func (p Print) String() string { return hex.EncodeToString(p[:]) }
+func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
-func (p Print) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
+func (p Fingerprint) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (p *Print) UnmarshalText(text []byte) error {
+func (p *Fingerprint) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != fingerprintSize {
 		return errors.Newf("fingerprint has the wrong length: %d hexadecimal digits", len(text))
 	}
--- a/citronquarantine/print_test.go
+++ b/citronquarantine/print_test.go
@@ -12,7 +12,7 @@
 	of := citronquarantine.PrintOf
 	p := of("council", "POST", "h", "/a/b", []byte("text"))
 	is.Equal(p, of("council", "POST", "h", "/a/b", []byte("text")))
-	for _, other := range []citronquarantine.Print{
+	for _, other := range []citronquarantine.Fingerprint{
 		of("shire", "POST", "h", "/a/b", []byte("text")),
 		of("council", "PUT", "h", "/a/b", []byte("text")),
 		of("council", "POST", "i", "/a/b", []byte("text")),
@@ -28,7 +28,7 @@
 	p := citronquarantine.PrintOf("council", "POST", "h", "/a", nil)
 	text, err := p.MarshalText()
 	is.NoErr(err)
-	var decoded citronquarantine.Print
+	var decoded citronquarantine.Fingerprint
 	is.NoErr(decoded.UnmarshalText(text))
 	is.Equal(decoded, p)
 	for _, invalid := range []string{"", "00", string(text) + "00", "x" + string(text[1:])} {
