--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -159,7 +159,7 @@
 // it again. It is computed on first use, because most requests never need it.
 func (j *job) fingerprint() citronquarantine.Fingerprint {
 	if j.cachedFingerprint == nil {
-		p := citronquarantine.PrintOf(j.customer, j.Method, j.Host, j.Target, j.Body)
+		p := citronquarantine.FingerprintOf(j.customer, j.Method, j.Host, j.Target, j.Body)
 		j.cachedFingerprint = &p
 	}
 	return *j.cachedFingerprint
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -43,7 +43,7 @@
 			m.bytes.Store(0)
 			b.ResetTimer()
 			for i := range b.N {
-				p := citronquarantine.PrintOf("council", "POST", "h", fmt.Sprint(i), nil)
+				p := citronquarantine.FingerprintOf("council", "POST", "h", fmt.Sprint(i), nil)
 				for k := range 3 {
 					f.nodes[k*size/3].Quarantine().Crashed(p, fmt.Sprintf("i-%d", k), time.Time{})
 				}
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-var suspect = citronquarantine.PrintOf("council", "POST", "h", "/nest/7", []byte("a plan"))
+var suspect = citronquarantine.FingerprintOf("council", "POST", "h", "/nest/7", []byte("a plan"))
 
 // quarantinedAt returns how many nodes quarantine a request.
 func (f *fleet) quarantinedAt(p citronquarantine.Fingerprint) int {
@@ -139,7 +139,7 @@
 	}
 	flood := make([]citronpeer.Suspect, citronquarantine.MaxGossipRecords+1)
 	for i := range flood {
-		p := citronquarantine.PrintOf("council", "POST", "h", fmt.Sprint(i), nil)
+		p := citronquarantine.FingerprintOf("council", "POST", "h", fmt.Sprint(i), nil)
 		flood[i] = citronpeer.Suspect{Print: p.String(), Crashes: crashes(3, 1)}
 	}
 	client := citronpeer.Client{HC: http.DefaultClient, Timeout: time.Second}
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -17,7 +17,7 @@
 }
 
 func request(i int) citronquarantine.Fingerprint {
-	return citronquarantine.PrintOf("council", "POST", "h", "/a", fmt.Append(nil, i))
+	return citronquarantine.FingerprintOf("council", "POST", "h", "/a", fmt.Append(nil, i))
 }
 
 // crash makes count engines end under a request. Their IDs are numbered consecutively,
@@ -30,7 +30,7 @@
 
 func Example() {
 	l, _ := newLedger("n1")
-	p := citronquarantine.PrintOf("council", "POST", "example.org", "/nest/7", []byte("a plan"))
+	p := citronquarantine.FingerprintOf("council", "POST", "example.org", "/nest/7", []byte("a plan"))
 	for _, engine := range []string{"i-1", "i-2", "i-2", "i-3"} {
 		r, updated := l.Crashed(p, engine, time.Time{})
 		fmt.Println(engine, r.Standing(), updated)
--- a/citronquarantine/print.go
+++ b/citronquarantine/print.go
@@ -18,8 +18,8 @@
 // whatever their IDs are.
 type Fingerprint [fingerprintSize]byte
 
-// PrintOf returns the fingerprint of a request.
-func PrintOf(customer, method, host, target string, body []byte) Fingerprint {
+// FingerprintOf returns the fingerprint of a request.
+func FingerprintOf(customer, method, host, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, s := range []string{customer, method, host, target} {
 		hashField(h, []byte(s))
--- a/citronquarantine/print_test.go
+++ b/citronquarantine/print_test.go
@@ -9,7 +9,7 @@
 
 func TestFingerprintDistinguishesRequests(t *testing.T) {
 	is := is.New(t)
-	of := citronquarantine.PrintOf
+	of := citronquarantine.FingerprintOf
 	p := of("council", "POST", "h", "/a/b", []byte("text"))
 	is.Equal(p, of("council", "POST", "h", "/a/b", []byte("text")))
 	for _, other := range []citronquarantine.Fingerprint{
@@ -25,7 +25,7 @@
 
 func TestFingerprintTextRoundTrip(t *testing.T) {
 	is := is.New(t)
-	p := citronquarantine.PrintOf("council", "POST", "h", "/a", nil)
+	p := citronquarantine.FingerprintOf("council", "POST", "h", "/a", nil)
 	text, err := p.MarshalText()
 	is.NoErr(err)
 	var decoded citronquarantine.Fingerprint
