--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -49,7 +49,7 @@
 		}
 		for _, e := range n.quarantine.Dirty() {
 			if err := n.saveQuarantined(ctx, e); err != nil {
-				citronevent.Log(ctx, n.log, citronevent.BarredUnsaved, "print", e.Print, "err", err)
+				citronevent.Log(ctx, n.log, citronevent.BarredUnsaved, "print", e.Fingerprint, "err", err)
 				time.AfterFunc(maxRetryWait, func() { wake(n.quarantineChanged) })
 				break
 			}
@@ -72,7 +72,7 @@
 	if err != nil {
 		return errors.Wrap(err, "grant lease for quarantine record")
 	}
-	_, err = n.src.Store.Put(ctx, quarantinePrefix+e.Print.String(), text, citronkv.AnyRevision, lease)
+	_, err = n.src.Store.Put(ctx, quarantinePrefix+e.Fingerprint.String(), text, citronkv.AnyRevision, lease)
 	return errors.Wrap(err, "put quarantine record")
 }
 
@@ -99,7 +99,7 @@
 // because the clock of the node that wrote the record may be ahead.
 func decodeQuarantined(item citronkv.Item, now time.Time) (citronquarantine.Entry, error) {
 	var e citronquarantine.Entry
-	if err := e.Print.UnmarshalText([]byte(item.Key[len(quarantinePrefix):])); err != nil {
+	if err := e.Fingerprint.UnmarshalText([]byte(item.Key[len(quarantinePrefix):])); err != nil {
 		return e, err
 	}
 	var r quarantineRecord
--- a/citronnode/suspects.go
+++ b/citronnode/suspects.go
@@ -23,7 +23,7 @@
 func encodeSuspects(entries []citronquarantine.Entry, now time.Time) []citronpeer.Suspect {
 	var out []citronpeer.Suspect
 	for _, e := range entries {
-		s := citronpeer.Suspect{Print: e.Print.String()}
+		s := citronpeer.Suspect{Print: e.Fingerprint.String()}
 		for _, c := range e.Crashes() {
 			s.Crashes = append(s.Crashes, citronpeer.SuspectCrash{Engine: c.Engine, AgeMS: max(0, now.Sub(c.At).Milliseconds()), Refuted: c.Refuted})
 		}
@@ -40,7 +40,7 @@
 	var out []citronquarantine.Entry
 	for _, s := range suspects {
 		var e citronquarantine.Entry
-		if err := e.Print.UnmarshalText([]byte(s.Print)); err != nil {
+		if err := e.Fingerprint.UnmarshalText([]byte(s.Print)); err != nil {
 			return nil, err
 		}
 		if n := len(s.Crashes); n > citronquarantine.MostCrashes {
@@ -90,7 +90,7 @@
 			return
 		}
 		for _, e := range barred {
-			citronevent.Log(ctx, n.log, citronevent.RequestBarred, "print", e.Print, "crashes", e.Standing(), "source", from)
+			citronevent.Log(ctx, n.log, citronevent.RequestBarred, "print", e.Fingerprint, "crashes", e.Standing(), "source", from)
 		}
 	}
 }
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -39,7 +39,7 @@
 
 // Entry is the record of one request with its fingerprint.
 type Entry struct {
-	Print Fingerprint
+	Fingerprint Fingerprint
 	Record
 }
 
@@ -224,7 +224,7 @@
 func (l *Ledger) MarkSaved(x Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e := l.entries[x.Print]; e != nil {
+	if e := l.entries[x.Fingerprint]; e != nil {
 		e.saved = x.Record
 	}
 }
@@ -241,16 +241,16 @@
 	updated := false
 	for _, in := range received {
 		before := 0
-		if e := l.find(in.Print); e != nil {
+		if e := l.find(in.Fingerprint); e != nil {
 			before = e.Standing()
 			if e.WithAll(in.Record).equal(e.Record) {
 				continue
 			}
 		}
-		after := l.put(in.Print, in.Record).Record
+		after := l.put(in.Fingerprint, in.Record).Record
 		updated = updated || after.significant()
 		if before < quarantineThreshold && after.Standing() >= quarantineThreshold {
-			quarantined = append(quarantined, Entry{in.Print, after})
+			quarantined = append(quarantined, Entry{in.Fingerprint, after})
 		}
 	}
 	l.mu.Unlock()
@@ -326,7 +326,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Entry) int {
-		return cmp.Or(cmp.Compare(b.Standing(), a.Standing()), b.lastCrash().Compare(a.lastCrash()), slices.Compare(a.Print[:], b.Print[:]))
+		return cmp.Or(cmp.Compare(b.Standing(), a.Standing()), b.lastCrash().Compare(a.lastCrash()), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	return out[:min(len(out), MaxGossipRecords)]
 }
@@ -336,7 +336,7 @@
 	var sum uint64
 	for _, e := range entries {
 		h := xxhash.New()
-		_, _ = h.Write(e.Print[:]) // never returns an error
+		_, _ = h.Write(e.Fingerprint[:]) // never returns an error
 		for _, c := range e.Crashes() {
 			word := c.Engine << 1
 			if c.Refuted {
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -155,7 +155,7 @@
 	is.Equal(known, 1024)
 	is.Equal(quarantined, 1) // records with the most crashes are dropped last
 	is.Equal(len(l.All()), citronquarantine.MaxGossipRecords)
-	is.Equal(l.All()[0].Print, crashing)
+	is.Equal(l.All()[0].Fingerprint, crashing)
 	clock.Advance(time.Hour)
 	is.Equal(len(l.All()), 0)
 	is.True(l.Empty())
@@ -174,12 +174,12 @@
 	}
 	oversized := make([]citronquarantine.Entry, citronquarantine.MaxGossipRecords+1)
 	for i := range oversized {
-		oversized[i] = citronquarantine.Entry{Print: request(i), Record: record(0)}
+		oversized[i] = citronquarantine.Entry{Fingerprint: request(i), Record: record(0)}
 	}
 	for _, received := range [][]citronquarantine.Entry{
-		{{Print: request(1)}},
-		{{Print: request(1), Record: record(0, 0, 0)}, {Print: request(2), Record: record(0, -time.Second)}},
-		{{Print: request(1), Record: record(0, 0, 48*time.Hour)}},
+		{{Fingerprint: request(1)}},
+		{{Fingerprint: request(1), Record: record(0, 0, 0)}, {Fingerprint: request(2), Record: record(0, -time.Second)}},
+		{{Fingerprint: request(1), Record: record(0, 0, 48*time.Hour)}},
 		oversized,
 	} {
 		l, _ := newLedger("n1")
@@ -256,7 +256,7 @@
 	is.Equal(l.Sum(), uint64(0))
 	crash(l, request(299), 20, 1)
 	is.Equal(updates, 1)
-	is.Equal(l.Recent()[0].Print, request(299)) // records with more crashes come first
+	is.Equal(l.Recent()[0].Fingerprint, request(299)) // records with more crashes come first
 	clock.Advance(3 * time.Second)
 	is.Equal(len(l.Recent()), 0)
 	is.Equal(len(l.All()), 1)
