--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -99,10 +99,10 @@
 		return Free{}
 	}
 	if left := l.releaseAt(p, e.Record).Sub(l.clock.Now()); left > 0 {
-		return Barred{Left: left, Crashes: e.Standing()}
+		return Quarantined{Left: left, Crashes: e.Standing()}
 	}
 	if e.onTrial {
-		return Barred{Left: trialRetry, Crashes: e.Standing()}
+		return Quarantined{Left: trialRetry, Crashes: e.Standing()}
 	}
 	e.onTrial = true
 	return Trial{End: func() { l.endTrial(p) }}
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -35,7 +35,7 @@
 		r, updated := l.Crashed(p, engine, time.Time{})
 		fmt.Println(engine, r.Standing(), updated)
 	}
-	_, quarantined := l.Admit(p).(citronquarantine.Barred)
+	_, quarantined := l.Admit(p).(citronquarantine.Quarantined)
 	fmt.Println("quarantined:", quarantined)
 	// Output:
 	// i-1 1 true
@@ -52,7 +52,7 @@
 	crash(l, p, 1, 2)
 	trial, ok := l.Admit(p).(citronquarantine.Trial)
 	is.True(ok)
-	_, ok = l.Admit(p).(citronquarantine.Barred)
+	_, ok = l.Admit(p).(citronquarantine.Quarantined)
 	is.True(ok) // a trial run is in progress
 	trial.End()
 	_, ok = l.Admit(p).(citronquarantine.Trial)
@@ -116,7 +116,7 @@
 	l, clock = newLedger("n1")
 	crash(l, p, 1, 3)
 	clock.Advance(30 * time.Second)
-	v, ok := l.Admit(p).(citronquarantine.Barred)
+	v, ok := l.Admit(p).(citronquarantine.Quarantined)
 	is.True(ok)
 	is.True(v.Left >= 30*time.Second && v.Left <= time.Minute)
 	is.Equal(v.Crashes, 3)
--- a/citronquarantine/model_test.go
+++ b/citronquarantine/model_test.go
@@ -65,7 +65,7 @@
 
 // send runs a request on a random available engine, unless it is quarantined.
 func (m *model) send(r *modelRun) {
-	if v, ok := m.ledger.Admit(r.fingerprint).(citronquarantine.Barred); ok && v.Crashes > 2 {
+	if v, ok := m.ledger.Admit(r.fingerprint).(citronquarantine.Quarantined); ok && v.Crashes > 2 {
 		if !r.crashing {
 			m.quarantined[r.fingerprint] = true
 		}
--- a/citronquarantine/verdict.go
+++ b/citronquarantine/verdict.go
@@ -15,15 +15,15 @@
 	End func()
 }
 
-// Barred rejects a request that is quarantined, or that has to wait for the end of a
+// Quarantined rejects a request that is quarantined, or that has to wait for the end of a
 // trial run.
-type Barred struct {
+type Quarantined struct {
 	// Left is the time after which the request may be retried.
 	Left time.Duration
 	// Crashes is the number of engines that have crashed under the request.
 	Crashes int
 }
 
-func (Free) verdict()   {}
-func (Trial) verdict()  {}
-func (Barred) verdict() {}
+func (Free) verdict()        {}
+func (Trial) verdict()       {}
+func (Quarantined) verdict() {}
