--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -99,10 +99,10 @@
 		return Free{}
 	}
 	if left := l.releaseAt(p, e.Record).Sub(l.clock.Now()); left > 0 {
-		return Quarantined{Left: left, Crashes: e.Standing()}
+		return Quarantined{RetryAfter: left, Crashes: e.Standing()}
 	}
 	if e.onTrial {
-		return Quarantined{Left: trialRetry, Crashes: e.Standing()}
+		return Quarantined{RetryAfter: trialRetry, Crashes: e.Standing()}
 	}
 	e.onTrial = true
 	return Trial{End: func() { l.endTrial(p) }}
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -118,7 +118,7 @@
 	clock.Advance(30 * time.Second)
 	v, ok := l.Admit(p).(citronquarantine.Quarantined)
 	is.True(ok)
-	is.True(v.Left >= 30*time.Second && v.Left <= time.Minute)
+	is.True(v.RetryAfter >= 30*time.Second && v.RetryAfter <= time.Minute)
 	is.Equal(v.Crashes, 3)
 }
 
--- a/citronquarantine/verdict.go
+++ b/citronquarantine/verdict.go
@@ -18,8 +18,8 @@
 // Quarantined rejects a request that is quarantined, or that has to wait for the end of a
 // trial run.
 type Quarantined struct {
-	// Left is the time after which the request may be retried.
-	Left time.Duration
+	// RetryAfter is the time after which the request may be retried.
+	RetryAfter time.Duration
 	// Crashes is the number of engines that have crashed under the request.
 	Crashes int
 }
