--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -96,7 +96,7 @@
 	defer l.mu.Unlock()
 	e := l.find(p)
 	if e == nil || e.Standing() < quarantineThreshold-1 {
-		return Free{}
+		return Admitted{}
 	}
 	if left := l.releaseAt(p, e.Record).Sub(l.clock.Now()); left > 0 {
 		return Quarantined{RetryAfter: left, Crashes: e.Standing()}
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -57,7 +57,7 @@
 	trial.End()
 	_, ok = l.Admit(p).(citronquarantine.Trial)
 	is.True(ok)
-	_, ok = l.Admit(request(2)).(citronquarantine.Free)
+	_, ok = l.Admit(request(2)).(citronquarantine.Admitted)
 	is.True(ok)
 }
 
@@ -89,10 +89,10 @@
 	_, ok := l.Admit(p).(citronquarantine.Trial)
 	is.True(ok)
 	l.Succeeded(p)
-	_, ok = l.Admit(p).(citronquarantine.Free)
+	_, ok = l.Admit(p).(citronquarantine.Admitted)
 	is.True(ok)
 	l.Crashed(p, "i-2", time.Time{}) // late report of an earlier crash
-	_, ok = l.Admit(p).(citronquarantine.Free)
+	_, ok = l.Admit(p).(citronquarantine.Admitted)
 	is.True(ok)
 }
 
--- a/citronquarantine/verdict.go
+++ b/citronquarantine/verdict.go
@@ -5,8 +5,8 @@
 // Verdict says whether a request may run. It is one of Free, Trial and Barred.
 type Verdict interface{ verdict() }
 
-// Free admits a request that has too few crashes to restrict it.
-type Free struct{}
+// Admitted admits a request that has too few crashes to restrict it.
+type Admitted struct{}
 
 // Trial admits a trial run of a request that one more crash would quarantine.
 // Requests with the same fingerprint have to wait until the trial run ends.
@@ -24,6 +24,6 @@
 	Crashes int
 }
 
-func (Free) verdict()        {}
+func (Admitted) verdict()    {}
 func (Trial) verdict()       {}
 func (Quarantined) verdict() {}
