--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -47,7 +47,7 @@
 	case citronquarantine.Quarantined:
 		j.f.refuse(j.Request, j.out, http.StatusServiceUnavailable, v.RetryAfter, reasonQuarantined, "service", j.service.Name, "customer", j.customer, "print", j.fingerprint(), "crashes", v.Crashes)
 		return end, false
-	case citronquarantine.Trial:
+	case citronquarantine.TrialRun:
 		return v.End, true
 	}
 	return end, true
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -105,7 +105,7 @@
 		return Quarantined{RetryAfter: trialRetry, Crashes: e.Standing()}
 	}
 	e.onTrial = true
-	return Trial{End: func() { l.endTrial(p) }}
+	return TrialRun{End: func() { l.endTrial(p) }}
 }
 
 // Blocked reports whether a request that was admitted has been quarantined since, and
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -50,12 +50,12 @@
 	l, _ := newLedger("n1")
 	p := request(1)
 	crash(l, p, 1, 2)
-	trial, ok := l.Admit(p).(citronquarantine.Trial)
+	trial, ok := l.Admit(p).(citronquarantine.TrialRun)
 	is.True(ok)
 	_, ok = l.Admit(p).(citronquarantine.Quarantined)
 	is.True(ok) // a trial run is in progress
 	trial.End()
-	_, ok = l.Admit(p).(citronquarantine.Trial)
+	_, ok = l.Admit(p).(citronquarantine.TrialRun)
 	is.True(ok)
 	_, ok = l.Admit(request(2)).(citronquarantine.Admitted)
 	is.True(ok)
@@ -86,7 +86,7 @@
 	p := request(1)
 	crash(l, p, 1, 3)
 	clock.Advance(2 * time.Minute)
-	_, ok := l.Admit(p).(citronquarantine.Trial)
+	_, ok := l.Admit(p).(citronquarantine.TrialRun)
 	is.True(ok)
 	l.Succeeded(p)
 	_, ok = l.Admit(p).(citronquarantine.Admitted)
@@ -106,7 +106,7 @@
 	crashes := 3
 	for range 24 * 60 {
 		clock.Advance(time.Minute)
-		if trial, ok := l.Admit(p).(citronquarantine.Trial); ok {
+		if trial, ok := l.Admit(p).(citronquarantine.TrialRun); ok {
 			crashes++
 			l.Crashed(p, fmt.Sprintf("i-%d", crashes), time.Time{})
 			trial.End()
@@ -133,7 +133,7 @@
 			l, clock := newLedger(fmt.Sprintf("n%d", i))
 			crash(l, p, 1, 3)
 			clock.Advance(time.Minute + time.Duration(s)*time.Second)
-			if _, ok := l.Admit(p).(citronquarantine.Trial); ok {
+			if _, ok := l.Admit(p).(citronquarantine.TrialRun); ok {
 				n++
 			}
 		}
--- a/citronquarantine/verdict.go
+++ b/citronquarantine/verdict.go
@@ -8,9 +8,9 @@
 // Admitted admits a request that has too few crashes to restrict it.
 type Admitted struct{}
 
-// Trial admits a trial run of a request that one more crash would quarantine.
+// TrialRun admits a trial run of a request that one more crash would quarantine.
 // Requests with the same fingerprint have to wait until the trial run ends.
-type Trial struct {
+type TrialRun struct {
 	// End ends the trial run.
 	End func()
 }
@@ -25,5 +25,5 @@
 }
 
 func (Admitted) verdict()    {}
-func (Trial) verdict()       {}
+func (TrialRun) verdict()    {}
 func (Quarantined) verdict() {}
