--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -106,8 +106,8 @@
 	if err := json.Unmarshal(item.Value, &r); err != nil {
 		return e, errors.Wrapf(err, "decode quarantine record at %s", item.Key)
 	}
-	if len(r.Crashes) > citronquarantine.MostCrashes {
-		return e, errors.Newf("quarantine record at %s has %d crashes, the maximum is %d", item.Key, len(r.Crashes), citronquarantine.MostCrashes)
+	if len(r.Crashes) > citronquarantine.MaxCrashes {
+		return e, errors.Newf("quarantine record at %s has %d crashes, the maximum is %d", item.Key, len(r.Crashes), citronquarantine.MaxCrashes)
 	}
 	for _, c := range r.Crashes {
 		at := now.Add(-max(0, now.Sub(time.UnixMilli(c.UnixMS))))
--- a/citronnode/suspects.go
+++ b/citronnode/suspects.go
@@ -43,8 +43,8 @@
 		if err := e.Fingerprint.UnmarshalText([]byte(s.Print)); err != nil {
 			return nil, err
 		}
-		if n := len(s.Crashes); n > citronquarantine.MostCrashes {
-			return nil, errors.Newf("suspect %s has %d crashes, the maximum is %d", s.Print, n, citronquarantine.MostCrashes)
+		if n := len(s.Crashes); n > citronquarantine.MaxCrashes {
+			return nil, errors.Newf("suspect %s has %d crashes, the maximum is %d", s.Print, n, citronquarantine.MaxCrashes)
 		}
 		for _, c := range s.Crashes {
 			if c.AgeMS < 0 || c.AgeMS > citronquarantine.OldestCrash.Milliseconds() {
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -267,8 +267,8 @@
 	}
 	now := l.clock.Now()
 	for _, in := range received {
-		if n := len(in.crashes); n == 0 || n > MostCrashes {
-			return errors.Newf("record has %d crashes, must have 1 to %d", n, MostCrashes)
+		if n := len(in.crashes); n == 0 || n > MaxCrashes {
+			return errors.Newf("record has %d crashes, must have 1 to %d", n, MaxCrashes)
 		}
 		for _, c := range in.crashes {
 			if age := now.Sub(c.At); age < 0 || age > OldestCrash {
--- a/citronquarantine/record.go
+++ b/citronquarantine/record.go
@@ -24,8 +24,8 @@
 	// record expires at once.
 	retention        = 10 * time.Minute
 	clearedRetention = time.Minute
-	// MostCrashes is the maximum number of crashes in a record.
-	MostCrashes = 8
+	// MaxCrashes is the maximum number of crashes in a record.
+	MaxCrashes = 8
 	// OldestCrash is the maximum age of a crash. Older crashes have no effect.
 	OldestCrash = maxQuarantine + retention
 )
@@ -47,7 +47,7 @@
 // the run began.
 func (r Record) startKey(id string, began time.Time) uint64 {
 	key := EngineKey(id)
-	for start := 2; r.endedBefore(key, began) && start <= MostCrashes; start++ {
+	for start := 2; r.endedBefore(key, began) && start <= MaxCrashes; start++ {
 		key = EngineKey(id + "#" + strconv.Itoa(start))
 	}
 	return key
@@ -75,10 +75,10 @@
 	return Record{all}
 }
 
-// truncate reduces crashes to MostCrashes. It drops refuted crashes first, then the
+// truncate reduces crashes to MaxCrashes. It drops refuted crashes first, then the
 // oldest ones.
 func truncate(all []Crash) []Crash {
-	if len(all) <= MostCrashes {
+	if len(all) <= MaxCrashes {
 		return all
 	}
 	slices.SortFunc(all, func(a, b Crash) int {
@@ -90,7 +90,7 @@
 		}
 		return cmp.Or(b.At.Compare(a.At), cmp.Compare(a.Engine, b.Engine))
 	})
-	return all[:MostCrashes]
+	return all[:MaxCrashes]
 }
 
 // WithAll returns the record with all crashes of another record added.
