--- a/citronnode/suspects.go
+++ b/citronnode/suspects.go
@@ -47,8 +47,8 @@
 			return nil, errors.Newf("suspect %s has %d crashes, the maximum is %d", s.Print, n, citronquarantine.MaxCrashes)
 		}
 		for _, c := range s.Crashes {
-			if c.AgeMS < 0 || c.AgeMS > citronquarantine.OldestCrash.Milliseconds() {
-				return nil, errors.Newf("suspect %s has a crash of age %d ms, want 0 to %d ms", s.Print, c.AgeMS, citronquarantine.OldestCrash.Milliseconds())
+			if c.AgeMS < 0 || c.AgeMS > citronquarantine.MaxCrashAge.Milliseconds() {
+				return nil, errors.Newf("suspect %s has a crash of age %d ms, want 0 to %d ms", s.Print, c.AgeMS, citronquarantine.MaxCrashAge.Milliseconds())
 			}
 			at := now.Add(-time.Duration(c.AgeMS) * time.Millisecond)
 			e.Record = e.WithCrash(citronquarantine.Crash{Engine: c.Engine, At: at, Refuted: c.Refuted})
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -271,8 +271,8 @@
 			return errors.Newf("record has %d crashes, must have 1 to %d", n, MaxCrashes)
 		}
 		for _, c := range in.crashes {
-			if age := now.Sub(c.At); age < 0 || age > OldestCrash {
-				return errors.Newf("crash has age %v, must be between 0 and %v", age, OldestCrash)
+			if age := now.Sub(c.At); age < 0 || age > MaxCrashAge {
+				return errors.Newf("crash has age %v, must be between 0 and %v", age, MaxCrashAge)
 			}
 		}
 	}
--- a/citronquarantine/record.go
+++ b/citronquarantine/record.go
@@ -26,8 +26,8 @@
 	clearedRetention = time.Minute
 	// MaxCrashes is the maximum number of crashes in a record.
 	MaxCrashes = 8
-	// OldestCrash is the maximum age of a crash. Older crashes have no effect.
-	OldestCrash = maxQuarantine + retention
+	// MaxCrashAge is the maximum age of a crash. Older crashes have no effect.
+	MaxCrashAge = maxQuarantine + retention
 )
 
 // Crash is the end of an engine under a run that had just started.
