--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -93,7 +93,7 @@
 	if !changed {
 		return
 	}
-	args := []any{"request", j.ID, "print", j.fingerprint(), "engine", e.ID, "peer", e.Addr, "crashes", r.Standing()}
+	args := []any{"request", j.ID, "print", j.fingerprint(), "engine", e.ID, "peer", e.Addr, "crashes", r.ActiveCrashes()}
 	citronevent.Log(ctx, j.f.Log, citronevent.RunCrashed, args...)
 	j.f.Metrics.Crashes.Inc()
 	if j.isQuarantined() {
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -95,14 +95,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.find(p)
-	if e == nil || e.Standing() < quarantineThreshold-1 {
+	if e == nil || e.ActiveCrashes() < quarantineThreshold-1 {
 		return Admitted{}
 	}
 	if left := l.releaseAt(p, e.Record).Sub(l.clock.Now()); left > 0 {
-		return Quarantined{RetryAfter: left, Crashes: e.Standing()}
+		return Quarantined{RetryAfter: left, Crashes: e.ActiveCrashes()}
 	}
 	if e.onTrial {
-		return Quarantined{RetryAfter: trialRetry, Crashes: e.Standing()}
+		return Quarantined{RetryAfter: trialRetry, Crashes: e.ActiveCrashes()}
 	}
 	e.onTrial = true
 	return TrialRun{End: func() { l.endTrial(p) }}
@@ -130,7 +130,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.find(p)
-	return e != nil && e.Standing() >= quarantineThreshold-1
+	return e != nil && e.ActiveCrashes() >= quarantineThreshold-1
 }
 
 // releaseAt returns the time at which this node admits the request again. It is zero
@@ -184,7 +184,7 @@
 	}
 	l.mu.Lock()
 	e := l.find(p)
-	updated := e != nil && e.Standing() > 0
+	updated := e != nil && e.ActiveCrashes() > 0
 	if updated {
 		l.set(e, e.WithRefuted())
 	}
@@ -206,7 +206,7 @@
 	defer l.mu.Unlock()
 	return l.selectEntries(func(e *entry) bool {
 		wasSaved := len(e.saved.crashes) > 0
-		return e.observed && (wasSaved || e.Standing() >= quarantineThreshold) && !e.saved.equal(e.Record)
+		return e.observed && (wasSaved || e.ActiveCrashes() >= quarantineThreshold) && !e.saved.equal(e.Record)
 	})
 }
 
@@ -242,14 +242,14 @@
 	for _, in := range received {
 		before := 0
 		if e := l.find(in.Fingerprint); e != nil {
-			before = e.Standing()
+			before = e.ActiveCrashes()
 			if e.WithAll(in.Record).equal(e.Record) {
 				continue
 			}
 		}
 		after := l.put(in.Fingerprint, in.Record).Record
 		updated = updated || after.significant()
-		if before < quarantineThreshold && after.Standing() >= quarantineThreshold {
+		if before < quarantineThreshold && after.ActiveCrashes() >= quarantineThreshold {
 			quarantined = append(quarantined, Entry{in.Fingerprint, after})
 		}
 	}
@@ -326,7 +326,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Entry) int {
-		return cmp.Or(cmp.Compare(b.Standing(), a.Standing()), b.lastCrash().Compare(a.lastCrash()), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
+		return cmp.Or(cmp.Compare(b.ActiveCrashes(), a.ActiveCrashes()), b.lastCrash().Compare(a.lastCrash()), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	return out[:min(len(out), MaxGossipRecords)]
 }
@@ -406,7 +406,7 @@
 	var victim Fingerprint
 	var fewest *entry
 	for p, e := range l.entries {
-		if fewest == nil || cmp.Or(cmp.Compare(e.Standing(), fewest.Standing()), e.lastCrash().Compare(fewest.lastCrash())) < 0 {
+		if fewest == nil || cmp.Or(cmp.Compare(e.ActiveCrashes(), fewest.ActiveCrashes()), e.lastCrash().Compare(fewest.lastCrash())) < 0 {
 			victim, fewest = p, e
 		}
 	}
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -33,7 +33,7 @@
 	p := citronquarantine.FingerprintOf("council", "POST", "example.org", "/nest/7", []byte("a plan"))
 	for _, engine := range []string{"i-1", "i-2", "i-2", "i-3"} {
 		r, updated := l.Crashed(p, engine, time.Time{})
-		fmt.Println(engine, r.Standing(), updated)
+		fmt.Println(engine, r.ActiveCrashes(), updated)
 	}
 	_, quarantined := l.Admit(p).(citronquarantine.Quarantined)
 	fmt.Println("quarantined:", quarantined)
@@ -72,7 +72,7 @@
 		clock.Advance(100 * time.Millisecond)
 		for range 2 {
 			r, _ := l.Crashed(p, "i-1", began)
-			is.Equal(r.Standing(), i+1)
+			is.Equal(r.ActiveCrashes(), i+1)
 		}
 		clock.Advance(3 * time.Second)
 	}
--- a/citronquarantine/record.go
+++ b/citronquarantine/record.go
@@ -115,8 +115,8 @@
 	return slices.SortedFunc(slices.Values(r.crashes), func(a, b Crash) int { return cmp.Compare(a.Engine, b.Engine) })
 }
 
-// Standing returns the number of crashes that are not refuted.
-func (r Record) Standing() int {
+// ActiveCrashes returns the number of crashes that are not refuted.
+func (r Record) ActiveCrashes() int {
 	n := 0
 	for _, c := range r.crashes {
 		if !c.Refuted {
@@ -136,7 +136,7 @@
 func (r Record) lastCrash() time.Time {
 	var lastCrash time.Time
 	for _, c := range r.crashes {
-		if c.At.After(lastCrash) && (!c.Refuted || r.Standing() == 0) {
+		if c.At.After(lastCrash) && (!c.Refuted || r.ActiveCrashes() == 0) {
 			lastCrash = c.At
 		}
 	}
@@ -146,7 +146,7 @@
 // quarantinedUntil returns the time at which the quarantine ends. It is zero if the
 // request has too few crashes for a quarantine.
 func (r Record) quarantinedUntil() time.Time {
-	n := r.Standing()
+	n := r.ActiveCrashes()
 	if n < quarantineThreshold {
 		return time.Time{}
 	}
@@ -155,7 +155,7 @@
 
 // expiresAt returns the time at which the record is no longer needed.
 func (r Record) expiresAt() time.Time {
-	if r.Standing() == 0 {
+	if r.ActiveCrashes() == 0 {
 		return r.lastCrash().Add(clearedRetention)
 	}
 	if until := r.quarantinedUntil(); !until.IsZero() {
