--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -164,7 +164,7 @@
 		known = e.Record
 	}
 	crash := Record{}.WithCrash(Crash{Engine: known.startKey(engine, began), At: l.clock.Now()})
-	updated = e == nil || !e.WithAll(crash).equal(e.Record)
+	updated = e == nil || !e.Merged(crash).equal(e.Record)
 	if updated {
 		e = l.put(p, crash)
 		e.observed = true
@@ -243,7 +243,7 @@
 		before := 0
 		if e := l.find(in.Fingerprint); e != nil {
 			before = e.ActiveCrashes()
-			if e.WithAll(in.Record).equal(e.Record) {
+			if e.Merged(in.Record).equal(e.Record) {
 				continue
 			}
 		}
@@ -382,7 +382,7 @@
 		l.entries[p] = e
 		l.size.Store(int64(len(l.entries)))
 	}
-	l.set(e, e.WithAll(r))
+	l.set(e, e.Merged(r))
 	return e
 }
 
--- a/citronquarantine/record.go
+++ b/citronquarantine/record.go
@@ -93,8 +93,8 @@
 	return all[:MaxCrashes]
 }
 
-// WithAll returns the record with all crashes of another record added.
-func (r Record) WithAll(o Record) Record {
+// Merged returns the record with all crashes of another record added.
+func (r Record) Merged(o Record) Record {
 	for _, c := range o.crashes {
 		r = r.WithCrash(c)
 	}
