--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -58,7 +58,7 @@
 	if j.f.Quarantine.Empty() {
 		return false
 	}
-	left, barred := j.f.Quarantine.Blocked(j.fingerprint())
+	left, barred := j.f.Quarantine.QuarantinedFor(j.fingerprint())
 	if barred {
 		j.retryAfter = left
 	}
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -108,9 +108,9 @@
 	return TrialRun{End: func() { l.endTrial(p) }}
 }
 
-// Blocked reports whether a request that was admitted has been quarantined since, and
+// QuarantinedFor reports whether a request that was admitted has been quarantined since, and
 // for how long.
-func (l *Ledger) Blocked(p Fingerprint) (time.Duration, bool) {
+func (l *Ledger) QuarantinedFor(p Fingerprint) (time.Duration, bool) {
 	if l.Empty() {
 		return 0, false
 	}
