--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -89,7 +89,7 @@
 	if !j.f.hasEnded(ctx, e) || j.ranSuccessfully {
 		return
 	}
-	r, changed := j.f.Quarantine.Crashed(j.fingerprint(), e.ID, began)
+	r, changed := j.f.Quarantine.RecordCrash(j.fingerprint(), e.ID, began)
 	if !changed {
 		return
 	}
--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -97,7 +97,7 @@
 	}
 	f.awaitFullMembership()
 	for i := range 3 {
-		f.nodes[0].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
+		f.nodes[0].Quarantine().RecordCrash(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
 	allWritten := func() bool {
 		for _, prefix := range []string{"deck/nodes/a", "deck/leader", "deck/barred/"} {
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -45,7 +45,7 @@
 			for i := range b.N {
 				p := citronquarantine.FingerprintOf("council", "POST", "h", fmt.Sprint(i), nil)
 				for k := range 3 {
-					f.nodes[k*size/3].Quarantine().Crashed(p, fmt.Sprintf("i-%d", k), time.Time{})
+					f.nodes[k*size/3].Quarantine().RecordCrash(p, fmt.Sprintf("i-%d", k), time.Time{})
 				}
 				eventually(b, "all nodes quarantine the request", func() bool { return f.quarantinedAt(p) == size })
 			}
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -55,7 +55,7 @@
 	}
 	f.awaitFullMembership()
 	for i := range 3 {
-		f.nodes[i*size/3].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
+		f.nodes[i*size/3].Quarantine().RecordCrash(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
 	from := time.Now()
 	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == size })
@@ -75,7 +75,7 @@
 	}
 	f.awaitFullMembership()
 	for i := range 3 {
-		f.nodes[0].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
+		f.nodes[0].Quarantine().RecordCrash(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
 	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == 3 })
 	time.Sleep(2 * time.Second) // its record is no longer recent
@@ -98,7 +98,7 @@
 	}
 	f.awaitFullMembership()
 	for i := range 3 {
-		f.nodes[i].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
+		f.nodes[i].Quarantine().RecordCrash(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
 	eventually(t, "the record is in the store", func() bool {
 		items, _, err := f.store.Range(context.Background(), "deck/barred/")
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -153,10 +153,10 @@
 	}
 }
 
-// Crashed records that an engine ended under a run of the request that had just
+// RecordCrash records that an engine ended under a run of the request that had just
 // begun. engine is the ID of the engine's start, and began is when the run began. It
 // returns the request's record, and whether the record has changed.
-func (l *Ledger) Crashed(p Fingerprint, engine string, began time.Time) (r Record, updated bool) {
+func (l *Ledger) RecordCrash(p Fingerprint, engine string, began time.Time) (r Record, updated bool) {
 	l.mu.Lock()
 	e := l.find(p)
 	var known Record
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -24,7 +24,7 @@
 // beginning with from.
 func crash(l *citronquarantine.Ledger, p citronquarantine.Fingerprint, from, count int) {
 	for i := range count {
-		l.Crashed(p, fmt.Sprintf("i-%d", from+i), time.Time{})
+		l.RecordCrash(p, fmt.Sprintf("i-%d", from+i), time.Time{})
 	}
 }
 
@@ -32,7 +32,7 @@
 	l, _ := newLedger("n1")
 	p := citronquarantine.FingerprintOf("council", "POST", "example.org", "/nest/7", []byte("a plan"))
 	for _, engine := range []string{"i-1", "i-2", "i-2", "i-3"} {
-		r, updated := l.Crashed(p, engine, time.Time{})
+		r, updated := l.RecordCrash(p, engine, time.Time{})
 		fmt.Println(engine, r.ActiveCrashes(), updated)
 	}
 	_, quarantined := l.Admit(p).(citronquarantine.Quarantined)
@@ -71,7 +71,7 @@
 		began := clock.Now()
 		clock.Advance(100 * time.Millisecond)
 		for range 2 {
-			r, _ := l.Crashed(p, "i-1", began)
+			r, _ := l.RecordCrash(p, "i-1", began)
 			is.Equal(r.ActiveCrashes(), i+1)
 		}
 		clock.Advance(3 * time.Second)
@@ -91,7 +91,7 @@
 	l.Succeeded(p)
 	_, ok = l.Admit(p).(citronquarantine.Admitted)
 	is.True(ok)
-	l.Crashed(p, "i-2", time.Time{}) // late report of an earlier crash
+	l.RecordCrash(p, "i-2", time.Time{}) // late report of an earlier crash
 	_, ok = l.Admit(p).(citronquarantine.Admitted)
 	is.True(ok)
 }
@@ -108,7 +108,7 @@
 		clock.Advance(time.Minute)
 		if trial, ok := l.Admit(p).(citronquarantine.TrialRun); ok {
 			crashes++
-			l.Crashed(p, fmt.Sprintf("i-%d", crashes), time.Time{})
+			l.RecordCrash(p, fmt.Sprintf("i-%d", crashes), time.Time{})
 			trial.End()
 		}
 	}
@@ -207,7 +207,7 @@
 		which := rapid.IntRange(0, 4)
 		t.Repeat(map[string]func(*rapid.T){
 			"crash": func(t *rapid.T) {
-				nodes[node.Draw(t, "node")].Crashed(request(which.Draw(t, "request")), fmt.Sprintf("i-%d", rapid.IntRange(0, 9).Draw(t, "engine")), time.Time{})
+				nodes[node.Draw(t, "node")].RecordCrash(request(which.Draw(t, "request")), fmt.Sprintf("i-%d", rapid.IntRange(0, 9).Draw(t, "engine")), time.Time{})
 			},
 			"run":  func(t *rapid.T) { nodes[node.Draw(t, "node")].Succeeded(request(which.Draw(t, "request"))) },
 			"tell": func(t *rapid.T) { send(node.Draw(t, "from"), node.Draw(t, "to")) },
--- a/citronquarantine/model_test.go
+++ b/citronquarantine/model_test.go
@@ -100,7 +100,7 @@
 	m.runs = others
 	for _, r := range ended {
 		if now.Sub(r.since) < firstEvent+provenRun {
-			m.ledger.Crashed(r.fingerprint, fmt.Sprintf("%d@%d", engine, m.starts[engine]), r.since)
+			m.ledger.RecordCrash(r.fingerprint, fmt.Sprintf("%d@%d", engine, m.starts[engine]), r.since)
 		}
 		r.attempts++
 		switch {
