--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -78,7 +78,7 @@
 	}
 	j.ranSuccessfully = true
 	if !j.f.Quarantine.Empty() {
-		j.f.Quarantine.Succeeded(j.fingerprint())
+		j.f.Quarantine.RecordSuccess(j.fingerprint())
 	}
 }
 
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -81,7 +81,7 @@
 	time.Sleep(2 * time.Second) // its record is no longer recent
 	f.add("d", "z1")
 	eventually(t, "the new node quarantines it too", func() bool { return f.quarantinedAt(suspect) == 4 })
-	f.nodes[3].Quarantine().Succeeded(suspect)
+	f.nodes[3].Quarantine().RecordSuccess(suspect)
 	eventually(t, "all nodes learn that it succeeded", func() bool { return f.quarantinedAt(suspect) == 0 })
 }
 
@@ -118,7 +118,7 @@
 	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == len(names) })
 	is.True(time.Since(from) < knownWithin)
 	// The request turns out to be harmless. No node quarantines it again.
-	f.nodes[0].Quarantine().Succeeded(suspect)
+	f.nodes[0].Quarantine().RecordSuccess(suspect)
 	eventually(t, "no node quarantines it", func() bool { return f.quarantinedAt(suspect) == 0 })
 }
 
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -177,8 +177,8 @@
 	return r, updated
 }
 
-// Succeeded records that the request has run successfully.
-func (l *Ledger) Succeeded(p Fingerprint) {
+// RecordSuccess records that the request has run successfully.
+func (l *Ledger) RecordSuccess(p Fingerprint) {
 	if l.Empty() {
 		return
 	}
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -88,7 +88,7 @@
 	clock.Advance(2 * time.Minute)
 	_, ok := l.Admit(p).(citronquarantine.TrialRun)
 	is.True(ok)
-	l.Succeeded(p)
+	l.RecordSuccess(p)
 	_, ok = l.Admit(p).(citronquarantine.Admitted)
 	is.True(ok)
 	l.RecordCrash(p, "i-2", time.Time{}) // late report of an earlier crash
@@ -209,7 +209,7 @@
 			"crash": func(t *rapid.T) {
 				nodes[node.Draw(t, "node")].RecordCrash(request(which.Draw(t, "request")), fmt.Sprintf("i-%d", rapid.IntRange(0, 9).Draw(t, "engine")), time.Time{})
 			},
-			"run":  func(t *rapid.T) { nodes[node.Draw(t, "node")].Succeeded(request(which.Draw(t, "request"))) },
+			"run":  func(t *rapid.T) { nodes[node.Draw(t, "node")].RecordSuccess(request(which.Draw(t, "request"))) },
 			"tell": func(t *rapid.T) { send(node.Draw(t, "from"), node.Draw(t, "to")) },
 			"wait": func(*rapid.T) { clock.Advance(time.Second) },
 		})
@@ -248,7 +248,7 @@
 		crash(l, request(i), i%8, 1)
 	}
 	for i := range 200 {
-		l.Succeeded(request(i))
+		l.RecordSuccess(request(i))
 	}
 	is.Equal(updates, 0)
 	is.True(len(l.Recent()) <= 8)
--- a/citronquarantine/model_test.go
+++ b/citronquarantine/model_test.go
@@ -131,7 +131,7 @@
 		case r.crashing && age > firstEvent/2:
 			crashes = append(crashes, r.engine)
 		case r.engine >= 0 && age > firstEvent+provenRun:
-			m.ledger.Succeeded(r.fingerprint)
+			m.ledger.RecordSuccess(r.fingerprint)
 		}
 		if r.engine < 0 || age < runTime {
 			m.runs = append(m.runs, r)
