--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -68,7 +68,7 @@
 // isSuspect reports whether the request is a suspect: it is quarantined, or one more crash
 // would quarantine it.
 func (j *job) isSuspect() bool {
-	return !j.f.Quarantine.Empty() && j.f.Quarantine.Suspect(j.fingerprint())
+	return !j.f.Quarantine.Empty() && j.f.Quarantine.IsSuspect(j.fingerprint())
 }
 
 // markSuccessful records that the request has run successfully.
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -124,9 +124,9 @@
 	return left, left > 0
 }
 
-// Suspect reports whether the request has so many crashes that it is quarantined or
+// IsSuspect reports whether the request has so many crashes that it is quarantined or
 // that one more crash would quarantine it.
-func (l *Ledger) Suspect(p Fingerprint) bool {
+func (l *Ledger) IsSuspect(p Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.find(p)
--- a/citronquarantine/model_test.go
+++ b/citronquarantine/model_test.go
@@ -104,7 +104,7 @@
 		}
 		r.attempts++
 		switch {
-		case r.attempts < 2 && !m.ledger.Suspect(r.fingerprint):
+		case r.attempts < 2 && !m.ledger.IsSuspect(r.fingerprint):
 			m.send(r)
 		case r.attempts < 4 && !r.crashing:
 			r.engine, r.since = -1, now.Add(time.Duration(m.rand.Int64N(int64(maxRetryDelay))))
