--- a/citronnode/suspects.go
+++ b/citronnode/suspects.go
@@ -84,7 +84,7 @@
 // quarantined as a result.
 func (n *Node) mergeRecords(ctx context.Context, from string, entries []citronquarantine.Entry) {
 	for chunk := range slices.Chunk(entries, citronquarantine.MaxGossipRecords) {
-		barred, err := n.quarantine.Learn(chunk)
+		barred, err := n.quarantine.Merge(chunk)
 		if err != nil {
 			n.rejectSuspects(ctx, from, err)
 			return
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -229,10 +229,10 @@
 	}
 }
 
-// Learn merges the records that another node sent, and returns the entries of the
+// Merge merges the records that another node sent, and returns the entries of the
 // requests that are quarantined on this node as a result. Changes that all nodes have to
 // agree on are an update for other nodes.
-func (l *Ledger) Learn(received []Entry) ([]Entry, error) {
+func (l *Ledger) Merge(received []Entry) ([]Entry, error) {
 	if err := l.validate(received); err != nil {
 		return nil, err
 	}
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -183,7 +183,7 @@
 		oversized,
 	} {
 		l, _ := newLedger("n1")
-		_, err := l.Learn(received)
+		_, err := l.Merge(received)
 		is.True(err != nil)
 		is.True(l.Empty())
 	}
@@ -199,7 +199,7 @@
 			nodes[i] = citronquarantine.New(fmt.Sprintf("n%d", i), clock)
 		}
 		send := func(from, to int) {
-			if _, err := nodes[to].Learn(nodes[from].All()); err != nil {
+			if _, err := nodes[to].Merge(nodes[from].All()); err != nil {
 				t.Fatal(err)
 			}
 		}
