--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -47,7 +47,7 @@
 			return
 		case <-n.quarantineChanged:
 		}
-		for _, e := range n.quarantine.Dirty() {
+		for _, e := range n.quarantine.Unsaved() {
 			if err := n.saveQuarantined(ctx, e); err != nil {
 				citronevent.Log(ctx, n.log, citronevent.BarredUnsaved, "print", e.Fingerprint, "err", err)
 				time.AfterFunc(maxRetryWait, func() { wake(n.quarantineChanged) })
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -195,10 +195,10 @@
 	}
 }
 
-// Dirty returns the records that this node has to save in durable storage. These are
+// Unsaved returns the records that this node has to save in durable storage. These are
 // the records of requests that were quarantined and of which this node observed a
 // crash, if they differ from the saved records.
-func (l *Ledger) Dirty() []Entry {
+func (l *Ledger) Unsaved() []Entry {
 	if l.Empty() {
 		return nil
 	}
