--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -92,7 +92,7 @@
 	// Stopping reports whether this node is stopping, and how far it has got.
 	Stopping func() Stopping
 	// Limits holds the rate limits that engines announce in their responses.
-	Limits *citronlimit.Book
+	Limits *citronlimit.Registry
 	// Permit requests a permit to send one request to an engine that has a rate limit.
 	// maxWait is how long the request can wait for the permit.
 	Permit func(ctx context.Context, e *citronpool.Engine, maxWait time.Duration) citronpermit.Decision
--- a/citronlimit/book.go
+++ b/citronlimit/book.go
@@ -46,9 +46,9 @@
 	return r.Limited == o.Limited && r.PerSecond == o.PerSecond
 }
 
-// Book holds the limits of all upstreams that this node knows, by engine ID. Each start of
+// Registry holds the limits of all upstreams that this node knows, by engine ID. Each start of
 // an engine has its own ID.
-type Book struct {
+type Registry struct {
 	clock citronclock.Clock
 	// records is immutable and replaced as a whole, so that every request can read it
 	// without a lock.
@@ -71,8 +71,8 @@
 }
 
 // NewBook returns a Book in which no upstream is limited.
-func NewBook(clock citronclock.Clock) *Book {
-	b := &Book{clock: clock, onChange: func([]string) {}, isListed: func(string) bool { return false }, changedAt: map[string]time.Time{}, limitedAt: map[string]time.Time{}, pending: map[string]Record{}}
+func NewBook(clock citronclock.Clock) *Registry {
+	b := &Registry{clock: clock, onChange: func([]string) {}, isListed: func(string) bool { return false }, changedAt: map[string]time.Time{}, limitedAt: map[string]time.Time{}, pending: map[string]Record{}}
 	b.records.Store(&map[string]Record{})
 	return b
 }
@@ -80,13 +80,13 @@
 // Notify sets the function that is called when there is an update for other nodes.
 // relaxed holds the engines that accept more requests than before. Notify must be called
 // before the book is used, and f must not block.
-func (b *Book) Notify(f func(relaxed []string)) { b.onChange = f }
+func (b *Registry) Notify(f func(relaxed []string)) { b.onChange = f }
 
 // Of returns the record of an engine. It is the zero Record if the engine has none.
-func (b *Book) Of(engine string) Record { return (*b.records.Load())[engine] }
+func (b *Registry) Of(engine string) Record { return (*b.records.Load())[engine] }
 
 // Limited returns the number of engines that have set a limit.
-func (b *Book) Limited() int {
+func (b *Registry) Limited() int {
 	n := 0
 	for _, r := range *b.records.Load() {
 		if r.Limited {
@@ -104,7 +104,7 @@
 // limit, or the end of a limit, takes effect only if the request was sent when the current
 // record was already known. An earlier request may have been answered before the limit was
 // set.
-func (b *Book) Heard(engine string, before Record, reported citronupstream.RateLimit) (Record, bool) {
+func (b *Registry) Heard(engine string, before Record, reported citronupstream.RateLimit) (Record, bool) {
 	next := Record{}
 	switch s := reported.(type) {
 	case citronupstream.PerSecond:
@@ -140,7 +140,7 @@
 
 // Tick puts pending records into effect if the limits that they replace were last stated at
 // least minLimitDuration ago.
-func (b *Book) Tick() {
+func (b *Registry) Tick() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now, due := b.clock.Now(), map[string]Record{}
@@ -157,7 +157,7 @@
 }
 
 // set puts newer records into effect and calls onChange. The caller must hold b.mu.
-func (b *Book) set(newer map[string]Record) {
+func (b *Registry) set(newer map[string]Record) {
 	if len(newer) == 0 {
 		return
 	}
@@ -178,7 +178,7 @@
 	b.onChange(relaxed)
 }
 
-func (b *Book) replace(records map[string]Record) {
+func (b *Registry) replace(records map[string]Record) {
 	b.records.Store(&records)
 	b.sum.Store(checksum(records))
 	gone := func(engine string, _ time.Time) bool { _, ok := records[engine]; return !ok }
--- a/citronlimit/gossip.go
+++ b/citronlimit/gossip.go
@@ -41,7 +41,7 @@
 }
 
 // decode returns the record that another node sent, or an error if it is invalid.
-func (b *Book) decode(l citronpeer.Limit) (Record, error) {
+func (b *Registry) decode(l citronpeer.Limit) (Record, error) {
 	r := Record{Limited: l.Limited, PerSecond: l.PerSecond, Version: l.Version}
 	switch {
 	case l.Engine == "":
@@ -56,7 +56,7 @@
 
 // Learn merges the limits that another node sent. It ignores engines that are not in this
 // node's engine list, and rejects a message as a whole if any part of it is invalid.
-func (b *Book) Learn(received []citronpeer.Limit) error {
+func (b *Registry) Learn(received []citronpeer.Limit) error {
 	if len(received) == 0 {
 		return nil
 	}
@@ -81,7 +81,7 @@
 
 // Retain drops the records of engines that are not in the engine list. Learn uses the same
 // function to ignore such engines.
-func (b *Book) Retain(isListed func(engine string) bool) {
+func (b *Registry) Retain(isListed func(engine string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.isListed = isListed
@@ -97,7 +97,7 @@
 
 // Recent returns at most maxRecent records that have changed recently and that other nodes
 // may not have received yet.
-func (b *Book) Recent() []citronpeer.Limit {
+func (b *Registry) Recent() []citronpeer.Limit {
 	if len(*b.records.Load()) == 0 {
 		return nil
 	}
@@ -115,7 +115,7 @@
 }
 
 // All returns all records, sorted by engine ID.
-func (b *Book) All() []citronpeer.Limit {
+func (b *Registry) All() []citronpeer.Limit {
 	var out []citronpeer.Limit
 	for engine, r := range *b.records.Load() {
 		out = append(out, r.Wire(engine))
@@ -125,7 +125,7 @@
 }
 
 // Sum returns a checksum of all records, and zero if there are none.
-func (b *Book) Sum() uint64 { return b.sum.Load() }
+func (b *Registry) Sum() uint64 { return b.sum.Load() }
 
 // checksum returns the sum of the hashes of all records, which does not depend on their
 // order.
--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -16,7 +16,7 @@
 
 func isListed(engine string) bool { return engine == "i-1" || engine == "i-2" }
 
-func newBook(c citronclock.Clock) *citronlimit.Book {
+func newBook(c citronclock.Clock) *citronlimit.Registry {
 	b := citronlimit.NewBook(c)
 	b.Retain(isListed)
 	return b
@@ -84,7 +84,7 @@
 func TestBooksAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(0, 0))
-		books := []*citronlimit.Book{newBook(clock), newBook(clock), newBook(clock)}
+		books := []*citronlimit.Registry{newBook(clock), newBook(clock), newBook(clock)}
 		engines := []string{"i-1", "i-2"}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			b := rapid.SampledFrom(books).Draw(t, "book")
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -24,7 +24,7 @@
 )
 
 // Limits returns the rate limits of engines that this node knows.
-func (n *Node) Limits() *citronlimit.Book { return n.limits }
+func (n *Node) Limits() *citronlimit.Registry { return n.limits }
 
 // limitsChanged tells other nodes that limits changed, and stops throttling the engines
 // in eased, whose limits were raised or removed.
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -109,7 +109,7 @@
 	quarantine *citronquarantine.Ledger
 	// limits are the rate limits that engines have announced. permits issues permits for
 	// the engines for which this node is the permit issuer.
-	limits  *citronlimit.Book
+	limits  *citronlimit.Registry
 	permits *citronpermit.Dealer
 	// limitsRejected counts the invalid messages of other nodes about limits.
 	// limitsRejectedFrom holds the names of the nodes that sent them.
