--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -134,7 +134,7 @@
 		Loads:  &citronpool.Loads{},
 
 		Quarantine: citronquarantine.New("n", citronclock.Real{}),
-		Limits:     citronlimit.NewBook(citronclock.Real{}),
+		Limits:     citronlimit.NewRegistry(citronclock.Real{}),
 		Current:    func() *citronforward.State { return state },
 		Metrics:    citronforward.NewMetrics(prometheus.NewRegistry()),
 	}
--- a/citronlimit/book.go
+++ b/citronlimit/book.go
@@ -70,8 +70,8 @@
 	pending map[string]Record
 }
 
-// NewBook returns a Book in which no upstream is limited.
-func NewBook(clock citronclock.Clock) *Registry {
+// NewRegistry returns a Book in which no upstream is limited.
+func NewRegistry(clock citronclock.Clock) *Registry {
 	b := &Registry{clock: clock, onChange: func([]string) {}, isListed: func(string) bool { return false }, changedAt: map[string]time.Time{}, limitedAt: map[string]time.Time{}, pending: map[string]Record{}}
 	b.records.Store(&map[string]Record{})
 	return b
--- a/citronlimit/book_test.go
+++ b/citronlimit/book_test.go
@@ -15,7 +15,7 @@
 func TestOlderResponseDoesNotLiftLimit(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
-	b := citronlimit.NewBook(clock)
+	b := citronlimit.NewRegistry(clock)
 	before := b.Of("i-1")
 	r, updated := b.Heard("i-1", before, citronupstream.PerSecond(4))
 	is.True(updated)
@@ -37,7 +37,7 @@
 func TestInvalidLimitIsIgnored(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
-	b := citronlimit.NewBook(clock)
+	b := citronlimit.NewRegistry(clock)
 	b.Heard("i-1", b.Of("i-1"), citronupstream.PerSecond(4))
 	_, updated := b.Heard("i-1", b.Of("i-1"), citronupstream.InvalidRateLimit("fast"))
 	is.True(!updated)
--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -17,7 +17,7 @@
 func isListed(engine string) bool { return engine == "i-1" || engine == "i-2" }
 
 func newBook(c citronclock.Clock) *citronlimit.Registry {
-	b := citronlimit.NewBook(c)
+	b := citronlimit.NewRegistry(c)
 	b.Retain(isListed)
 	return b
 }
