--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -19,7 +19,7 @@
 func (r *rig) limit(decide map[string]citronpermit.Decision) (asked map[string][]time.Duration) {
 	asked = map[string][]time.Duration{}
 	for id := range decide {
-		r.Limits.Heard(id, r.Limits.Of(id), citronupstream.PerSecond(2))
+		r.Limits.Observe(id, r.Limits.Of(id), citronupstream.PerSecond(2))
 	}
 	r.Permit = func(_ context.Context, e *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
 		asked[e.ID] = append(asked[e.ID], maxWait)
--- a/citronlimit/book.go
+++ b/citronlimit/book.go
@@ -96,7 +96,7 @@
 	return n
 }
 
-// Heard processes the rate limit in a response of an engine. before is the engine's record
+// Observe processes the rate limit in a response of an engine. before is the engine's record
 // at the time when the request was sent. Heard returns the current record and whether it
 // has changed.
 //
@@ -104,7 +104,7 @@
 // limit, or the end of a limit, takes effect only if the request was sent when the current
 // record was already known. An earlier request may have been answered before the limit was
 // set.
-func (b *Registry) Heard(engine string, before Record, reported citronupstream.RateLimit) (Record, bool) {
+func (b *Registry) Observe(engine string, before Record, reported citronupstream.RateLimit) (Record, bool) {
 	next := Record{}
 	switch s := reported.(type) {
 	case citronupstream.PerSecond:
--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -28,7 +28,7 @@
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	b := newBook(clock)
-	respond := func(l citronupstream.RateLimit) { b.Heard("i-1", b.Of("i-1"), l) }
+	respond := func(l citronupstream.RateLimit) { b.Observe("i-1", b.Of("i-1"), l) }
 	for range 20 {
 		respond(citronupstream.PerSecond(4))
 		clock.Advance(300 * time.Millisecond)
@@ -94,9 +94,9 @@
 			case 4:
 				b.Tick()
 			case 0:
-				b.Heard(e, b.Of(e), citronupstream.PerSecond(rapid.SampledFrom([]float64{0, 1, 4}).Draw(t, "limit")))
+				b.Observe(e, b.Of(e), citronupstream.PerSecond(rapid.SampledFrom([]float64{0, 1, 4}).Draw(t, "limit")))
 			case 1:
-				b.Heard(e, b.Of(e), citronupstream.NoRateLimit{})
+				b.Observe(e, b.Of(e), citronupstream.NoRateLimit{})
 			case 2:
 				if err := rapid.SampledFrom(books).Draw(t, "other").Learn(b.All()); err != nil {
 					t.Fatal(err)
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -94,7 +94,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				n := f.nodes[i%size]
-				n.Limits().Heard("limited", n.Limits().Of("limited"), citronupstream.PerSecond(1000-float64(i)))
+				n.Limits().Observe("limited", n.Limits().Of("limited"), citronupstream.PerSecond(1000-float64(i)))
 				version := n.Limits().Of("limited").Version
 				eventually(b, "all nodes know the limit", func() bool {
 					for _, o := range f.nodes {
@@ -120,7 +120,7 @@
 	f.add("b", "z1")
 	f.awaitFullMembership()
 	eventually(b, "all nodes know the engine", func() bool { return f.usableAt("limited") == 2 })
-	f.nodes[0].Limits().Heard("limited", citronlimit.Record{}, citronupstream.PerSecond(1e9))
+	f.nodes[0].Limits().Observe("limited", citronlimit.Record{}, citronupstream.PerSecond(1e9))
 	eventually(b, "both nodes know the limit", func() bool { return f.limitedAt("limited") == 2 })
 	e, _ := f.nodes[0].Traffic().View.ByID("limited")
 	requester := f.nodes[0]
