--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -53,7 +53,7 @@
 // reports whether the request may be sent to all of them.
 func (j *job) takePermits(ctx context.Context, engines ...*citronpool.Engine) bool {
 	for _, e := range engines {
-		if j.f.Limits.Of(e.ID).Limited && !j.takePermit(ctx, e) {
+		if j.f.Limits.Get(e.ID).Limited && !j.takePermit(ctx, e) {
 			return false
 		}
 	}
@@ -122,7 +122,7 @@
 // avoidLimited excludes all engines that have a rate limit from this request.
 func (j *job) avoidLimited() {
 	for _, e := range j.f.Current().View.ByService[j.service.Name] {
-		if j.f.Limits.Of(e.ID).Limited {
+		if j.f.Limits.Get(e.ID).Limited {
 			j.avoid[e.ID] = true
 		}
 	}
@@ -137,7 +137,7 @@
 
 // logLimitHeld logs that an engine's rate limit delays the request or rejects it.
 func (j *job) logLimitHeld(e *citronpool.Engine, outcome string, wait time.Duration) {
-	citronevent.Log(context.Background(), j.f.Log, citronevent.LimitHeld, "request", j.ID, "service", j.service.Name, "engine", e.ID, "peer", e.Addr, "perSecond", j.f.Limits.Of(e.ID).PerSecond, "outcome", outcome, "wait", wait)
+	citronevent.Log(context.Background(), j.f.Log, citronevent.LimitHeld, "request", j.ID, "service", j.service.Name, "engine", e.ID, "peer", e.Addr, "perSecond", j.f.Limits.Get(e.ID).PerSecond, "outcome", outcome, "wait", wait)
 }
 
 // beginPermitWait lets a request that no engine can accept at once select engines whose
@@ -192,7 +192,7 @@
 // takeMovePermit takes a permit to move a running stream to an engine, and reports whether the
 // move is allowed.
 func (f *Forwarder) takeMovePermit(ctx context.Context, e *citronpool.Engine) bool {
-	if !f.Limits.Of(e.ID).Limited {
+	if !f.Limits.Get(e.ID).Limited {
 		return true
 	}
 	d, denied := f.Permit(ctx, e, 0).(citronpermit.Denied)
@@ -204,7 +204,7 @@
 
 // send sends a call and records the rate limit that the response announces.
 func (f *Forwarder) send(ctx context.Context, c citronupstream.Call) (*citronupstream.Reply, error) {
-	before := f.Limits.Of(c.Engine.ID)
+	before := f.Limits.Get(c.Engine.ID)
 	if before.Limited {
 		f.Metrics.LimitedSends.Inc()
 	}
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -19,7 +19,7 @@
 func (r *rig) limit(decide map[string]citronpermit.Decision) (asked map[string][]time.Duration) {
 	asked = map[string][]time.Duration{}
 	for id := range decide {
-		r.Limits.Observe(id, r.Limits.Of(id), citronupstream.PerSecond(2))
+		r.Limits.Observe(id, r.Limits.Get(id), citronupstream.PerSecond(2))
 	}
 	r.Permit = func(_ context.Context, e *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
 		asked[e.ID] = append(asked[e.ID], maxWait)
@@ -200,7 +200,7 @@
 				return rep, nil
 			}
 			r.ask("unsafe", time.Second)
-			is.Equal(!r.Limits.Of("p1").Limited, c.ends)
+			is.Equal(!r.Limits.Get("p1").Limited, c.ends)
 		})
 	}
 }
--- a/citronlimit/book.go
+++ b/citronlimit/book.go
@@ -82,8 +82,8 @@
 // before the book is used, and f must not block.
 func (b *Registry) Notify(f func(relaxed []string)) { b.onChange = f }
 
-// Of returns the record of an engine. It is the zero Record if the engine has none.
-func (b *Registry) Of(engine string) Record { return (*b.records.Load())[engine] }
+// Get returns the record of an engine. It is the zero Record if the engine has none.
+func (b *Registry) Get(engine string) Record { return (*b.records.Load())[engine] }
 
 // Limited returns the number of engines that have set a limit.
 func (b *Registry) Limited() int {
@@ -111,14 +111,14 @@
 		next.Limited, next.PerSecond = true, float64(s)
 	case citronupstream.NoRateLimit:
 	default:
-		return b.Of(engine), false
+		return b.Get(engine), false
 	}
-	if known := b.Of(engine); !next.Limited && known.sameLimit(next) {
+	if known := b.Get(engine); !next.Limited && known.sameLimit(next) {
 		return known, false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known, now := b.Of(engine), b.clock.Now()
+	known, now := b.Get(engine), b.clock.Now()
 	if next.Limited && !known.stricter(next) {
 		b.limitedAt[engine] = now
 		delete(b.pending, engine)
@@ -146,7 +146,7 @@
 	now, due := b.clock.Now(), map[string]Record{}
 	for engine, r := range b.pending {
 		switch {
-		case r.Version != b.Of(engine).Version+1:
+		case r.Version != b.Get(engine).Version+1:
 			delete(b.pending, engine)
 		case now.Sub(b.limitedAt[engine]) >= minLimitDuration:
 			due[engine] = r
--- a/citronlimit/gossip.go
+++ b/citronlimit/gossip.go
@@ -48,7 +48,7 @@
 		return r, errors.New("rate limit has an empty engine ID")
 	case math.IsNaN(l.PerSecond) || math.IsInf(l.PerSecond, 0) || l.PerSecond < 0:
 		return r, errors.Newf("rate limit of %g requests per second is not a finite, non-negative number", l.PerSecond)
-	case l.Version < 0 || l.Version > b.Of(l.Engine).Version+maxVersionStep:
+	case l.Version < 0 || l.Version > b.Get(l.Engine).Version+maxVersionStep:
 		return r, errors.Newf("rate limit has version %d, which is negative or more than %d ahead of the known version", l.Version, maxVersionStep)
 	}
 	return r, nil
@@ -71,7 +71,7 @@
 		if err != nil {
 			return err
 		}
-		if b.isListed(l.Engine) && r.supersedes(b.Of(l.Engine)) {
+		if b.isListed(l.Engine) && r.supersedes(b.Get(l.Engine)) {
 			newer[l.Engine] = r
 		}
 	}
--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -28,19 +28,19 @@
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	b := newBook(clock)
-	respond := func(l citronupstream.RateLimit) { b.Observe("i-1", b.Of("i-1"), l) }
+	respond := func(l citronupstream.RateLimit) { b.Observe("i-1", b.Get("i-1"), l) }
 	for range 20 {
 		respond(citronupstream.PerSecond(4))
 		clock.Advance(300 * time.Millisecond)
 		respond(citronupstream.NoRateLimit{})
-		is.True(b.Of("i-1").Limited)
+		is.True(b.Get("i-1").Limited)
 		clock.Advance(300 * time.Millisecond)
 	}
 	b.Tick()
-	is.True(b.Of("i-1").Limited)
+	is.True(b.Get("i-1").Limited)
 	clock.Advance(500 * time.Millisecond)
 	b.Tick() // the last response had no limit, and the limit was last stated more than a second ago
-	is.True(!b.Of("i-1").Limited)
+	is.True(!b.Get("i-1").Limited)
 }
 
 // Guards against an old update that replaces a newer one because it arrives later, and
@@ -53,13 +53,13 @@
 	lifted := citronpeer.Limit{Engine: "i-1", Version: 2}
 	is.NoErr(b.Learn([]citronpeer.Limit{lifted}))
 	is.NoErr(b.Learn([]citronpeer.Limit{limited}))
-	is.True(!b.Of("i-1").Limited)
+	is.True(!b.Get("i-1").Limited)
 	is.NoErr(b.Learn([]citronpeer.Limit{{Engine: "i-1", Limited: true, PerSecond: 4, Version: 2}}))
-	is.True(b.Of("i-1").Limited) // of two records with the same version, the stricter one wins
+	is.True(b.Get("i-1").Limited) // of two records with the same version, the stricter one wins
 	is.NoErr(b.Learn([]citronpeer.Limit{{Engine: "i-9", Limited: true, PerSecond: 4, Version: 2}}))
 	is.Equal(b.Limited(), 1) // i-9 is not in the engine list
 	b.Retain(func(engine string) bool { return engine == "i-2" })
-	is.Equal(b.Of("i-1"), citronlimit.Record{})
+	is.Equal(b.Get("i-1"), citronlimit.Record{})
 	is.Equal(b.Sum(), uint64(0))
 }
 
@@ -94,9 +94,9 @@
 			case 4:
 				b.Tick()
 			case 0:
-				b.Observe(e, b.Of(e), citronupstream.PerSecond(rapid.SampledFrom([]float64{0, 1, 4}).Draw(t, "limit")))
+				b.Observe(e, b.Get(e), citronupstream.PerSecond(rapid.SampledFrom([]float64{0, 1, 4}).Draw(t, "limit")))
 			case 1:
-				b.Observe(e, b.Of(e), citronupstream.NoRateLimit{})
+				b.Observe(e, b.Get(e), citronupstream.NoRateLimit{})
 			case 2:
 				if err := rapid.SampledFrom(books).Draw(t, "other").Learn(b.All()); err != nil {
 					t.Fatal(err)
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -286,7 +286,7 @@
 func (f *fleet) limitedAt(engine string) int {
 	n := 0
 	for _, m := range f.nodes {
-		if m.Limits().Of(engine).Limited {
+		if m.Limits().Get(engine).Limited {
 			n++
 		}
 	}
@@ -303,7 +303,7 @@
 	is := is.New(t)
 	f := newFleet(t)
 	f.startApps(45, 1)
-	hear := func(m *member, l citronupstream.RateLimit) { m.Limits().Observe("i-0", m.Limits().Of("i-0"), l) }
+	hear := func(m *member, l citronupstream.RateLimit) { m.Limits().Observe("i-0", m.Limits().Get("i-0"), l) }
 	timed := func(what string, nodes int) time.Duration {
 		from := time.Now()
 		eventually(t, what, func() bool { return f.limitedAt("i-0") == nodes })
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -55,7 +55,7 @@
 // Permit asks the permit issuer of an engine for a permit to send it a request that can
 // wait for up to patience.
 func (n *Node) Permit(ctx context.Context, e *citronpool.Engine, patience time.Duration) citronpermit.Decision {
-	r := n.limits.Of(e.ID)
+	r := n.limits.Get(e.ID)
 	if !r.Limited {
 		return citronpermit.Granted{}
 	}
@@ -92,7 +92,7 @@
 	n := a.n
 	n.mergeLimits(context.Background(), q.Node, []citronpeer.Limit{q.Limit})
 	engine := q.Limit.Engine
-	known := n.limits.Of(engine)
+	known := n.limits.Get(engine)
 	out := citronpeer.Permit{Limit: known.Wire(engine)}
 	switch d := n.decidePermit(engine, known, q).(type) {
 	case citronpermit.Granted:
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -94,11 +94,11 @@
 			b.ResetTimer()
 			for i := range b.N {
 				n := f.nodes[i%size]
-				n.Limits().Observe("limited", n.Limits().Of("limited"), citronupstream.PerSecond(1000-float64(i)))
-				version := n.Limits().Of("limited").Version
+				n.Limits().Observe("limited", n.Limits().Get("limited"), citronupstream.PerSecond(1000-float64(i)))
+				version := n.Limits().Get("limited").Version
 				eventually(b, "all nodes know the limit", func() bool {
 					for _, o := range f.nodes {
-						if o.Limits().Of("limited").Version < version {
+						if o.Limits().Get("limited").Version < version {
 							return false
 						}
 					}
