--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -143,7 +143,7 @@
 // beginPermitWait lets a request that no engine can accept at once select engines whose
 // rate limit admits it later. It reports whether there may be any.
 func (j *job) beginPermitWait() bool {
-	if j.permits.mayWait || j.f.Limits.Limited() == 0 {
+	if j.permits.mayWait || j.f.Limits.CountLimited() == 0 {
 		return false
 	}
 	j.permits.mayWait = true
--- a/citronlimit/book.go
+++ b/citronlimit/book.go
@@ -85,8 +85,8 @@
 // Get returns the record of an engine. It is the zero Record if the engine has none.
 func (b *Registry) Get(engine string) Record { return (*b.records.Load())[engine] }
 
-// Limited returns the number of engines that have set a limit.
-func (b *Registry) Limited() int {
+// CountLimited returns the number of engines that have set a limit.
+func (b *Registry) CountLimited() int {
 	n := 0
 	for _, r := range *b.records.Load() {
 		if r.Limited {
--- a/citronlimit/book_test.go
+++ b/citronlimit/book_test.go
@@ -31,7 +31,7 @@
 	r, updated = b.Observe("i-1", b.Get("i-1"), citronupstream.NoRateLimit{})
 	is.True(updated)
 	is.True(!r.Limited)
-	is.Equal(b.Limited(), 0)
+	is.Equal(b.CountLimited(), 0)
 }
 
 func TestInvalidLimitIsIgnored(t *testing.T) {
--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -57,7 +57,7 @@
 	is.NoErr(b.Learn([]citronpeer.Limit{{Engine: "i-1", Limited: true, PerSecond: 4, Version: 2}}))
 	is.True(b.Get("i-1").Limited) // of two records with the same version, the stricter one wins
 	is.NoErr(b.Learn([]citronpeer.Limit{{Engine: "i-9", Limited: true, PerSecond: 4, Version: 2}}))
-	is.Equal(b.Limited(), 1) // i-9 is not in the engine list
+	is.Equal(b.CountLimited(), 1) // i-9 is not in the engine list
 	b.Retain(func(engine string) bool { return engine == "i-2" })
 	is.Equal(b.Get("i-1"), citronlimit.Record{})
 	is.Equal(b.Sum(), uint64(0))
@@ -75,7 +75,7 @@
 		is := is.New(t)
 		b := newBook(citronclock.Real{})
 		is.True(b.Learn([]citronpeer.Limit{{Engine: "i-2", Limited: true, PerSecond: 3, Version: 1}, l}) != nil)
-		is.Equal(b.Limited(), 0)
+		is.Equal(b.CountLimited(), 0)
 	}
 }
 
