--- a/citronlimit/gossip.go
+++ b/citronlimit/gossip.go
@@ -54,9 +54,9 @@
 	return r, nil
 }
 
-// Learn merges the limits that another node sent. It ignores engines that are not in this
+// Merge merges the limits that another node sent. It ignores engines that are not in this
 // node's engine list, and rejects a message as a whole if any part of it is invalid.
-func (b *Registry) Learn(received []citronpeer.Limit) error {
+func (b *Registry) Merge(received []citronpeer.Limit) error {
 	if len(received) == 0 {
 		return nil
 	}
--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -51,12 +51,12 @@
 	b := newBook(clock)
 	limited := citronpeer.Limit{Engine: "i-1", Limited: true, PerSecond: 4, Version: 1}
 	lifted := citronpeer.Limit{Engine: "i-1", Version: 2}
-	is.NoErr(b.Learn([]citronpeer.Limit{lifted}))
-	is.NoErr(b.Learn([]citronpeer.Limit{limited}))
+	is.NoErr(b.Merge([]citronpeer.Limit{lifted}))
+	is.NoErr(b.Merge([]citronpeer.Limit{limited}))
 	is.True(!b.Get("i-1").Limited)
-	is.NoErr(b.Learn([]citronpeer.Limit{{Engine: "i-1", Limited: true, PerSecond: 4, Version: 2}}))
+	is.NoErr(b.Merge([]citronpeer.Limit{{Engine: "i-1", Limited: true, PerSecond: 4, Version: 2}}))
 	is.True(b.Get("i-1").Limited) // of two records with the same version, the stricter one wins
-	is.NoErr(b.Learn([]citronpeer.Limit{{Engine: "i-9", Limited: true, PerSecond: 4, Version: 2}}))
+	is.NoErr(b.Merge([]citronpeer.Limit{{Engine: "i-9", Limited: true, PerSecond: 4, Version: 2}}))
 	is.Equal(b.CountLimited(), 1) // i-9 is not in the engine list
 	b.Retain(func(engine string) bool { return engine == "i-2" })
 	is.Equal(b.Get("i-1"), citronlimit.Record{})
@@ -74,7 +74,7 @@
 	} {
 		is := is.New(t)
 		b := newBook(citronclock.Real{})
-		is.True(b.Learn([]citronpeer.Limit{{Engine: "i-2", Limited: true, PerSecond: 3, Version: 1}, l}) != nil)
+		is.True(b.Merge([]citronpeer.Limit{{Engine: "i-2", Limited: true, PerSecond: 3, Version: 1}, l}) != nil)
 		is.Equal(b.CountLimited(), 0)
 	}
 }
@@ -98,11 +98,11 @@
 			case 1:
 				b.Observe(e, b.Get(e), citronupstream.NoRateLimit{})
 			case 2:
-				if err := rapid.SampledFrom(books).Draw(t, "other").Learn(b.All()); err != nil {
+				if err := rapid.SampledFrom(books).Draw(t, "other").Merge(b.All()); err != nil {
 					t.Fatal(err)
 				}
 			case 3:
-				if err := rapid.SampledFrom(books).Draw(t, "other").Learn(b.Recent()); err != nil {
+				if err := rapid.SampledFrom(books).Draw(t, "other").Merge(b.Recent()); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -110,7 +110,7 @@
 		for range books {
 			for _, b := range books {
 				for _, o := range books {
-					if err := o.Learn(b.All()); err != nil {
+					if err := o.Merge(b.All()); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -136,7 +136,7 @@
 			return
 		}
 		b := newBook(citronclock.Real{})
-		if err := b.Learn(received); err != nil && len(b.All()) > 0 {
+		if err := b.Merge(received); err != nil && len(b.All()) > 0 {
 			t.Fatal("records of an invalid message were accepted")
 		}
 		for _, l := range b.All() {
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -44,7 +44,7 @@
 // mergeLimits merges the limits that another node sent. An invalid message is rejected
 // as a whole; only the first one of each node is logged.
 func (n *Node) mergeLimits(ctx context.Context, from string, limits []citronpeer.Limit) {
-	if err := n.limits.Learn(limits); err != nil {
+	if err := n.limits.Merge(limits); err != nil {
 		n.limitsRejected.Add(1)
 		if _, logged := n.limitsRejectedFrom.LoadOrStore(from, true); !logged {
 			citronevent.Log(ctx, n.log, citronevent.LimitsRejected, "peer", from, "err", err)
