--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -110,7 +110,7 @@
 	// limits are the rate limits that engines have announced. permits issues permits for
 	// the engines for which this node is the permit issuer.
 	limits  *citronlimit.Registry
-	permits *citronpermit.Dealer
+	permits *citronpermit.Issuer
 	// limitsRejected counts the invalid messages of other nodes about limits.
 	// limitsRejectedFrom holds the names of the nodes that sent them.
 	limitsRejected     atomic.Int64
--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -71,8 +71,8 @@
 	bucketTTL = time.Minute
 )
 
-// Dealer issues the permits for the upstreams that are assigned to this node.
-type Dealer struct {
+// Issuer issues the permits for the upstreams that are assigned to this node.
+type Issuer struct {
 	mu      sync.Mutex
 	buckets map[string]*bucket
 	sweptAt time.Time
@@ -91,11 +91,11 @@
 }
 
 // NewDealer returns a Dealer without buckets.
-func NewDealer() *Dealer { return &Dealer{buckets: map[string]*bucket{}} }
+func NewDealer() *Issuer { return &Issuer{buckets: map[string]*bucket{}} }
 
 // Deal decides whether a request may be sent to an engine that accepts perSecond requests
 // per second. maxWait is how long the request can wait for its permit.
-func (d *Dealer) Deal(engine string, perSecond float64, maxWait time.Duration, now time.Time) Decision {
+func (d *Issuer) Deal(engine string, perSecond float64, maxWait time.Duration, now time.Time) Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.sweep(now)
@@ -155,7 +155,7 @@
 }
 
 // sweep drops the buckets for which no node has requested permits lately.
-func (d *Dealer) sweep(now time.Time) {
+func (d *Issuer) sweep(now time.Time) {
 	if now.Sub(d.sweptAt) < bucketTTL {
 		return
 	}
--- a/citronpermit/model_test.go
+++ b/citronpermit/model_test.go
@@ -64,7 +64,7 @@
 
 // singleIssuer makes the nodes ask one permit issuer.
 type singleIssuer struct {
-	issuer    *citronpermit.Dealer
+	issuer    *citronpermit.Issuer
 	perSecond float64
 	// retryAt is when each node may ask again.
 	retryAt   []time.Time
@@ -149,7 +149,7 @@
 // fleet is a set of nodes, each with its own view of which nodes are alive.
 type fleet struct {
 	members []citronpeer.Member
-	issuers []*citronpermit.Dealer
+	issuers []*citronpermit.Issuer
 	// endedAt is when each node ended, or zero. noticeDelay is how much later each node
 	// learns that another has ended, and frozenUntil is when a frozen node resumes.
 	endedAt     []time.Time
