--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -187,7 +187,7 @@
 		quarantineChanged: make(chan struct{}, 1),
 		configs:           newConfigInbox(src.DecodeConfig),
 	}
-	n.limits, n.permits = citronlimit.NewRegistry(clock), citronpermit.NewDealer()
+	n.limits, n.permits = citronlimit.NewRegistry(clock), citronpermit.NewIssuer()
 	n.limits.Notify(n.limitsChanged)
 	n.quarantine = citronquarantine.New(set.Name, clock)
 	n.quarantine.Notify(func() {
--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -90,8 +90,8 @@
 	pause time.Duration
 }
 
-// NewDealer returns a Dealer without buckets.
-func NewDealer() *Issuer { return &Issuer{buckets: map[string]*bucket{}} }
+// NewIssuer returns a Dealer without buckets.
+func NewIssuer() *Issuer { return &Issuer{buckets: map[string]*bucket{}} }
 
 // Deal decides whether a request may be sent to an engine that accepts perSecond requests
 // per second. maxWait is how long the request can wait for its permit.
--- a/citronpermit/model_test.go
+++ b/citronpermit/model_test.go
@@ -135,7 +135,7 @@
 						return float64(n) / capacity
 					}
 					shares, sender := l.run(newEqualShares(nodes, perSecond), duration), l.run(&oneSender{rate.NewLimiter(rate.Limit(perSecond), 2)}, duration)
-					s := &singleIssuer{issuer: citronpermit.NewDealer(), perSecond: perSecond, retryAt: make([]time.Time, nodes)}
+					s := &singleIssuer{issuer: citronpermit.NewIssuer(), perSecond: perSecond, retryAt: make([]time.Time, nodes)}
 					permits := l.run(s, duration)
 					t.Logf("maximum number of requests in 4 s (%d allowed) and share of the limit used: equal shares %d, %.2f; one sender %d, %.2f; permits %d, %.2f with %.1f permit requests per second", allowed(perSecond), maxInWindow(shares), share(shares), maxInWindow(sender), share(sender), maxInWindow(permits), share(permits), float64(s.permitRequests())/duration.Seconds())
 					is.True(maxInWindow(permits) <= allowed(perSecond))
@@ -205,7 +205,7 @@
 		f := &fleet{}
 		for i := range nodes {
 			f.members = append(f.members, citronpeer.Member{Name: fmt.Sprintf("n%d", i), Zone: fmt.Sprintf("z%d", i%3), Weak: i%4 == 3})
-			f.issuers = append(f.issuers, citronpermit.NewDealer())
+			f.issuers = append(f.issuers, citronpermit.NewIssuer())
 			f.endedAt = append(f.endedAt, time.Time{})
 			f.frozenUntil = append(f.frozenUntil, time.Time{})
 			f.noticeDelay = append(f.noticeDelay, make([]time.Duration, nodes))
@@ -224,7 +224,7 @@
 					f.endedAt[node] = now
 				}
 			case 1: // the node restarts
-				f.endedAt[node], f.issuers[node] = time.Time{}, citronpermit.NewDealer()
+				f.endedAt[node], f.issuers[node] = time.Time{}, citronpermit.NewIssuer()
 			case 2:
 				f.frozenUntil[node] = now.Add(2 * time.Second)
 			default:
