--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -93,9 +93,9 @@
 // NewIssuer returns a Dealer without buckets.
 func NewIssuer() *Issuer { return &Issuer{buckets: map[string]*bucket{}} }
 
-// Deal decides whether a request may be sent to an engine that accepts perSecond requests
+// Issue decides whether a request may be sent to an engine that accepts perSecond requests
 // per second. maxWait is how long the request can wait for its permit.
-func (d *Issuer) Deal(engine string, perSecond float64, maxWait time.Duration, now time.Time) Decision {
+func (d *Issuer) Issue(engine string, perSecond float64, maxWait time.Duration, now time.Time) Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.sweep(now)
--- a/citronpermit/model_test.go
+++ b/citronpermit/model_test.go
@@ -76,7 +76,7 @@
 		return false
 	}
 	s.requested++
-	d, denied := s.issuer.Deal(engineID, s.perSecond, 0, now).(citronpermit.Denied)
+	d, denied := s.issuer.Issue(engineID, s.perSecond, 0, now).(citronpermit.Denied)
 	if denied {
 		s.retryAt[node] = now.Add(d.Again)
 	}
@@ -182,7 +182,7 @@
 	if own, ok := citronpermit.DealerFor(engineID, "z0", f.view(at, now)); !ok || own.Name != issuer.Name {
 		return false
 	}
-	_, granted := f.issuers[at].Deal(engineID, perSecond, 0, now).(citronpermit.Granted)
+	_, granted := f.issuers[at].Issue(engineID, perSecond, 0, now).(citronpermit.Granted)
 	return granted
 }
 
