--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -340,7 +340,7 @@
 	for _, m := range f.nodes {
 		members = append(members, citronpeer.Member{Name: m.name, Zone: m.zone})
 	}
-	issuer, _ := citronpermit.DealerFor("i-0", "z0", members)
+	issuer, _ := citronpermit.IssuerFor("i-0", "z0", members)
 	time.AfterFunc(4*time.Second, func() {
 		for _, m := range f.nodes {
 			if m.name == issuer.Name {
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -83,7 +83,7 @@
 func (n *Node) permitIssuer(engine, zone string) (citronpeer.Member, bool) {
 	s := n.snap.Load()
 	nodes := append([]citronpeer.Member{s.self}, s.members...)
-	return citronpermit.DealerFor(engine, zone, nodes)
+	return citronpermit.IssuerFor(engine, zone, nodes)
 }
 
 // Permit implements citronpeer.PermitDealer. It issues a permit to another node, or
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -125,7 +125,7 @@
 	e, _ := f.nodes[0].Traffic().View.ByID("limited")
 	requester := f.nodes[0]
 	for _, m := range f.nodes {
-		if issuer, _ := citronpermit.DealerFor("limited", e.Zone, []citronpeer.Member{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z1"}}); m.name != issuer.Name {
+		if issuer, _ := citronpermit.IssuerFor("limited", e.Zone, []citronpeer.Member{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z1"}}); m.name != issuer.Name {
 			requester = m
 		}
 	}
--- a/citronpermit/choose.go
+++ b/citronpermit/choose.go
@@ -5,11 +5,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DealerFor returns the node that issues the permits for an engine. It prefers nodes in
+// IssuerFor returns the node that issues the permits for an engine. It prefers nodes in
 // the engine's zone, because they send the engine the most requests, and within or outside
 // that zone the nodes that have processor time to spare. Rendezvous hashing decides
 // between nodes that are equal in both. It returns false if all nodes are leaving.
-func DealerFor(engine, zone string, nodes []citronpeer.Member) (citronpeer.Member, bool) {
+func IssuerFor(engine, zone string, nodes []citronpeer.Member) (citronpeer.Member, bool) {
 	var best citronpeer.Member
 	var bestRank rank
 	found := false
--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -13,7 +13,7 @@
 //	                       +-- the issuer's own requests, too
 //
 // The issuer is chosen among the live nodes by their zone, their spare processor time and a
-// rendezvous hash (DealerFor), so nodes that know the same members agree on it without
+// rendezvous hash (IssuerFor), so nodes that know the same members agree on it without
 // communication. Permits are not stored: when an issuer is lost, the next one starts with
 // an empty bucket.
 package citronpermit
--- a/citronpermit/model_test.go
+++ b/citronpermit/model_test.go
@@ -170,7 +170,7 @@
 
 // ask makes a node ask the issuer for a permit, and reports whether it is granted.
 func (f *fleet) ask(node int, perSecond float64, now time.Time) bool {
-	issuer, ok := citronpermit.DealerFor(engineID, "z0", f.view(node, now))
+	issuer, ok := citronpermit.IssuerFor(engineID, "z0", f.view(node, now))
 	if !ok {
 		return false
 	}
@@ -179,7 +179,7 @@
 	if !alive || now.Before(f.frozenUntil[at]) {
 		return false
 	}
-	if own, ok := citronpermit.DealerFor(engineID, "z0", f.view(at, now)); !ok || own.Name != issuer.Name {
+	if own, ok := citronpermit.IssuerFor(engineID, "z0", f.view(at, now)); !ok || own.Name != issuer.Name {
 		return false
 	}
 	_, granted := f.issuers[at].Issue(engineID, perSecond, 0, now).(citronpermit.Granted)
