--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -83,7 +83,7 @@
 func (j *job) requestPermit(ctx context.Context, e *citronpool.Engine) citronpermit.Decision {
 	maxWait := j.maxPermitWait()
 	if throttled := e.ThrottledFor(j.f.Clock.Now()); throttled > maxWait {
-		return citronpermit.Denied{Free: throttled, Again: throttled}
+		return citronpermit.Denied{AvailableIn: throttled, Again: throttled}
 	}
 	return j.f.Permit(ctx, e, maxWait)
 }
@@ -105,10 +105,10 @@
 func (j *job) noteDenial(e *citronpool.Engine, d citronpermit.Denied) {
 	e.Throttle(j.f.Clock.Now(), d.Again)
 	if j.permits.denials == 0 {
-		j.logLimitHeld(e, "denied", d.Free)
+		j.logLimitHeld(e, "denied", d.AvailableIn)
 	}
-	if j.permits.denials == 0 || d.Free < j.permits.freeIn {
-		j.permits.freeIn = d.Free
+	if j.permits.denials == 0 || d.AvailableIn < j.permits.freeIn {
+		j.permits.freeIn = d.AvailableIn
 	}
 	j.permits.denials++
 	switch {
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -35,7 +35,7 @@
 	return reply(http.StatusOK, "id: 1\ndata: x\n\n"), nil
 }
 
-var deniedForLong = citronpermit.Denied{Free: 30 * time.Second, Again: 30 * time.Second}
+var deniedForLong = citronpermit.Denied{AvailableIn: 30 * time.Second, Again: 30 * time.Second}
 
 // Guards against refusing a request although an engine without a rate limit has free
 // capacity.
@@ -66,14 +66,14 @@
 			is := is.New(t)
 			r := newRig(t, plain("p1", "a"), plain("p2", "b"), engine("m1", "a", 0, 8))
 			r.engines.answer = answersOK
-			busy := citronpermit.Denied{Free: 30 * time.Second, Again: time.Millisecond}
+			busy := citronpermit.Denied{AvailableIn: 30 * time.Second, Again: time.Millisecond}
 			asked := r.limit(map[string]citronpermit.Decision{"p1": busy, "p2": busy, "m1": busy})
 			from := time.Now()
 			c := r.ask(route, 4*time.Second)
 			is.True(c.refused)
 			is.Equal(c.status, http.StatusServiceUnavailable)
-			is.True(c.retryAfter > busy.Free-time.Second)       // part of the delay has passed
-			is.True(route != "stream" || len(asked["m1"]) == 2) // the second permit request may wait
+			is.True(c.retryAfter > busy.AvailableIn-time.Second) // part of the delay has passed
+			is.True(route != "stream" || len(asked["m1"]) == 2)  // the second permit request may wait
 			for _, maxWait := range asked["m1"] {
 				is.True(maxWait <= 200*time.Millisecond) // clients leave a stalled stream
 			}
@@ -92,7 +92,7 @@
 	r.Permit = func(_ context.Context, _ *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
 		asked["p1"] = append(asked["p1"], maxWait)
 		if maxWait == 0 {
-			return citronpermit.Denied{Free: 100 * time.Millisecond, Again: 50 * time.Millisecond}
+			return citronpermit.Denied{AvailableIn: 100 * time.Millisecond, Again: 50 * time.Millisecond}
 		}
 		return citronpermit.Granted{After: 100 * time.Millisecond}
 	}
