--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -83,7 +83,7 @@
 func (j *job) requestPermit(ctx context.Context, e *citronpool.Engine) citronpermit.Decision {
 	maxWait := j.maxPermitWait()
 	if throttled := e.ThrottledFor(j.f.Clock.Now()); throttled > maxWait {
-		return citronpermit.Denied{AvailableIn: throttled, Again: throttled}
+		return citronpermit.Denied{AvailableIn: throttled, RetryAfter: throttled}
 	}
 	return j.f.Permit(ctx, e, maxWait)
 }
@@ -103,7 +103,7 @@
 // noteDenial records a denied permit, so that this node skips the engine until it may
 // ask again.
 func (j *job) noteDenial(e *citronpool.Engine, d citronpermit.Denied) {
-	e.Throttle(j.f.Clock.Now(), d.Again)
+	e.Throttle(j.f.Clock.Now(), d.RetryAfter)
 	if j.permits.denials == 0 {
 		j.logLimitHeld(e, "denied", d.AvailableIn)
 	}
@@ -197,7 +197,7 @@
 	}
 	d, denied := f.Permit(ctx, e, 0).(citronpermit.Denied)
 	if denied {
-		e.Throttle(f.Clock.Now(), d.Again)
+		e.Throttle(f.Clock.Now(), d.RetryAfter)
 	}
 	return !denied
 }
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -35,7 +35,7 @@
 	return reply(http.StatusOK, "id: 1\ndata: x\n\n"), nil
 }
 
-var deniedForLong = citronpermit.Denied{AvailableIn: 30 * time.Second, Again: 30 * time.Second}
+var deniedForLong = citronpermit.Denied{AvailableIn: 30 * time.Second, RetryAfter: 30 * time.Second}
 
 // Guards against refusing a request although an engine without a rate limit has free
 // capacity.
@@ -52,7 +52,7 @@
 			for _, c := range r.engines.seen() {
 				is.True(c.engine == "p2" || c.engine == "m2")
 			}
-			is.True(len(asked["p1"]) <= 1) // after a denial, no permit is requested before Denied.Again has passed
+			is.True(len(asked["p1"]) <= 1) // after a denial, no permit is requested before Denied.RetryAfter has passed
 			is.True(len(asked["m1"]) <= 1)
 		})
 	}
@@ -66,7 +66,7 @@
 			is := is.New(t)
 			r := newRig(t, plain("p1", "a"), plain("p2", "b"), engine("m1", "a", 0, 8))
 			r.engines.answer = answersOK
-			busy := citronpermit.Denied{AvailableIn: 30 * time.Second, Again: time.Millisecond}
+			busy := citronpermit.Denied{AvailableIn: 30 * time.Second, RetryAfter: time.Millisecond}
 			asked := r.limit(map[string]citronpermit.Decision{"p1": busy, "p2": busy, "m1": busy})
 			from := time.Now()
 			c := r.ask(route, 4*time.Second)
@@ -92,7 +92,7 @@
 	r.Permit = func(_ context.Context, _ *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
 		asked["p1"] = append(asked["p1"], maxWait)
 		if maxWait == 0 {
-			return citronpermit.Denied{AvailableIn: 100 * time.Millisecond, Again: 50 * time.Millisecond}
+			return citronpermit.Denied{AvailableIn: 100 * time.Millisecond, RetryAfter: 50 * time.Millisecond}
 		}
 		return citronpermit.Granted{After: 100 * time.Millisecond}
 	}
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -62,21 +62,21 @@
 	issuer, ok := n.permitIssuer(e.ID, e.Zone)
 	switch {
 	case !ok:
-		return citronpermit.Denied{AvailableIn: permitRetryDelay, Again: permitRetryDelay}
+		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	case issuer.Name == n.set.Name:
 		return n.permits.Issue(e.ID, r.PerSecond, patience, n.clock.Now())
 	}
 	p, err := n.peers.AskPermit(ctx, issuer.Peer, citronpeer.PermitRequest{Node: n.set.Name, Limit: r.Wire(e.ID), PatienceMS: patience.Milliseconds()}, permitTimeout)
 	if err != nil {
 		citronevent.Log(ctx, n.log, citronevent.PermitFailed, "engine", e.ID, "peer", issuer.Peer, "err", err)
-		return citronpermit.Denied{AvailableIn: permitRetryDelay, Again: permitRetryDelay}
+		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	}
 	n.mergeLimits(ctx, issuer.Name, []citronpeer.Limit{p.Limit})
 	wait := time.Duration(p.WaitMS) * time.Millisecond
 	if p.Granted {
 		return citronpermit.Granted{After: wait}
 	}
-	return citronpermit.Denied{AvailableIn: wait, Again: time.Duration(p.AgainMS) * time.Millisecond}
+	return citronpermit.Denied{AvailableIn: wait, RetryAfter: time.Duration(p.AgainMS) * time.Millisecond}
 }
 
 // permitIssuer returns the node that issues the permits for an engine.
@@ -98,7 +98,7 @@
 	case citronpermit.Granted:
 		out.Granted, out.WaitMS = true, d.After.Milliseconds()
 	case citronpermit.Denied:
-		out.WaitMS, out.AgainMS = d.AvailableIn.Milliseconds(), d.Again.Milliseconds()
+		out.WaitMS, out.AgainMS = d.AvailableIn.Milliseconds(), d.RetryAfter.Milliseconds()
 	}
 	return out
 }
@@ -109,14 +109,14 @@
 func (n *Node) decidePermit(engine string, known citronlimit.Record, q citronpeer.PermitRequest) citronpermit.Decision {
 	t := n.snap.Load().traffic
 	if t == nil {
-		return citronpermit.Denied{AvailableIn: permitRetryDelay, Again: permitRetryDelay}
+		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	}
 	e, ok := t.View.ByID(engine)
 	if !ok {
-		return citronpermit.Denied{AvailableIn: permitRetryDelay, Again: permitRetryDelay}
+		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	}
 	if issuer, ok := n.permitIssuer(engine, e.Zone); !ok || issuer.Name != n.set.Name {
-		return citronpermit.Denied{AvailableIn: permitRetryDelay, Again: permitRetryDelay}
+		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	}
 	if !known.Limited {
 		return citronpermit.Granted{}
--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -37,9 +37,9 @@
 type Denied struct {
 	// AvailableIn is the time after which a permit becomes available.
 	AvailableIn time.Duration
-	// Again is the time after which the node should ask again. It may differ from Free
+	// RetryAfter is the time after which the node should ask again. It may differ from Free
 	// because other nodes request the same permits.
-	Again time.Duration
+	RetryAfter time.Duration
 }
 
 func (Granted) isDecision() {}
@@ -131,7 +131,7 @@
 		return Granted{After: wait}
 	}
 	permit.CancelAt(now)
-	return Denied{AvailableIn: wait, Again: b.retryAfter(perSecond, wait)}
+	return Denied{AvailableIn: wait, RetryAfter: b.retryAfter(perSecond, wait)}
 }
 
 // countRequest adds one permit request to the exponentially weighted request rate.
--- a/citronpermit/model_test.go
+++ b/citronpermit/model_test.go
@@ -78,7 +78,7 @@
 	s.requested++
 	d, denied := s.issuer.Issue(engineID, s.perSecond, 0, now).(citronpermit.Denied)
 	if denied {
-		s.retryAt[node] = now.Add(d.Again)
+		s.retryAt[node] = now.Add(d.RetryAfter)
 	}
 	return !denied
 }
