--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -66,11 +66,11 @@
 	switch d := j.requestPermit(ctx, e).(type) {
 	case citronpermit.Granted:
 		j.f.Metrics.Permits.WithLabelValues("granted").Inc()
-		if d.After <= 0 {
+		if d.Wait <= 0 {
 			return true
 		}
-		j.logLimitHeld(e, "waits", d.After)
-		return j.f.Clock.Sleep(ctx, d.After) == nil && j.stillHealthy(e)
+		j.logLimitHeld(e, "waits", d.Wait)
+		return j.f.Clock.Sleep(ctx, d.Wait) == nil && j.stillHealthy(e)
 	case citronpermit.Denied:
 		j.f.Metrics.Permits.WithLabelValues("denied").Inc()
 		j.noteDenial(e, d)
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -94,7 +94,7 @@
 		if maxWait == 0 {
 			return citronpermit.Denied{AvailableIn: 100 * time.Millisecond, RetryAfter: 50 * time.Millisecond}
 		}
-		return citronpermit.Granted{After: 100 * time.Millisecond}
+		return citronpermit.Granted{Wait: 100 * time.Millisecond}
 	}
 	from := time.Now()
 	is.Equal(r.ask("unsafe", time.Second).status, http.StatusOK)
@@ -109,7 +109,7 @@
 	is := is.New(t)
 	r := newRig(t, plain("p1", "a"))
 	r.engines.answer = answersOK
-	r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{After: 100 * time.Millisecond}})
+	r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{Wait: 100 * time.Millisecond}})
 	time.AfterFunc(30*time.Millisecond, func() {
 		e, _ := r.view.ByID("p1")
 		e.MarkReplaced(time.Now())
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -74,7 +74,7 @@
 	n.mergeLimits(ctx, issuer.Name, []citronpeer.Limit{p.Limit})
 	wait := time.Duration(p.WaitMS) * time.Millisecond
 	if p.Granted {
-		return citronpermit.Granted{After: wait}
+		return citronpermit.Granted{Wait: wait}
 	}
 	return citronpermit.Denied{AvailableIn: wait, RetryAfter: time.Duration(p.AgainMS) * time.Millisecond}
 }
@@ -96,7 +96,7 @@
 	out := citronpeer.Permit{Limit: known.Wire(engine)}
 	switch d := n.decidePermit(engine, known, q).(type) {
 	case citronpermit.Granted:
-		out.Granted, out.WaitMS = true, d.After.Milliseconds()
+		out.Granted, out.WaitMS = true, d.Wait.Milliseconds()
 	case citronpermit.Denied:
 		out.WaitMS, out.AgainMS = d.AvailableIn.Milliseconds(), d.RetryAfter.Milliseconds()
 	}
--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -31,7 +31,7 @@
 type Decision interface{ isDecision() }
 
 // Granted allows a request to be sent after a wait.
-type Granted struct{ After time.Duration }
+type Granted struct{ Wait time.Duration }
 
 // Denied does not allow a request to be sent.
 type Denied struct {
@@ -128,7 +128,7 @@
 	permit := b.limiter.ReserveN(now, 1)
 	wait := permit.DelayFrom(now)
 	if wait <= maxWait {
-		return Granted{After: wait}
+		return Granted{Wait: wait}
 	}
 	permit.CancelAt(now)
 	return Denied{AvailableIn: wait, RetryAfter: b.retryAfter(perSecond, wait)}
