--- a/citronbudget/budget.go
+++ b/citronbudget/budget.go
@@ -50,7 +50,7 @@
 )
 
 // Usage is the number of requests and retries sent for a service in a window.
-type Usage struct{ Requests, Repeats float64 }
+type Usage struct{ Requests, Retries float64 }
 
 // serviceWindow holds the sliding window and the allowance of one service.
 type serviceWindow struct {
@@ -76,7 +76,7 @@
 	var total Usage
 	for _, u := range w.buckets {
 		total.Requests += u.Requests
-		total.Repeats += u.Repeats
+		total.Retries += u.Retries
 	}
 	return total
 }
@@ -127,7 +127,7 @@
 func (b *Budget) allocate(w *serviceWindow) float64 {
 	own := w.total()
 	limit := b.limits.Ratio*(own.Requests+w.others.Requests) + b.limits.Slack
-	left := max(0, limit-own.Repeats-w.others.Repeats)
+	left := max(0, limit-own.Retries-w.others.Retries)
 	whole, fraction := math.Modf(b.shareForInterval() * left / float64(b.nodes))
 	if rand.Float64() < fraction {
 		whole++
@@ -193,7 +193,7 @@
 	} else if !w.takeBorrowed(now) {
 		return false
 	}
-	w.buckets[w.slot%(bucketsPerWindow+1)].Repeats++
+	w.buckets[w.slot%(bucketsPerWindow+1)].Retries++
 	return true
 }
 
--- a/citronbudget/budget_test.go
+++ b/citronbudget/budget_test.go
@@ -71,7 +71,7 @@
 				for j, u := range updates {
 					if j != i {
 						others.Requests += u.Requests
-						others.Repeats += u.Repeats
+						others.Retries += u.Retries
 					}
 				}
 				b.Learn(map[string]citronbudget.Usage{"s": others}, updateAge, len(nodes), at)
@@ -136,7 +136,7 @@
 	is := is.New(t)
 	const nodes, requests = 80, 2000.0
 	limit := limits.Ratio*requests + limits.Slack
-	used := citronbudget.Usage{Requests: requests, Repeats: limit / 2}
+	used := citronbudget.Usage{Requests: requests, Retries: limit / 2}
 	at := time.Unix(1000, 0)
 	got := 0
 	for range nodes {
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -76,7 +76,7 @@
 // Sent counts the requests and retries that were sent for a service.
 type Sent struct {
 	Requests float64 `json:"requests"`
-	Repeats  float64 `json:"repeats"`
+	Retries  float64 `json:"repeats"`
 }
 
 // BeatEvery is the minimum average time between two heartbeats of a member.
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -18,7 +18,7 @@
 func gauges(i int) citronpeer.Gauges {
 	return citronpeer.Gauges{
 		Beat: int64(1000 + i*37%900), Load: map[string]int64{"hall-0": int64(i * 991), "hall-1": int64(i * 17)},
-		Sent: map[string]citronpeer.Sent{"model": {Requests: float64(i), Repeats: 1}},
+		Sent: map[string]citronpeer.Sent{"model": {Requests: float64(i), Retries: 1}},
 	}
 }
 
--- a/citronroster/sums.go
+++ b/citronroster/sums.go
@@ -80,7 +80,7 @@
 	for service, u := range sent {
 		sum := t.Sent[service]
 		sum.Requests += u.Requests
-		sum.Repeats += u.Repeats
+		sum.Retries += u.Retries
 		t.Sent[service] = sum
 	}
 }
