--- a/citronbudget/budget.go
+++ b/citronbudget/budget.go
@@ -68,7 +68,7 @@
 // Loan is a number of retries that a node may use in place of the lender,
 // until the lender's allocation interval ends.
 type Loan struct {
-	Repeats int
+	Retries int
 	Until   time.Time
 }
 
@@ -201,8 +201,8 @@
 // there was one. If not, it drops all loans.
 func (w *serviceWindow) takeBorrowed(now time.Time) bool {
 	for i := range w.loans {
-		if l := &w.loans[i]; l.Repeats > 0 && now.Before(l.Until) {
-			l.Repeats--
+		if l := &w.loans[i]; l.Retries > 0 && now.Before(l.Until) {
+			l.Retries--
 			return true
 		}
 	}
@@ -222,7 +222,7 @@
 	w := b.windowAt(service, now)
 	n := max(0, min(want, int(w.allowance)))
 	w.allowance -= float64(n)
-	return Loan{Repeats: n, Until: until}
+	return Loan{Retries: n, Until: until}
 }
 
 // Borrowed adds a loan from another node. It ignores a loan of no retries, and
@@ -230,7 +230,7 @@
 func (b *Budget) Borrowed(service string, l Loan, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if l.Repeats <= 0 || l.Until.Sub(now) > allocationInterval {
+	if l.Retries <= 0 || l.Until.Sub(now) > allocationInterval {
 		return
 	}
 	w := b.windowAt(service, now)
--- a/citronbudget/budget_test.go
+++ b/citronbudget/budget_test.go
@@ -207,13 +207,13 @@
 	at = at.Add(time.Second)
 	a.Learn(nil, updateAge, 2, at)
 	l := a.Lend("s", 5, at)
-	is.Equal(l.Repeats, 5)
+	is.Equal(l.Retries, 5)
 	for b.Take("s", at) {
 	}
 	b.Borrowed("s", l, at)
 	is.True(b.Take("s", at))
 	is.True(!b.Take("s", at.Add(time.Second)))
-	is.Equal(a.Lend("s", 5, at.Add(time.Second)).Repeats, 0) // nothing was allocated since
-	b.Borrowed("s", citronbudget.Loan{Repeats: 1000, Until: at.Add(time.Hour)}, at)
+	is.Equal(a.Lend("s", 5, at.Add(time.Second)).Retries, 0) // nothing was allocated since
+	b.Borrowed("s", citronbudget.Loan{Retries: 1000, Until: at.Add(time.Hour)}, at)
 	is.True(!b.Take("s", at.Add(time.Second))) // no node can lend for that long
 }
