--- a/citronloan/loan.go
+++ b/citronloan/loan.go
@@ -127,12 +127,12 @@
 	}
 	now := b.clock.Now()
 	until := now.Add(time.Duration(l.LeftMS) * time.Millisecond)
-	b.budget.Borrowed(service, citronbudget.Loan{Retries: l.Repeats, Until: until}, now)
-	return max(0, l.Repeats)
+	b.budget.Borrowed(service, citronbudget.Loan{Retries: l.Retries, Until: until}, now)
+	return max(0, l.Retries)
 }
 
 // Lend gives another node up to want retries of a budget.
 func Lend(budget *citronbudget.Budget, service string, want int, now time.Time) citronpeer.Loan {
 	l := budget.Lend(service, want, now)
-	return citronpeer.Loan{Repeats: l.Retries, LeftMS: max(0, l.Until.Sub(now).Milliseconds())}
+	return citronpeer.Loan{Retries: l.Retries, LeftMS: max(0, l.Until.Sub(now).Milliseconds())}
 }
--- a/citronpeer/lend.go
+++ b/citronpeer/lend.go
@@ -17,7 +17,7 @@
 // Loan is the number of retries that a node lends from its share of the retry
 // budget.
 type Loan struct {
-	Repeats int `json:"repeats"`
+	Retries int `json:"repeats"`
 	// LeftMS is how long the loan is valid, in milliseconds.
 	LeftMS int64 `json:"leftMs"`
 }
