--- a/citronbudget/budget.go
+++ b/citronbudget/budget.go
@@ -175,8 +175,8 @@
 	return out
 }
 
-// Request counts a caller's request for a service.
-func (b *Budget) Request(service string, now time.Time) {
+// CountRequest counts a caller's request for a service.
+func (b *Budget) CountRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.windowAt(service, now)
--- a/citronbudget/budget_test.go
+++ b/citronbudget/budget_test.go
@@ -43,7 +43,7 @@
 			at = at.Add(100 * time.Millisecond)
 			got := 0
 			for _, b := range nodes {
-				b.Request("s", at)
+				b.CountRequest("s", at)
 				// A node in need borrows; the answer may be lost.
 				lender := rapid.IntRange(0, len(nodes)-1).Draw(t, "lender")
 				if nodes[lender] != b {
@@ -101,7 +101,7 @@
 	b := citronbudget.New(limits)
 	at := time.Unix(1000, 0)
 	b.Learn(nil, updateAge, 9, at)
-	b.Request("s", at)
+	b.CountRequest("s", at)
 	b.Learn(nil, updateAge, 9, at.Add(time.Second))
 	got := 0
 	for i := range 80 {
@@ -142,7 +142,7 @@
 	for range nodes {
 		b := citronbudget.New(limits)
 		b.Learn(nil, updateAge, nodes, at)
-		b.Request("s", at)
+		b.CountRequest("s", at)
 		b.Learn(map[string]citronbudget.Usage{"s": used}, updateAge, nodes, at.Add(time.Second))
 		for range 2 {
 			if b.Take("s", at.Add(time.Second)) {
@@ -170,7 +170,7 @@
 		for i := range all {
 			all[i] = citronbudget.New(big)
 			all[i].Learn(nil, updateAge, nodes, at)
-			all[i].Request("s", at)
+			all[i].CountRequest("s", at)
 			all[i].Learn(map[string]citronbudget.Usage{"s": {Requests: requests}}, updateAge, nodes, at.Add(time.Second))
 		}
 		at = at.Add(time.Second)
@@ -203,7 +203,7 @@
 	a, b := citronbudget.New(limits), citronbudget.New(limits)
 	at := time.Unix(1000, 0)
 	a.Learn(nil, updateAge, 2, at)
-	a.Request("s", at)
+	a.CountRequest("s", at)
 	at = at.Add(time.Second)
 	a.Learn(nil, updateAge, 2, at)
 	l := a.Lend("s", 5, at)
--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -215,7 +215,7 @@
 		return
 	}
 	f.Metrics.Requests.WithLabelValues(j.route.Kind.String()).Inc()
-	f.Budget.Request(j.service.Name, r.Received)
+	f.Budget.CountRequest(j.service.Name, r.Received)
 	end, ok := j.checkQuarantine()
 	if !ok {
 		return
--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -84,7 +84,7 @@
 	f.config("1")
 	for _, name := range []string{"a", "b", "c"} {
 		m := f.add(name, "z1")
-		m.budget.Request("model", time.Now())
+		m.budget.CountRequest("model", time.Now())
 	}
 	a := f.nodes[0]
 	eventually(t, "the other nodes lend", func() bool {
