--- a/citronbudget/budget.go
+++ b/citronbudget/budget.go
@@ -183,8 +183,8 @@
 	w.buckets[w.slot%(bucketsPerWindow+1)].Requests++
 }
 
-// Take counts a retry if the budget allows it, and reports whether it does.
-func (b *Budget) Take(service string, now time.Time) bool {
+// TakeRetry counts a retry if the budget allows it, and reports whether it does.
+func (b *Budget) TakeRetry(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.windowAt(service, now)
--- a/citronbudget/budget_test.go
+++ b/citronbudget/budget_test.go
@@ -53,7 +53,7 @@
 					}
 				}
 				for range rapid.IntRange(0, 40).Draw(t, "wanted") {
-					if b.Take("s", at) {
+					if b.TakeRetry("s", at) {
 						got++
 					}
 				}
@@ -106,7 +106,7 @@
 	got := 0
 	for i := range 80 {
 		now := at.Add(time.Second + time.Duration(i)*100*time.Millisecond)
-		for b.Take("s", now) {
+		for b.TakeRetry("s", now) {
 			got++
 		}
 		b.Learn(map[string]citronbudget.Usage{"s": {}}, updateAge, 9, now)
@@ -120,11 +120,11 @@
 	b := citronbudget.New(limits)
 	at := time.Unix(1000, 0)
 	b.Learn(nil, updateAge, 1, at)
-	for b.Take("s", at) {
+	for b.TakeRetry("s", at) {
 	}
 	at = at.Add(11 * time.Second)
 	b.Learn(nil, updateAge, 1, at)
-	is.True(b.Take("s", at))
+	is.True(b.TakeRetry("s", at))
 }
 
 // A crash at the peak has used half of the budget of eighty nodes, and each
@@ -145,7 +145,7 @@
 		b.CountRequest("s", at)
 		b.Learn(map[string]citronbudget.Usage{"s": used}, updateAge, nodes, at.Add(time.Second))
 		for range 2 {
-			if b.Take("s", at.Add(time.Second)) {
+			if b.TakeRetry("s", at.Add(time.Second)) {
 				got++
 			}
 		}
@@ -177,12 +177,12 @@
 		random := rand.New(rand.NewPCG(1, 2))
 		for i := range inNeed * refusedEach {
 			b := all[i/refusedEach]
-			if !b.Take("s", at) {
+			if !b.TakeRetry("s", at) {
 				for range lenders {
 					lender := all[inNeed+random.IntN(nodes-inNeed)]
 					b.Borrowed("s", lender.Lend("s", 4, at), at)
 				}
-				if !b.Take("s", at) {
+				if !b.TakeRetry("s", at) {
 					continue
 				}
 			}
@@ -208,12 +208,12 @@
 	a.Learn(nil, updateAge, 2, at)
 	l := a.Lend("s", 5, at)
 	is.Equal(l.Retries, 5)
-	for b.Take("s", at) {
+	for b.TakeRetry("s", at) {
 	}
 	b.Borrowed("s", l, at)
-	is.True(b.Take("s", at))
-	is.True(!b.Take("s", at.Add(time.Second)))
+	is.True(b.TakeRetry("s", at))
+	is.True(!b.TakeRetry("s", at.Add(time.Second)))
 	is.Equal(a.Lend("s", 5, at.Add(time.Second)).Retries, 0) // nothing was allocated since
 	b.Borrowed("s", citronbudget.Loan{Retries: 1000, Until: at.Add(time.Hour)}, at)
-	is.True(!b.Take("s", at.Add(time.Second))) // no node can lend for that long
+	is.True(!b.TakeRetry("s", at.Add(time.Second))) // no node can lend for that long
 }
--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -383,7 +383,7 @@
 // up, and reports whether it succeeded.
 func (j *job) takeBudget() bool {
 	for attempt := 0; ; attempt++ {
-		if j.f.Budget.Take(j.service.Name, j.f.Clock.Now()) {
+		if j.f.Budget.TakeRetry(j.service.Name, j.f.Clock.Now()) {
 			j.reachedLimit = ""
 			return true
 		}
--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -88,9 +88,9 @@
 	}
 	a := f.nodes[0]
 	eventually(t, "the other nodes lend", func() bool {
-		for a.budget.Take("model", time.Now()) {
+		for a.budget.TakeRetry("model", time.Now()) {
 		}
-		return a.Borrow("model") && a.budget.Take("model", time.Now())
+		return a.Borrow("model") && a.budget.TakeRetry("model", time.Now())
 	})
 	for _, m := range f.nodes[1:] {
 		m.stop()
