--- a/citronbudget/budget.go
+++ b/citronbudget/budget.go
@@ -144,10 +144,10 @@
 	return allocatableShare / (1 + unreported)
 }
 
-// Learn records what the other nodes have sent, the maximum age of this
+// UpdateOthers records what the other nodes have sent, the maximum age of this
 // information and the number of nodes. It computes new allowances if the
 // current interval has ended.
-func (b *Budget) Learn(others map[string]Usage, updateAge time.Duration, nodes int, now time.Time) {
+func (b *Budget) UpdateOthers(others map[string]Usage, updateAge time.Duration, nodes int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for service, u := range others {
--- a/citronbudget/budget_test.go
+++ b/citronbudget/budget_test.go
@@ -31,7 +31,7 @@
 		at := time.Unix(1000, 0)
 		updates := map[int]citronbudget.Usage{}
 		for _, b := range nodes {
-			b.Learn(nil, updateAge, len(nodes), at)
+			b.UpdateOthers(nil, updateAge, len(nodes), at)
 		}
 		type step struct {
 			at      time.Time
@@ -74,7 +74,7 @@
 						others.Retries += u.Retries
 					}
 				}
-				b.Learn(map[string]citronbudget.Usage{"s": others}, updateAge, len(nodes), at)
+				b.UpdateOthers(map[string]citronbudget.Usage{"s": others}, updateAge, len(nodes), at)
 			}
 			sum := 0
 			for _, m := range taken {
@@ -100,16 +100,16 @@
 	is := is.New(t)
 	b := citronbudget.New(limits)
 	at := time.Unix(1000, 0)
-	b.Learn(nil, updateAge, 9, at)
+	b.UpdateOthers(nil, updateAge, 9, at)
 	b.CountRequest("s", at)
-	b.Learn(nil, updateAge, 9, at.Add(time.Second))
+	b.UpdateOthers(nil, updateAge, 9, at.Add(time.Second))
 	got := 0
 	for i := range 80 {
 		now := at.Add(time.Second + time.Duration(i)*100*time.Millisecond)
 		for b.TakeRetry("s", now) {
 			got++
 		}
-		b.Learn(map[string]citronbudget.Usage{"s": {}}, updateAge, 9, now)
+		b.UpdateOthers(map[string]citronbudget.Usage{"s": {}}, updateAge, 9, now)
 	}
 	is.True(got > 44) // four times the equal share
 }
@@ -119,11 +119,11 @@
 	is := is.New(t)
 	b := citronbudget.New(limits)
 	at := time.Unix(1000, 0)
-	b.Learn(nil, updateAge, 1, at)
+	b.UpdateOthers(nil, updateAge, 1, at)
 	for b.TakeRetry("s", at) {
 	}
 	at = at.Add(11 * time.Second)
-	b.Learn(nil, updateAge, 1, at)
+	b.UpdateOthers(nil, updateAge, 1, at)
 	is.True(b.TakeRetry("s", at))
 }
 
@@ -141,9 +141,9 @@
 	got := 0
 	for range nodes {
 		b := citronbudget.New(limits)
-		b.Learn(nil, updateAge, nodes, at)
+		b.UpdateOthers(nil, updateAge, nodes, at)
 		b.CountRequest("s", at)
-		b.Learn(map[string]citronbudget.Usage{"s": used}, updateAge, nodes, at.Add(time.Second))
+		b.UpdateOthers(map[string]citronbudget.Usage{"s": used}, updateAge, nodes, at.Add(time.Second))
 		for range 2 {
 			if b.TakeRetry("s", at.Add(time.Second)) {
 				got++
@@ -169,9 +169,9 @@
 		all := make([]*citronbudget.Budget, nodes)
 		for i := range all {
 			all[i] = citronbudget.New(big)
-			all[i].Learn(nil, updateAge, nodes, at)
+			all[i].UpdateOthers(nil, updateAge, nodes, at)
 			all[i].CountRequest("s", at)
-			all[i].Learn(map[string]citronbudget.Usage{"s": {Requests: requests}}, updateAge, nodes, at.Add(time.Second))
+			all[i].UpdateOthers(map[string]citronbudget.Usage{"s": {Requests: requests}}, updateAge, nodes, at.Add(time.Second))
 		}
 		at = at.Add(time.Second)
 		random := rand.New(rand.NewPCG(1, 2))
@@ -202,10 +202,10 @@
 	is := is.New(t)
 	a, b := citronbudget.New(limits), citronbudget.New(limits)
 	at := time.Unix(1000, 0)
-	a.Learn(nil, updateAge, 2, at)
+	a.UpdateOthers(nil, updateAge, 2, at)
 	a.CountRequest("s", at)
 	at = at.Add(time.Second)
-	a.Learn(nil, updateAge, 2, at)
+	a.UpdateOthers(nil, updateAge, 2, at)
 	l := a.Lend("s", 5, at)
 	is.Equal(l.Retries, 5)
 	for b.TakeRetry("s", at) {
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -166,5 +166,5 @@
 	for service, u := range others.Sent {
 		used[service] = citronbudget.Usage(u)
 	}
-	c.n.budget.Learn(used, updateAge, len(alive)+1, now)
+	c.n.budget.UpdateOthers(used, updateAge, len(alive)+1, now)
 }
