--- a/citronbudget/budget.go
+++ b/citronbudget/budget.go
@@ -225,9 +225,9 @@
 	return Loan{Retries: n, Until: until}
 }
 
-// Borrowed adds a loan from another node. It ignores a loan of no retries, and
+// AddLoan adds a loan from another node. It ignores a loan of no retries, and
 // one that ends later than any lender's current interval can.
-func (b *Budget) Borrowed(service string, l Loan, now time.Time) {
+func (b *Budget) AddLoan(service string, l Loan, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if l.Retries <= 0 || l.Until.Sub(now) > allocationInterval {
--- a/citronbudget/budget_test.go
+++ b/citronbudget/budget_test.go
@@ -49,7 +49,7 @@
 				if nodes[lender] != b {
 					l := nodes[lender].Lend("s", rapid.IntRange(0, 20).Draw(t, "want"), at)
 					if rapid.Bool().Draw(t, "heard") {
-						b.Borrowed("s", l, at)
+						b.AddLoan("s", l, at)
 					}
 				}
 				for range rapid.IntRange(0, 40).Draw(t, "wanted") {
@@ -180,7 +180,7 @@
 			if !b.TakeRetry("s", at) {
 				for range lenders {
 					lender := all[inNeed+random.IntN(nodes-inNeed)]
-					b.Borrowed("s", lender.Lend("s", 4, at), at)
+					b.AddLoan("s", lender.Lend("s", 4, at), at)
 				}
 				if !b.TakeRetry("s", at) {
 					continue
@@ -210,10 +210,10 @@
 	is.Equal(l.Retries, 5)
 	for b.TakeRetry("s", at) {
 	}
-	b.Borrowed("s", l, at)
+	b.AddLoan("s", l, at)
 	is.True(b.TakeRetry("s", at))
 	is.True(!b.TakeRetry("s", at.Add(time.Second)))
 	is.Equal(a.Lend("s", 5, at.Add(time.Second)).Retries, 0) // nothing was allocated since
-	b.Borrowed("s", citronbudget.Loan{Retries: 1000, Until: at.Add(time.Hour)}, at)
+	b.AddLoan("s", citronbudget.Loan{Retries: 1000, Until: at.Add(time.Hour)}, at)
 	is.True(!b.TakeRetry("s", at.Add(time.Second))) // no node can lend for that long
 }
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -603,7 +603,7 @@
 		rounds++
 		if rounds > 1 { // other streams use up the first loan before this one continues
 			now := time.Now()
-			r.Budget.Borrowed(service, citronbudget.Loan{Retries: 1, Until: now.Add(100 * time.Millisecond)}, now)
+			r.Budget.AddLoan(service, citronbudget.Loan{Retries: 1, Until: now.Add(100 * time.Millisecond)}, now)
 		}
 		return true
 	}
--- a/citronloan/loan.go
+++ b/citronloan/loan.go
@@ -127,7 +127,7 @@
 	}
 	now := b.clock.Now()
 	until := now.Add(time.Duration(l.LeftMS) * time.Millisecond)
-	b.budget.Borrowed(service, citronbudget.Loan{Retries: l.Retries, Until: until}, now)
+	b.budget.AddLoan(service, citronbudget.Loan{Retries: l.Retries, Until: until}, now)
 	return max(0, l.Retries)
 }
 
