--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -86,7 +86,7 @@
 	return citronpermit.IssuerFor(engine, zone, nodes)
 }
 
-// Permit implements citronpeer.PermitDealer. It issues a permit to another node, or
+// Permit implements citronpeer.PermitIssuer. It issues a permit to another node, or
 // says when the node should ask again.
 func (a answerer) Permit(q citronpeer.PermitRequest) citronpeer.Permit {
 	n := a.n
--- a/citronpeer/limit.go
+++ b/citronpeer/limit.go
@@ -49,14 +49,14 @@
 	Limit Limit `json:"limit"`
 }
 
-// PermitDealer is a permit issuer: it serves the permit requests of other
+// PermitIssuer is a permit issuer: it serves the permit requests of other
 // nodes.
-type PermitDealer interface {
+type PermitIssuer interface {
 	Permit(PermitRequest) Permit
 }
 
 // HandlePermit mounts a permit issuer's procedure on mux.
-func HandlePermit(mux *http.ServeMux, d PermitDealer) {
+func HandlePermit(mux *http.ServeMux, d PermitIssuer) {
 	inner := http.NewServeMux()
 	citronwire.Handle(inner, procedurePermit, func(_ context.Context, r *PermitRequest) (*Permit, error) {
 		p := d.Permit(*r)
