--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -66,7 +66,7 @@
 	case issuer.Name == n.set.Name:
 		return n.permits.Issue(e.ID, r.PerSecond, patience, n.clock.Now())
 	}
-	p, err := n.peers.AskPermit(ctx, issuer.Peer, citronpeer.PermitRequest{Node: n.set.Name, Limit: r.Wire(e.ID), PatienceMS: patience.Milliseconds()}, permitTimeout)
+	p, err := n.peers.AskPermit(ctx, issuer.Peer, citronpeer.PermitRequest{Node: n.set.Name, Limit: r.Wire(e.ID), MaxWaitMS: patience.Milliseconds()}, permitTimeout)
 	if err != nil {
 		citronevent.Log(ctx, n.log, citronevent.PermitFailed, "engine", e.ID, "peer", issuer.Peer, "err", err)
 		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
@@ -121,5 +121,5 @@
 	if !known.Limited {
 		return citronpermit.Granted{}
 	}
-	return n.permits.Issue(engine, known.PerSecond, time.Duration(q.PatienceMS)*time.Millisecond, n.clock.Now())
+	return n.permits.Issue(engine, known.PerSecond, time.Duration(q.MaxWaitMS)*time.Millisecond, n.clock.Now())
 }
--- a/citronpeer/limit.go
+++ b/citronpeer/limit.go
@@ -33,8 +33,8 @@
 	// engine's rate limit.
 	Node  string `json:"node"`
 	Limit Limit  `json:"limit"`
-	// PatienceMS is how long the request can wait, in milliseconds.
-	PatienceMS int64 `json:"patienceMs,omitempty"`
+	// MaxWaitMS is how long the request can wait, in milliseconds.
+	MaxWaitMS int64 `json:"patienceMs,omitempty"`
 }
 
 // Permit is the answer to a PermitRequest.
