--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -76,7 +76,7 @@
 	if p.Granted {
 		return citronpermit.Granted{Wait: wait}
 	}
-	return citronpermit.Denied{AvailableIn: wait, RetryAfter: time.Duration(p.AgainMS) * time.Millisecond}
+	return citronpermit.Denied{AvailableIn: wait, RetryAfter: time.Duration(p.AskAgainMS) * time.Millisecond}
 }
 
 // permitIssuer returns the node that issues the permits for an engine.
@@ -98,7 +98,7 @@
 	case citronpermit.Granted:
 		out.Granted, out.WaitMS = true, d.Wait.Milliseconds()
 	case citronpermit.Denied:
-		out.WaitMS, out.AgainMS = d.AvailableIn.Milliseconds(), d.RetryAfter.Milliseconds()
+		out.WaitMS, out.AskAgainMS = d.AvailableIn.Milliseconds(), d.RetryAfter.Milliseconds()
 	}
 	return out
 }
--- a/citronpeer/limit.go
+++ b/citronpeer/limit.go
@@ -41,10 +41,10 @@
 type Permit struct {
 	// Granted reports whether the request may be sent after WaitMS. If not, the
 	// engine has no free capacity for it before WaitMS has passed, and the node
-	// should ask again after AgainMS. Both are in milliseconds.
-	Granted bool  `json:"granted,omitempty"`
-	WaitMS  int64 `json:"waitMs,omitempty"`
-	AgainMS int64 `json:"againMs,omitempty"`
+	// should ask again after AskAgainMS. Both are in milliseconds.
+	Granted    bool  `json:"granted,omitempty"`
+	WaitMS     int64 `json:"waitMs,omitempty"`
+	AskAgainMS int64 `json:"againMs,omitempty"`
 	// Limit is what the permit issuer knows about the engine's rate limit.
 	Limit Limit `json:"limit"`
 }
