--- a/citronnode/suspects.go
+++ b/citronnode/suspects.go
@@ -23,7 +23,7 @@
 func encodeSuspects(entries []citronquarantine.Entry, now time.Time) []citronpeer.Suspect {
 	var out []citronpeer.Suspect
 	for _, e := range entries {
-		s := citronpeer.Suspect{Print: e.Fingerprint.String()}
+		s := citronpeer.Suspect{Fingerprint: e.Fingerprint.String()}
 		for _, c := range e.Crashes() {
 			s.Crashes = append(s.Crashes, citronpeer.SuspectCrash{Engine: c.Engine, AgeMS: max(0, now.Sub(c.At).Milliseconds()), Refuted: c.Refuted})
 		}
@@ -40,15 +40,15 @@
 	var out []citronquarantine.Entry
 	for _, s := range suspects {
 		var e citronquarantine.Entry
-		if err := e.Fingerprint.UnmarshalText([]byte(s.Print)); err != nil {
+		if err := e.Fingerprint.UnmarshalText([]byte(s.Fingerprint)); err != nil {
 			return nil, err
 		}
 		if n := len(s.Crashes); n > citronquarantine.MaxCrashes {
-			return nil, errors.Newf("suspect %s has %d crashes, the maximum is %d", s.Print, n, citronquarantine.MaxCrashes)
+			return nil, errors.Newf("suspect %s has %d crashes, the maximum is %d", s.Fingerprint, n, citronquarantine.MaxCrashes)
 		}
 		for _, c := range s.Crashes {
 			if c.AgeMS < 0 || c.AgeMS > citronquarantine.MaxCrashAge.Milliseconds() {
-				return nil, errors.Newf("suspect %s has a crash of age %d ms, want 0 to %d ms", s.Print, c.AgeMS, citronquarantine.MaxCrashAge.Milliseconds())
+				return nil, errors.Newf("suspect %s has a crash of age %d ms, want 0 to %d ms", s.Fingerprint, c.AgeMS, citronquarantine.MaxCrashAge.Milliseconds())
 			}
 			at := now.Add(-time.Duration(c.AgeMS) * time.Millisecond)
 			e.Record = e.WithCrash(citronquarantine.Crash{Engine: c.Engine, At: at, Refuted: c.Refuted})
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -140,15 +140,15 @@
 	flood := make([]citronpeer.Suspect, citronquarantine.MaxGossipRecords+1)
 	for i := range flood {
 		p := citronquarantine.FingerprintOf("council", "POST", "h", fmt.Sprint(i), nil)
-		flood[i] = citronpeer.Suspect{Print: p.String(), Crashes: crashes(3, 1)}
+		flood[i] = citronpeer.Suspect{Fingerprint: p.String(), Crashes: crashes(3, 1)}
 	}
 	client := citronpeer.Client{HC: http.DefaultClient, Timeout: time.Second}
 	invalid := [][]citronpeer.Suspect{
-		{{Print: suspect.String(), Crashes: crashes(3, -5000)}},
-		{{Print: suspect.String(), Crashes: crashes(1000, 1)}},
-		{{Print: suspect.String(), Crashes: crashes(3, 1<<62)}},
-		{{Print: suspect.String()}},
-		{{Print: "no fingerprint", Crashes: crashes(3, 1)}},
+		{{Fingerprint: suspect.String(), Crashes: crashes(3, -5000)}},
+		{{Fingerprint: suspect.String(), Crashes: crashes(1000, 1)}},
+		{{Fingerprint: suspect.String(), Crashes: crashes(3, 1<<62)}},
+		{{Fingerprint: suspect.String()}},
+		{{Fingerprint: "no fingerprint", Crashes: crashes(3, 1)}},
 		flood,
 	}
 	for _, suspects := range invalid {
--- a/citronpeer/suspect.go
+++ b/citronpeer/suspect.go
@@ -2,9 +2,9 @@
 
 // Suspect is a request under which engines have crashed.
 type Suspect struct {
-	// Print is the request's fingerprint in hexadecimal.
-	Print   string         `json:"print"`
-	Crashes []SuspectCrash `json:"crashes"`
+	// Fingerprint is the request's fingerprint in hexadecimal.
+	Fingerprint string         `json:"print"`
+	Crashes     []SuspectCrash `json:"crashes"`
 }
 
 // SuspectCrash is the crash of an engine under a suspect.
