--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -303,8 +303,8 @@
 			goals[id] = [2]int{s.From, s.To}
 		}
 	}
-	if !maps.Equal(goals, c.self.Goals) {
-		c.self.Goals = goals
+	if !maps.Equal(goals, c.self.TargetLayers) {
+		c.self.TargetLayers = goals
 		c.n.notifyPeers()
 	}
 }
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -114,7 +114,7 @@
 func (c *control) lastKnownTargets(now time.Time) map[string]citronmodel.Span {
 	var last *citronroster.Known
 	for k := range c.members.All() {
-		if len(k.Goals) > 0 && now.Sub(k.Heard) < targetRetention && (last == nil || k.Heard.After(last.Heard)) {
+		if len(k.TargetLayers) > 0 && now.Sub(k.Heard) < targetRetention && (last == nil || k.Heard.After(last.Heard)) {
 			last = k
 		}
 	}
@@ -122,7 +122,7 @@
 	if last == nil {
 		return out
 	}
-	for id, s := range last.Goals {
+	for id, s := range last.TargetLayers {
 		out[id] = citronmodel.Span{From: s[0], To: s[1]}
 	}
 	return out
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -47,9 +47,9 @@
 	Watching bool `json:"watching,omitempty"`
 	// Store is what the node knows about the availability of the store.
 	Store citronhealth.Status `json:"store,omitzero"`
-	// Goals are target layer ranges (from, to) by engine ID, set by this node
+	// TargetLayers are target layer ranges (from, to) by engine ID, set by this node
 	// as the leader. An entry remains until the engine holds its range.
-	Goals map[string][2]int `json:"goals,omitempty"`
+	TargetLayers map[string][2]int `json:"goals,omitempty"`
 	// Dead are the IDs of engines that have just failed to answer the node.
 	Dead []string `json:"dead,omitempty"`
 	// Starts are start times of engines, by their name in the list of engines.
