--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -231,7 +231,7 @@
 	c.ageMembers(ctx, now)
 	c.updateStoreStatus(ctx, now) // after ageMembers, which determines the lost nodes
 	c.logJoined(ctx)
-	c.self.Beat++
+	c.self.Heartbeat++
 	c.self.Leaving = c.n.leaving.Load()
 	c.self.Ready = c.n.Ready()
 	c.self.Leads = c.n.leads.Load()
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -128,7 +128,7 @@
 	is.Equal(r.inUse()["a:1"], modelEngine("i-1", "a:1", 100, 8).Reborn(200))
 	is.Equal(r.self.Starts, map[string]int64{"i-1": 200})
 	told := r.self
-	told.Name, told.Beat = "n2", 7
+	told.Name, told.Heartbeat = "n2", 7
 	otherView, _ := other.view.ByID("i-1@100")
 	other.take(context.Background(), memberUpdate{told: citronpeer.Diff{Members: []citronpeer.Member{told}}})
 	other.publish()
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -59,8 +59,8 @@
 
 // Gauges are the frequently changing values of a member.
 type Gauges struct {
-	// Beat is the heartbeat counter. It grows while the process lives.
-	Beat int64 `json:"beat"`
+	// Heartbeat is the heartbeat counter. It grows while the process lives.
+	Heartbeat int64 `json:"beat"`
 	// Load is the engine cache that the node's requests use, in tokens by zone.
 	Load map[string]int64 `json:"load,omitempty"`
 	// Sent is what the node has sent in the last window, by service.
@@ -87,7 +87,7 @@
 	if m.Started != o.Started {
 		return m.Started > o.Started
 	}
-	return m.Beat > o.Beat
+	return m.Heartbeat > o.Heartbeat
 }
 
 // Before reports whether m precedes o in the order in which nodes take on the
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -17,7 +17,7 @@
 
 func gauges(i int) citronpeer.Gauges {
 	return citronpeer.Gauges{
-		Beat: int64(1000 + i*37%900), Load: map[string]int64{"hall-0": int64(i * 991), "hall-1": int64(i * 17)},
+		Heartbeat: int64(1000 + i*37%900), Load: map[string]int64{"hall-0": int64(i * 991), "hall-1": int64(i * 17)},
 		Sent: map[string]citronpeer.Sent{"model": {Requests: float64(i), Retries: 1}},
 	}
 }
@@ -75,7 +75,7 @@
 func TestNewer(t *testing.T) {
 	is := is.New(t)
 	at := func(started, heartbeat int64) citronpeer.Member {
-		return citronpeer.Member{Started: started, Gauges: citronpeer.Gauges{Beat: heartbeat}}
+		return citronpeer.Member{Started: started, Gauges: citronpeer.Gauges{Heartbeat: heartbeat}}
 	}
 	a := at(5, 10)
 	is.True(at(5, 11).Newer(a))
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -71,7 +71,7 @@
 func (r Roster) Digest() citronpeer.Digest {
 	d := citronpeer.Digest{Prints: make([]citronpeer.Print, len(r.entries)), Beats: make([]int64, len(r.entries))}
 	for i, e := range r.entries {
-		d.Prints[i], d.Beats[i] = e.Print, e.Beat
+		d.Prints[i], d.Beats[i] = e.Print, e.Heartbeat
 	}
 	return d
 }
@@ -89,7 +89,7 @@
 		switch {
 		case !known:
 			out = e.appendTo(out)
-		case sameZone && e.Zone == r.zone && e.Beat >= heartbeat+minHeartbeatLead:
+		case sameZone && e.Zone == r.zone && e.Heartbeat >= heartbeat+minHeartbeatLead:
 			out.Gauges = append(out.Gauges, e.gauge())
 		}
 	}
@@ -105,7 +105,7 @@
 		switch {
 		case !known:
 			out.Members = append(out.Members, p)
-		case sameZone && r.entries[index].Zone == r.zone && d.Beat(i) >= r.entries[index].Beat+minHeartbeatLead:
+		case sameZone && r.entries[index].Zone == r.zone && d.Beat(i) >= r.entries[index].Heartbeat+minHeartbeatLead:
 			out.Gauges = append(out.Gauges, p)
 		}
 	}
--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -15,7 +15,7 @@
 func member(name, zone string, details, heartbeat int64) citronpeer.Member {
 	return citronpeer.Member{
 		Name: name, Zone: zone, Peer: name + ":1", Started: 1, Ready: details%2 == 0, Store: statusOf(details),
-		Gauges: citronpeer.Gauges{Beat: heartbeat, Load: map[string]int64{zone: heartbeat}},
+		Gauges: citronpeer.Gauges{Heartbeat: heartbeat, Load: map[string]int64{zone: heartbeat}},
 	}
 }
 
@@ -32,7 +32,7 @@
 func TestFingerprintIgnoresGauges(t *testing.T) {
 	is := is.New(t)
 	a := member("a", "z1", 0, 5)
-	is.Equal(citronroster.Of(a), citronroster.Of(a.WithGauges(citronpeer.Gauges{Beat: 99})))
+	is.Equal(citronroster.Of(a), citronroster.Of(a.WithGauges(citronpeer.Gauges{Heartbeat: 99})))
 	b := a
 	b.Leaving = true
 	is.True(citronroster.Of(a) != citronroster.Of(b))
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -124,7 +124,7 @@
 	if ok && old.Alive {
 		heard = now // The heartbeat has advanced since this node last heard of the member.
 	}
-	k := &Known{Entry: Entry{Member: m, Print: Of(m)}, latestHeartbeat: m.Beat, Heard: heard, Alive: true}
+	k := &Known{Entry: Entry{Member: m, Print: Of(m)}, latestHeartbeat: m.Heartbeat, Heard: heard, Alive: true}
 	t.members[m.Name] = k
 	t.byPrint[k.Print] = k
 	return true, !ok || !old.Alive || old.Leaving != m.Leaving || old.Ready != m.Ready
@@ -135,11 +135,11 @@
 // gauges are not new or the member is unknown.
 func (t *Table) TakeGauge(g citronpeer.Gauge, now time.Time) (of *Known, back bool) {
 	k := t.byPrint[g.Print]
-	if k == nil || g.Beat <= k.Beat || g.Beat > k.latestHeartbeat+maxHeartbeatLead {
+	if k == nil || g.Heartbeat <= k.Heartbeat || g.Heartbeat > k.latestHeartbeat+maxHeartbeatLead {
 		return nil, false
 	}
 	k.Gauges = g.Gauges
-	return k, t.noteHeartbeat(k, g.Beat, now)
+	return k, t.noteHeartbeat(k, g.Heartbeat, now)
 }
 
 // TakeDigest records from another node's digest which members are alive, and
@@ -153,7 +153,7 @@
 			continue
 		}
 		if k.Zone != t.zone {
-			k.Beat = max(k.Beat, heartbeat)
+			k.Heartbeat = max(k.Heartbeat, heartbeat)
 		}
 		if t.noteHeartbeat(k, heartbeat, now) {
 			back = append(back, k)
