--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -26,7 +26,7 @@
 	inboxSize = 256
 	// tickInterval is how often the loop checks time-dependent state. Each tick
 	// increments the heartbeat counter of this node.
-	tickInterval = citronpeer.BeatEvery
+	tickInterval = citronpeer.MinHeartbeatInterval
 	// deadReportAge is how long a node keeps reporting an engine that it found dead. Other
 	// nodes verify the report themselves.
 	deadReportAge = 1500 * time.Millisecond
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -79,8 +79,8 @@
 	Retries  float64 `json:"repeats"`
 }
 
-// BeatEvery is the minimum average time between two heartbeats of a member.
-const BeatEvery = 100 * time.Millisecond
+// MinHeartbeatInterval is the minimum average time between two heartbeats of a member.
+const MinHeartbeatInterval = 100 * time.Millisecond
 
 // Newer reports whether m is a later state of the same node than o.
 func (m Member) Newer(o Member) bool {
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -167,7 +167,7 @@
 // now were used instead, heartbeats of a dead member that travel from node to
 // node would keep it alive for another second.
 func (k *Known) heardAt(heartbeat int64, now time.Time) time.Time {
-	at := k.Heard.Add(time.Duration(heartbeat-k.latestHeartbeat) * citronpeer.BeatEvery)
+	at := k.Heard.Add(time.Duration(heartbeat-k.latestHeartbeat) * citronpeer.MinHeartbeatInterval)
 	if oldest := now.Add(-maxReportAge); at.Before(oldest) {
 		return oldest
 	}
