--- a/citronnode/settle.go
+++ b/citronnode/settle.go
@@ -68,10 +68,10 @@
 	}
 	s.answered++
 	s.refused, s.failed = 0, 0
-	grown := len(ours.Prints) != s.known
-	s.known = len(ours.Prints)
+	grown := len(ours.Fingerprints) != s.known
+	s.known = len(ours.Fingerprints)
 	// A node that knows only itself does not know the answering node yet.
-	if grown || len(ours.Prints) <= 1 || len(theirs.Prints) > len(ours.Prints) {
+	if grown || len(ours.Fingerprints) <= 1 || len(theirs.Fingerprints) > len(ours.Fingerprints) {
 		s.unchanged = 0
 		return
 	}
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -112,8 +112,8 @@
 // Digest lists the members that a node knows: their fingerprints and, at the
 // same index, their heartbeat counters.
 type Digest struct {
-	Prints []Print `json:"prints,omitempty"`
-	Beats  []int64 `json:"beats,omitempty"`
+	Fingerprints []Print `json:"prints,omitempty"`
+	Beats        []int64 `json:"beats,omitempty"`
 }
 
 // Beat returns the heartbeat counter for the fingerprint at index i. It returns
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -69,9 +69,9 @@
 
 // Digest returns the fingerprints and heartbeat counters of all members.
 func (r Roster) Digest() citronpeer.Digest {
-	d := citronpeer.Digest{Prints: make([]citronpeer.Print, len(r.entries)), Beats: make([]int64, len(r.entries))}
+	d := citronpeer.Digest{Fingerprints: make([]citronpeer.Print, len(r.entries)), Beats: make([]int64, len(r.entries))}
 	for i, e := range r.entries {
-		d.Prints[i], d.Beats[i] = e.Print, e.Heartbeat
+		d.Fingerprints[i], d.Beats[i] = e.Print, e.Heartbeat
 	}
 	return d
 }
@@ -79,8 +79,8 @@
 // Diff returns what the sender of digest d is missing. sameZone reports whether
 // the sender is in the roster's zone.
 func (r Roster) Diff(d citronpeer.Digest, sameZone bool) citronpeer.Diff {
-	theirs := make(map[citronpeer.Print]int64, len(d.Prints))
-	for i, p := range d.Prints {
+	theirs := make(map[citronpeer.Print]int64, len(d.Fingerprints))
+	for i, p := range d.Fingerprints {
 		theirs[p] = d.Beat(i)
 	}
 	var out citronpeer.Diff
@@ -100,7 +100,7 @@
 // reports whether the sender of d is in the roster's zone.
 func (r Roster) Wants(d citronpeer.Digest, sameZone bool) citronpeer.Wants {
 	var out citronpeer.Wants
-	for i, p := range d.Prints {
+	for i, p := range d.Fingerprints {
 		index, known := r.indexByPrint[p]
 		switch {
 		case !known:
--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -71,7 +71,7 @@
 func TestMalformedDigest(t *testing.T) {
 	is := is.New(t)
 	r := roster("z1", member("a", "z1", 0, 10))
-	d := citronpeer.Digest{Prints: []citronpeer.Print{citronroster.Of(member("a", "z1", 0, 1)), 77}}
+	d := citronpeer.Digest{Fingerprints: []citronpeer.Print{citronroster.Of(member("a", "z1", 0, 1)), 77}}
 	is.Equal(len(r.Diff(d, true).Gauges), 1) // a missing heartbeat counter counts as zero
 	is.Equal(r.Wants(d, true), citronpeer.Wants{Members: []citronpeer.Print{77}})
 	is.Equal(r.Wanted(citronpeer.Wants{Members: []citronpeer.Print{77}, Gauges: []citronpeer.Print{78}}), citronpeer.Diff{})
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -146,7 +146,7 @@
 // returns the members that thereby came back. Beat of a member of this zone
 // stays unchanged: it belongs to the gauges, which a digest does not carry.
 func (t *Table) TakeDigest(d citronpeer.Digest, now time.Time) (back []*Known) {
-	for i, p := range d.Prints {
+	for i, p := range d.Fingerprints {
 		k := t.byPrint[p]
 		heartbeat := d.Beat(i)
 		if k == nil || heartbeat > k.latestHeartbeat+maxHeartbeatLead {
