--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -113,16 +113,16 @@
 // same index, their heartbeat counters.
 type Digest struct {
 	Fingerprints []Print `json:"prints,omitempty"`
-	Beats        []int64 `json:"beats,omitempty"`
+	Heartbeats   []int64 `json:"beats,omitempty"`
 }
 
 // Beat returns the heartbeat counter for the fingerprint at index i. It returns
 // zero if the digest has fewer counters than fingerprints.
 func (d Digest) Beat(i int) int64 {
-	if i >= len(d.Beats) {
+	if i >= len(d.Heartbeats) {
 		return 0
 	}
-	return d.Beats[i]
+	return d.Heartbeats[i]
 }
 
 // Gauge holds new gauges of a member whose details the receiver knows.
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -52,7 +52,7 @@
 	hs := httptest.NewServer(mux)
 	defer hs.Close()
 	c := &citronpeer.Client{HC: hs.Client(), Timeout: 30 * time.Second}
-	sent := citronpeer.Knowledge{From: member(1), Digest: citronpeer.Digest{Fingerprints: []citronpeer.Print{5}, Beats: []int64{9}}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
+	sent := citronpeer.Knowledge{From: member(1), Digest: citronpeer.Digest{Fingerprints: []citronpeer.Print{5}, Heartbeats: []int64{9}}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
 	got, err := c.Exchange(context.Background(), strings.TrimPrefix(hs.URL, "http://"), sent)
 	is.NoErr(err)
 	is.Equal(received, sent)
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -69,9 +69,9 @@
 
 // Digest returns the fingerprints and heartbeat counters of all members.
 func (r Roster) Digest() citronpeer.Digest {
-	d := citronpeer.Digest{Fingerprints: make([]citronpeer.Print, len(r.entries)), Beats: make([]int64, len(r.entries))}
+	d := citronpeer.Digest{Fingerprints: make([]citronpeer.Print, len(r.entries)), Heartbeats: make([]int64, len(r.entries))}
 	for i, e := range r.entries {
-		d.Fingerprints[i], d.Beats[i] = e.Print, e.Heartbeat
+		d.Fingerprints[i], d.Heartbeats[i] = e.Print, e.Heartbeat
 	}
 	return d
 }
