--- a/citronpeer/fuzz_test.go
+++ b/citronpeer/fuzz_test.go
@@ -32,7 +32,7 @@
 		mux := http.NewServeMux()
 		citronpeer.Handle(mux, answerFunc(func(k citronpeer.Knowledge) citronpeer.Knowledge {
 			k.Diff.Age(0)
-			k.Digest.Beat(0)
+			k.Digest.Heartbeat(0)
 			return k
 		}))
 		for _, procedure := range []string{"/citron.peer/Exchange", "/citron.peer/News"} {
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -116,9 +116,9 @@
 	Heartbeats   []int64 `json:"beats,omitempty"`
 }
 
-// Beat returns the heartbeat counter for the fingerprint at index i. It returns
+// Heartbeat returns the heartbeat counter for the fingerprint at index i. It returns
 // zero if the digest has fewer counters than fingerprints.
-func (d Digest) Beat(i int) int64 {
+func (d Digest) Heartbeat(i int) int64 {
 	if i >= len(d.Heartbeats) {
 		return 0
 	}
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -81,7 +81,7 @@
 func (r Roster) Diff(d citronpeer.Digest, sameZone bool) citronpeer.Diff {
 	theirs := make(map[citronpeer.Print]int64, len(d.Fingerprints))
 	for i, p := range d.Fingerprints {
-		theirs[p] = d.Beat(i)
+		theirs[p] = d.Heartbeat(i)
 	}
 	var out citronpeer.Diff
 	for _, e := range r.entries {
@@ -105,7 +105,7 @@
 		switch {
 		case !known:
 			out.Members = append(out.Members, p)
-		case sameZone && r.entries[index].Zone == r.zone && d.Beat(i) >= r.entries[index].Heartbeat+minHeartbeatLead:
+		case sameZone && r.entries[index].Zone == r.zone && d.Heartbeat(i) >= r.entries[index].Heartbeat+minHeartbeatLead:
 			out.Gauges = append(out.Gauges, p)
 		}
 	}
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -148,7 +148,7 @@
 func (t *Table) TakeDigest(d citronpeer.Digest, now time.Time) (back []*Known) {
 	for i, p := range d.Fingerprints {
 		k := t.byPrint[p]
-		heartbeat := d.Beat(i)
+		heartbeat := d.Heartbeat(i)
 		if k == nil || heartbeat > k.latestHeartbeat+maxHeartbeatLead {
 			continue
 		}
