--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -127,7 +127,7 @@
 
 // Gauge holds new gauges of a member whose details the receiver knows.
 type Gauge struct {
-	Print Print `json:"print"`
+	Fingerprint Print `json:"print"`
 	Gauges
 }
 
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -137,5 +137,5 @@
 }
 
 func (e Entry) gauge() citronpeer.Gauge {
-	return citronpeer.Gauge{Print: e.Print, Gauges: e.Gauges}
+	return citronpeer.Gauge{Fingerprint: e.Print, Gauges: e.Gauges}
 }
