--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -37,7 +37,7 @@
 }
 
 // mergeGauges merges gauges of nodes whose complete entries are known.
-func (c *control) mergeGauges(gauges []citronpeer.Gauge) {
+func (c *control) mergeGauges(gauges []citronpeer.GaugeUpdate) {
 	now := c.n.clock.Now()
 	for _, g := range gauges {
 		if k, back := c.members.TakeGauge(g, now); back {
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -125,8 +125,8 @@
 	return d.Heartbeats[i]
 }
 
-// Gauge holds new gauges of a member whose details the receiver knows.
-type Gauge struct {
+// GaugeUpdate holds new gauges of a member whose details the receiver knows.
+type GaugeUpdate struct {
 	Fingerprint Print `json:"print"`
 	Gauges
 }
@@ -137,8 +137,8 @@
 	Members []Member `json:"members,omitempty"`
 	// AgesMS are the times since the members were last heard of, in
 	// milliseconds, at the same index as in Members.
-	AgesMS []int64 `json:"agesMs,omitempty"`
-	Gauges []Gauge `json:"gauges,omitempty"`
+	AgesMS []int64       `json:"agesMs,omitempty"`
+	Gauges []GaugeUpdate `json:"gauges,omitempty"`
 }
 
 // Age returns the age of the state of Members[i]. A missing or implausible age
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -42,7 +42,7 @@
 	mux := http.NewServeMux()
 	var received citronpeer.Knowledge
 	answer := citronpeer.Knowledge{
-		From: member(2), Diff: citronpeer.Diff{Members: []citronpeer.Member{member(3)}, AgesMS: []int64{70}, Gauges: []citronpeer.Gauge{{Fingerprint: 7, Gauges: gauges(7)}}},
+		From: member(2), Diff: citronpeer.Diff{Members: []citronpeer.Member{member(3)}, AgesMS: []int64{70}, Gauges: []citronpeer.GaugeUpdate{{Fingerprint: 7, Gauges: gauges(7)}}},
 		Wants: citronpeer.Wants{Gauges: []citronpeer.Print{1 << 31}}, Config: citronpeer.ConfigDocument{Version: 9, Body: []byte("nine")},
 	}
 	citronpeer.Handle(mux, answerFunc(func(k citronpeer.Knowledge) citronpeer.Knowledge {
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -136,6 +136,6 @@
 	return d
 }
 
-func (e Entry) gauge() citronpeer.Gauge {
-	return citronpeer.Gauge{Fingerprint: e.Print, Gauges: e.Gauges}
+func (e Entry) gauge() citronpeer.GaugeUpdate {
+	return citronpeer.GaugeUpdate{Fingerprint: e.Print, Gauges: e.Gauges}
 }
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -133,7 +133,7 @@
 // TakeGauge records new gauges of a member whose details are known. It returns
 // the member, and whether the member thereby came back. It returns nil if the
 // gauges are not new or the member is unknown.
-func (t *Table) TakeGauge(g citronpeer.Gauge, now time.Time) (of *Known, back bool) {
+func (t *Table) TakeGauge(g citronpeer.GaugeUpdate, now time.Time) (of *Known, back bool) {
 	k := t.byPrint[g.Fingerprint]
 	if k == nil || g.Heartbeat <= k.Heartbeat || g.Heartbeat > k.latestHeartbeat+maxHeartbeatLead {
 		return nil, false
