--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -45,7 +45,7 @@
 // Entry is a member and the fingerprint of its details.
 type Entry struct {
 	citronpeer.Member
-	Print citronpeer.Print
+	Fingerprint citronpeer.Print
 	// Age is how long ago the member was last heard of when the entry was made.
 	Age time.Duration
 }
@@ -62,7 +62,7 @@
 func New(zone string, entries []Entry) Roster {
 	r := Roster{zone: zone, entries: entries, indexByPrint: make(map[citronpeer.Print]int, len(entries))}
 	for i, e := range entries {
-		r.indexByPrint[e.Print] = i
+		r.indexByPrint[e.Fingerprint] = i
 	}
 	return r
 }
@@ -71,7 +71,7 @@
 func (r Roster) Digest() citronpeer.Digest {
 	d := citronpeer.Digest{Fingerprints: make([]citronpeer.Print, len(r.entries)), Heartbeats: make([]int64, len(r.entries))}
 	for i, e := range r.entries {
-		d.Fingerprints[i], d.Heartbeats[i] = e.Print, e.Heartbeat
+		d.Fingerprints[i], d.Heartbeats[i] = e.Fingerprint, e.Heartbeat
 	}
 	return d
 }
@@ -85,7 +85,7 @@
 	}
 	var out citronpeer.Diff
 	for _, e := range r.entries {
-		heartbeat, known := theirs[e.Print]
+		heartbeat, known := theirs[e.Fingerprint]
 		switch {
 		case !known:
 			out = e.appendTo(out)
@@ -137,5 +137,5 @@
 }
 
 func (e Entry) gauge() citronpeer.GaugeUpdate {
-	return citronpeer.GaugeUpdate{Fingerprint: e.Print, Gauges: e.Gauges}
+	return citronpeer.GaugeUpdate{Fingerprint: e.Fingerprint, Gauges: e.Gauges}
 }
--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -22,7 +22,7 @@
 func roster(zone string, members ...citronpeer.Member) citronroster.Roster {
 	entries := make([]citronroster.Entry, len(members))
 	for i, m := range members {
-		entries[i] = citronroster.Entry{Member: m, Print: citronroster.Of(m)}
+		entries[i] = citronroster.Entry{Member: m, Fingerprint: citronroster.Of(m)}
 	}
 	return citronroster.New(zone, entries)
 }
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -119,14 +119,14 @@
 		return false, false
 	}
 	if ok {
-		delete(t.byPrint, old.Print)
+		delete(t.byPrint, old.Fingerprint)
 	}
 	if ok && old.Alive {
 		heard = now // The heartbeat has advanced since this node last heard of the member.
 	}
-	k := &Known{Entry: Entry{Member: m, Print: Of(m)}, latestHeartbeat: m.Heartbeat, Heard: heard, Alive: true}
+	k := &Known{Entry: Entry{Member: m, Fingerprint: Of(m)}, latestHeartbeat: m.Heartbeat, Heard: heard, Alive: true}
 	t.members[m.Name] = k
-	t.byPrint[k.Print] = k
+	t.byPrint[k.Fingerprint] = k
 	return true, !ok || !old.Alive || old.Leaving != m.Leaving || old.Ready != m.Ready
 }
 
@@ -206,7 +206,7 @@
 		switch {
 		case age > forgetAfter:
 			delete(t.members, name)
-			delete(t.byPrint, k.Print)
+			delete(t.byPrint, k.Fingerprint)
 		case k.Alive && (k.probed && age > limit+probeTimeout || age > limit+unprobedTimeout):
 			k.Alive = false
 			lost = append(lost, k)
