--- a/citronnode/settle_test.go
+++ b/citronnode/settle_test.go
@@ -12,7 +12,9 @@
 // Guards against a node that starts and never watches the store because the other nodes
 // have just died, keep knowing different members, or never existed.
 func TestNodeStabilizesAfterStartup(t *testing.T) {
-	knows := func(n int) citronpeer.Digest { return citronpeer.Digest{Fingerprints: make([]citronpeer.Print, n)} }
+	knows := func(n int) citronpeer.Digest {
+		return citronpeer.Digest{Fingerprints: make([]citronpeer.Fingerprint, n)}
+	}
 	down, silent := errors.Wrap(syscall.ECONNREFUSED, "dial"), errors.New("timeout")
 	cases := []struct {
 		name  string
--- a/citronpeer/fuzz_test.go
+++ b/citronpeer/fuzz_test.go
@@ -20,7 +20,7 @@
 		map[string]any{"from": member(1), "engines": map[string]any{"revision": int64(1) << 62}},
 		map[string]any{"engines": map[string]any{"revision": -5}},
 		map[string]any{"engines": citronpeer.ListDocument{Revision: citronkv.RevisionOf(3, 9), Base: citronkv.RevisionOf(3, 8), Body: []byte("[]")}},
-		map[string]any{"digest": citronpeer.Digest{Fingerprints: []citronpeer.Print{1, 2}, Heartbeats: []int64{-1}}},
+		map[string]any{"digest": citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{1, 2}, Heartbeats: []int64{-1}}},
 	} {
 		data, err := cbor.Marshal(v)
 		if err != nil {
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -103,17 +103,17 @@
 	return a < b || a == b && m.Name < o.Name
 }
 
-// Print is a fingerprint of a member without its gauges (citronroster). In one
+// Fingerprint is a fingerprint of a member without its gauges (citronroster). In one
 // of six thousand fleets of 1,200 nodes two members have the same fingerprint,
 // until one of them changes. Updates about one of them are then missing, and
 // other nodes probe it.
-type Print uint32
+type Fingerprint uint32
 
 // Digest lists the members that a node knows: their fingerprints and, at the
 // same index, their heartbeat counters.
 type Digest struct {
-	Fingerprints []Print `json:"prints,omitempty"`
-	Heartbeats   []int64 `json:"beats,omitempty"`
+	Fingerprints []Fingerprint `json:"prints,omitempty"`
+	Heartbeats   []int64       `json:"beats,omitempty"`
 }
 
 // Heartbeat returns the heartbeat counter for the fingerprint at index i. It returns
@@ -127,7 +127,7 @@
 
 // GaugeUpdate holds new gauges of a member whose details the receiver knows.
 type GaugeUpdate struct {
-	Fingerprint Print `json:"print"`
+	Fingerprint Fingerprint `json:"print"`
 	Gauges
 }
 
@@ -166,8 +166,8 @@
 // Wants lists the missing items that a node requests from a peer, by
 // fingerprint from the peer's digest.
 type Wants struct {
-	Members []Print `json:"members,omitempty"`
-	Gauges  []Print `json:"gauges,omitempty"`
+	Members []Fingerprint `json:"members,omitempty"`
+	Gauges  []Fingerprint `json:"gauges,omitempty"`
 }
 
 // Empty reports whether no item is missing.
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -43,7 +43,7 @@
 	var received citronpeer.Knowledge
 	answer := citronpeer.Knowledge{
 		From: member(2), Diff: citronpeer.Diff{Members: []citronpeer.Member{member(3)}, AgesMS: []int64{70}, Gauges: []citronpeer.GaugeUpdate{{Fingerprint: 7, Gauges: gauges(7)}}},
-		Wants: citronpeer.Wants{Gauges: []citronpeer.Print{1 << 31}}, Config: citronpeer.ConfigDocument{Version: 9, Body: []byte("nine")},
+		Wants: citronpeer.Wants{Gauges: []citronpeer.Fingerprint{1 << 31}}, Config: citronpeer.ConfigDocument{Version: 9, Body: []byte("nine")},
 	}
 	citronpeer.Handle(mux, answerFunc(func(k citronpeer.Knowledge) citronpeer.Knowledge {
 		received = k
@@ -52,7 +52,7 @@
 	hs := httptest.NewServer(mux)
 	defer hs.Close()
 	c := &citronpeer.Client{HC: hs.Client(), Timeout: 30 * time.Second}
-	sent := citronpeer.Knowledge{From: member(1), Digest: citronpeer.Digest{Fingerprints: []citronpeer.Print{5}, Heartbeats: []int64{9}}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
+	sent := citronpeer.Knowledge{From: member(1), Digest: citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{5}, Heartbeats: []int64{9}}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
 	got, err := c.Exchange(context.Background(), strings.TrimPrefix(hs.URL, "http://"), sent)
 	is.NoErr(err)
 	is.Equal(received, sent)
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -34,18 +34,18 @@
 const minHeartbeatLead = 5
 
 // Of returns the fingerprint of a member's details.
-func Of(m citronpeer.Member) citronpeer.Print {
+func Of(m citronpeer.Member) citronpeer.Fingerprint {
 	text, err := json.Marshal(m.WithGauges(citronpeer.Gauges{}))
 	if err != nil {
 		panic(err) // A member holds only types that JSON can encode.
 	}
-	return citronpeer.Print(xxhash.Sum64(text))
+	return citronpeer.Fingerprint(xxhash.Sum64(text))
 }
 
 // Entry is a member and the fingerprint of its details.
 type Entry struct {
 	citronpeer.Member
-	Fingerprint citronpeer.Print
+	Fingerprint citronpeer.Fingerprint
 	// Age is how long ago the member was last heard of when the entry was made.
 	Age time.Duration
 }
@@ -55,12 +55,12 @@
 	zone    string
 	entries []Entry
 	// indexByPrint holds indexes into entries.
-	indexByPrint map[citronpeer.Print]int
+	indexByPrint map[citronpeer.Fingerprint]int
 }
 
 // New returns a roster of entries. It takes ownership of entries.
 func New(zone string, entries []Entry) Roster {
-	r := Roster{zone: zone, entries: entries, indexByPrint: make(map[citronpeer.Print]int, len(entries))}
+	r := Roster{zone: zone, entries: entries, indexByPrint: make(map[citronpeer.Fingerprint]int, len(entries))}
 	for i, e := range entries {
 		r.indexByPrint[e.Fingerprint] = i
 	}
@@ -69,7 +69,7 @@
 
 // Digest returns the fingerprints and heartbeat counters of all members.
 func (r Roster) Digest() citronpeer.Digest {
-	d := citronpeer.Digest{Fingerprints: make([]citronpeer.Print, len(r.entries)), Heartbeats: make([]int64, len(r.entries))}
+	d := citronpeer.Digest{Fingerprints: make([]citronpeer.Fingerprint, len(r.entries)), Heartbeats: make([]int64, len(r.entries))}
 	for i, e := range r.entries {
 		d.Fingerprints[i], d.Heartbeats[i] = e.Fingerprint, e.Heartbeat
 	}
@@ -79,7 +79,7 @@
 // Diff returns what the sender of digest d is missing. sameZone reports whether
 // the sender is in the roster's zone.
 func (r Roster) Diff(d citronpeer.Digest, sameZone bool) citronpeer.Diff {
-	theirs := make(map[citronpeer.Print]int64, len(d.Fingerprints))
+	theirs := make(map[citronpeer.Fingerprint]int64, len(d.Fingerprints))
 	for i, p := range d.Fingerprints {
 		theirs[p] = d.Heartbeat(i)
 	}
--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -62,7 +62,7 @@
 	is.Equal(len(diff.Gauges), 1)
 	is.Equal(diff.Gauges[0].Load, map[string]int64{"z1": 20})
 	is.Equal(newer.Diff(older.Digest(), false), citronpeer.Diff{})
-	is.Equal(older.Wants(newer.Digest(), true).Gauges, []citronpeer.Print{citronroster.Of(member("near", "z1", 0, 1))})
+	is.Equal(older.Wants(newer.Digest(), true).Gauges, []citronpeer.Fingerprint{citronroster.Of(member("near", "z1", 0, 1))})
 }
 
 // A digest with fewer heartbeat counters than fingerprints, or with unknown
@@ -71,10 +71,10 @@
 func TestMalformedDigest(t *testing.T) {
 	is := is.New(t)
 	r := roster("z1", member("a", "z1", 0, 10))
-	d := citronpeer.Digest{Fingerprints: []citronpeer.Print{citronroster.Of(member("a", "z1", 0, 1)), 77}}
+	d := citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Of(member("a", "z1", 0, 1)), 77}}
 	is.Equal(len(r.Diff(d, true).Gauges), 1) // a missing heartbeat counter counts as zero
-	is.Equal(r.Wants(d, true), citronpeer.Wants{Members: []citronpeer.Print{77}})
-	is.Equal(r.Wanted(citronpeer.Wants{Members: []citronpeer.Print{77}, Gauges: []citronpeer.Print{78}}), citronpeer.Diff{})
+	is.Equal(r.Wants(d, true), citronpeer.Wants{Members: []citronpeer.Fingerprint{77}})
+	is.Equal(r.Wanted(citronpeer.Wants{Members: []citronpeer.Fingerprint{77}, Gauges: []citronpeer.Fingerprint{78}}), citronpeer.Diff{})
 }
 
 // Whatever two nodes know about a fleet, after one exchange both know the newest
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -75,7 +75,7 @@
 	// self is the name of the node that owns the table, and zone is its zone.
 	self, zone string
 	members    map[string]*Known
-	byPrint    map[citronpeer.Print]*Known
+	byPrint    map[citronpeer.Fingerprint]*Known
 	// agedAt is when Age was last called.
 	agedAt time.Time
 	// sameZoneGap is the mean time between two updates about a member of this
@@ -97,7 +97,7 @@
 
 // NewTable returns the empty table of the node self in zone.
 func NewTable(self, zone string) *Table {
-	return &Table{self: self, zone: zone, members: map[string]*Known{}, byPrint: map[citronpeer.Print]*Known{}}
+	return &Table{self: self, zone: zone, members: map[string]*Known{}, byPrint: map[citronpeer.Fingerprint]*Known{}}
 }
 
 // Take records a full member from a node that last heard of it at heard. It
