--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -177,7 +177,7 @@
 func (n *Node) exchange(ctx context.Context, addr string) {
 	s := n.snap.Load()
 	k := s.gossipState()
-	k.SuspectSum, k.LimitSum = n.quarantine.Sum(), n.limits.Sum()
+	k.SuspectChecksum, k.LimitSum = n.quarantine.Sum(), n.limits.Sum()
 	theirs, err := n.peers.Exchange(ctx, addr, k)
 	n.stabilizer.recordExchange(k.Digest, theirs.Digest, err)
 	if err != nil {
@@ -185,7 +185,7 @@
 		return
 	}
 	n.merge(ctx, theirs)
-	same, sameLimits := theirs.SuspectSum == n.quarantine.Sum(), theirs.LimitSum == n.limits.Sum()
+	same, sameLimits := theirs.SuspectChecksum == n.quarantine.Sum(), theirs.LimitSum == n.limits.Sum()
 	if theirs.Wants.Empty() && same && sameLimits {
 		return
 	}
@@ -222,8 +222,8 @@
 	sameZone := theirs.From.Zone == s.self.Zone
 	k.Diff = s.roster.Diff(theirs.Digest, sameZone)
 	k.Wants = s.roster.Wants(theirs.Digest, sameZone)
-	k.SuspectSum = a.n.quarantine.Sum()
-	if theirs.SuspectSum != k.SuspectSum {
+	k.SuspectChecksum = a.n.quarantine.Sum()
+	if theirs.SuspectChecksum != k.SuspectChecksum {
 		k.Suspects = a.n.allSuspects()
 	}
 	k.LimitSum = a.n.limits.Sum()
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -209,10 +209,10 @@
 	// Accused are the IDs of accused engines: engines that another engine has
 	// just named as the cause of a failed request.
 	Accused []string
-	// Suspects are requests under which engines have crashed. SuspectSum is a
+	// Suspects are requests under which engines have crashed. SuspectChecksum is a
 	// checksum of all suspects that the sender knows. It is set in exchanges.
-	Suspects   []Suspect
-	SuspectSum uint64
+	Suspects        []Suspect
+	SuspectChecksum uint64
 	// Limits are rate limits of engines. LimitSum is a checksum of all limits
 	// that the sender knows. It is set in exchanges.
 	Limits   []Limit
@@ -231,10 +231,10 @@
 	Engines ListDocument   `json:"engines"`
 	Accused []string       `json:"accused,omitempty"`
 
-	Suspects   []Suspect `json:"suspects,omitempty"`
-	SuspectSum uint64    `json:"suspectSum,omitempty"`
-	Limits     []Limit   `json:"limits,omitempty"`
-	LimitSum   uint64    `json:"limitSum,omitempty"`
+	Suspects        []Suspect `json:"suspects,omitempty"`
+	SuspectChecksum uint64    `json:"suspectSum,omitempty"`
+	Limits          []Limit   `json:"limits,omitempty"`
+	LimitSum        uint64    `json:"limitSum,omitempty"`
 }
 
 const (
