--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -177,7 +177,7 @@
 func (n *Node) exchange(ctx context.Context, addr string) {
 	s := n.snap.Load()
 	k := s.gossipState()
-	k.SuspectChecksum, k.LimitSum = n.quarantine.Sum(), n.limits.Sum()
+	k.SuspectChecksum, k.LimitChecksum = n.quarantine.Sum(), n.limits.Sum()
 	theirs, err := n.peers.Exchange(ctx, addr, k)
 	n.stabilizer.recordExchange(k.Digest, theirs.Digest, err)
 	if err != nil {
@@ -185,7 +185,7 @@
 		return
 	}
 	n.merge(ctx, theirs)
-	same, sameLimits := theirs.SuspectChecksum == n.quarantine.Sum(), theirs.LimitSum == n.limits.Sum()
+	same, sameLimits := theirs.SuspectChecksum == n.quarantine.Sum(), theirs.LimitChecksum == n.limits.Sum()
 	if theirs.Wants.Empty() && same && sameLimits {
 		return
 	}
@@ -226,8 +226,8 @@
 	if theirs.SuspectChecksum != k.SuspectChecksum {
 		k.Suspects = a.n.allSuspects()
 	}
-	k.LimitSum = a.n.limits.Sum()
-	if theirs.LimitSum != k.LimitSum {
+	k.LimitChecksum = a.n.limits.Sum()
+	if theirs.LimitChecksum != k.LimitChecksum {
 		k.Limits = a.n.limits.All()
 	}
 	return a.n.respond(s, k, theirs)
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -213,10 +213,10 @@
 	// checksum of all suspects that the sender knows. It is set in exchanges.
 	Suspects        []Suspect
 	SuspectChecksum uint64
-	// Limits are rate limits of engines. LimitSum is a checksum of all limits
+	// Limits are rate limits of engines. LimitChecksum is a checksum of all limits
 	// that the sender knows. It is set in exchanges.
-	Limits   []Limit
-	LimitSum uint64
+	Limits        []Limit
+	LimitChecksum uint64
 }
 
 // exchangeMessage is Knowledge as it is encoded. Both have the same fields, so
@@ -234,7 +234,7 @@
 	Suspects        []Suspect `json:"suspects,omitempty"`
 	SuspectChecksum uint64    `json:"suspectSum,omitempty"`
 	Limits          []Limit   `json:"limits,omitempty"`
-	LimitSum        uint64    `json:"limitSum,omitempty"`
+	LimitChecksum   uint64    `json:"limitSum,omitempty"`
 }
 
 const (
