--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -110,7 +110,7 @@
 func (s *snapshot) gossipState() citronpeer.Knowledge {
 	k := s.update()
 	k.Digest = s.roster.Digest()
-	k.Sums = s.zoneTotals
+	k.ZoneTotals = s.zoneTotals
 	return k
 }
 
@@ -320,7 +320,7 @@
 func (n *Node) merge(ctx context.Context, k citronpeer.Knowledge) {
 	n.mergeSuspects(ctx, k.From.Name, k.Suspects)
 	n.mergeLimits(ctx, k.From.Name, k.Limits)
-	n.sendToLoop(ctx, memberUpdate{from: k.From, told: k.Diff, digest: k.Digest, sums: k.Sums})
+	n.sendToLoop(ctx, memberUpdate{from: k.From, told: k.Diff, digest: k.Digest, sums: k.ZoneTotals})
 	if len(k.Config.Body) > 0 {
 		n.offerConfig(ctx, k.Config.Version, k.Config.Body, sourceNode)
 	}
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -200,8 +200,8 @@
 	Diff
 	// Digest lists the members that the sender knows. Sums are the zone totals.
 	// Both are empty in updates.
-	Digest Digest
-	Sums   []Sum
+	Digest     Digest
+	ZoneTotals []Sum
 	// Wants are the items of the receiver's digest that the sender is missing.
 	Wants   Wants
 	Config  ConfigDocument
@@ -224,12 +224,12 @@
 type exchangeMessage struct {
 	From Member `json:"from"`
 	Diff
-	Digest  Digest         `json:"digest,omitzero"`
-	Sums    []Sum          `json:"sums,omitempty"`
-	Wants   Wants          `json:"wants,omitzero"`
-	Config  ConfigDocument `json:"config"`
-	Engines ListDocument   `json:"engines"`
-	Accused []string       `json:"accused,omitempty"`
+	Digest     Digest         `json:"digest,omitzero"`
+	ZoneTotals []Sum          `json:"sums,omitempty"`
+	Wants      Wants          `json:"wants,omitzero"`
+	Config     ConfigDocument `json:"config"`
+	Engines    ListDocument   `json:"engines"`
+	Accused    []string       `json:"accused,omitempty"`
 
 	Suspects        []Suspect `json:"suspects,omitempty"`
 	SuspectChecksum uint64    `json:"suspectSum,omitempty"`
