--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -186,11 +186,11 @@
 	}
 	n.merge(ctx, theirs)
 	same, sameLimits := theirs.SuspectChecksum == n.quarantine.Sum(), theirs.LimitChecksum == n.limits.Sum()
-	if theirs.Wants.Empty() && same && sameLimits {
+	if theirs.Missing.Empty() && same && sameLimits {
 		return
 	}
 	k = s.update()
-	k.Diff = s.roster.Wanted(theirs.Wants)
+	k.Diff = s.roster.Wanted(theirs.Missing)
 	if !same {
 		k.Suspects = n.allSuspects()
 	}
@@ -221,7 +221,7 @@
 	k := s.gossipState()
 	sameZone := theirs.From.Zone == s.self.Zone
 	k.Diff = s.roster.Diff(theirs.Digest, sameZone)
-	k.Wants = s.roster.Wants(theirs.Digest, sameZone)
+	k.Missing = s.roster.Wants(theirs.Digest, sameZone)
 	k.SuspectChecksum = a.n.quarantine.Sum()
 	if theirs.SuspectChecksum != k.SuspectChecksum {
 		k.Suspects = a.n.allSuspects()
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -202,8 +202,8 @@
 	// Both are empty in updates.
 	Digest     Digest
 	ZoneTotals []Sum
-	// Wants are the items of the receiver's digest that the sender is missing.
-	Wants   Wants
+	// Missing are the items of the receiver's digest that the sender is missing.
+	Missing Wants
 	Config  ConfigDocument
 	Engines ListDocument
 	// Accused are the IDs of accused engines: engines that another engine has
@@ -226,7 +226,7 @@
 	Diff
 	Digest     Digest         `json:"digest,omitzero"`
 	ZoneTotals []Sum          `json:"sums,omitempty"`
-	Wants      Wants          `json:"wants,omitzero"`
+	Missing    Wants          `json:"wants,omitzero"`
 	Config     ConfigDocument `json:"config"`
 	Engines    ListDocument   `json:"engines"`
 	Accused    []string       `json:"accused,omitempty"`
