--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -62,7 +62,7 @@
 	from   citronpeer.Member
 	told   citronpeer.Diff
 	digest citronpeer.Digest
-	sums   []citronpeer.Sum
+	sums   []citronpeer.ZoneTotals
 }
 
 func (listSnapshot) isMessage() {}
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -60,7 +60,7 @@
 }
 
 // mergeZoneTotals merges the totals of other zones.
-func (c *control) mergeZoneTotals(sums []citronpeer.Sum) {
+func (c *control) mergeZoneTotals(sums []citronpeer.ZoneTotals) {
 	now := c.n.clock.Now()
 	for _, s := range sums {
 		c.sums.Take(s, now)
@@ -148,7 +148,7 @@
 	}
 	own := others.Clone()
 	own.Add(c.self.Load, c.self.Sent)
-	c.sums.Set(citronpeer.Sum{Load: own.Load, Sent: own.Sent}, now)
+	c.sums.Set(citronpeer.ZoneTotals{Load: own.Load, Sent: own.Sent}, now)
 	s.zoneTotals = c.sums.Tell(now)
 	for _, sum := range s.zoneTotals {
 		if sum.Zone != c.self.Zone {
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -154,7 +154,7 @@
 	// roster describes this node and the members, as sent to other nodes.
 	roster citronroster.Roster
 	// zoneTotals holds the zone totals, including those of this node's zone.
-	zoneTotals []citronpeer.Sum
+	zoneTotals []citronpeer.ZoneTotals
 	// others is the cache used by the requests of other nodes, by zone.
 	others map[string]int64
 	// eraAt is when this node observed that the store was restored from an older copy.
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -153,8 +153,8 @@
 // maxPlausibleAge is above any age of a state that nodes send.
 const maxPlausibleAge = time.Minute
 
-// Sum holds the zone totals: the load and usage of all nodes of a zone.
-type Sum struct {
+// ZoneTotals holds the zone totals: the load and usage of all nodes of a zone.
+type ZoneTotals struct {
 	Zone string `json:"zone"`
 	// AgeMS is how long ago a node of the zone computed the totals, in
 	// milliseconds. Ages need no synchronized clocks.
@@ -201,7 +201,7 @@
 	// Digest lists the members that the sender knows. Sums are the zone totals.
 	// Both are empty in updates.
 	Digest     Digest
-	ZoneTotals []Sum
+	ZoneTotals []ZoneTotals
 	// Missing are the items of the receiver's digest that the sender is missing.
 	Missing Wants
 	Config  ConfigDocument
@@ -225,7 +225,7 @@
 	From Member `json:"from"`
 	Diff
 	Digest     Digest         `json:"digest,omitzero"`
-	ZoneTotals []Sum          `json:"sums,omitempty"`
+	ZoneTotals []ZoneTotals   `json:"sums,omitempty"`
 	Missing    Wants          `json:"wants,omitzero"`
 	Config     ConfigDocument `json:"config"`
 	Engines    ListDocument   `json:"engines"`
--- a/citronroster/sums.go
+++ b/citronroster/sums.go
@@ -19,7 +19,7 @@
 }
 
 type timedSum struct {
-	citronpeer.Sum
+	citronpeer.ZoneTotals
 	// computed is when the totals were computed, by this node's clock.
 	computed time.Time
 }
@@ -28,15 +28,15 @@
 func NewSums(zone string) *Sums { return &Sums{zone: zone, byZone: map[string]timedSum{}} }
 
 // Set stores the totals of the node's own zone, computed by this node.
-func (s *Sums) Set(sum citronpeer.Sum, now time.Time) {
+func (s *Sums) Set(sum citronpeer.ZoneTotals, now time.Time) {
 	sum.Zone = s.zone
-	s.byZone[s.zone] = timedSum{Sum: sum, computed: now}
+	s.byZone[s.zone] = timedSum{ZoneTotals: sum, computed: now}
 }
 
 // Take stores the totals of another zone, as received from another node, if
 // they are newer than the known ones. It ignores totals with a negative age,
 // which no later ones would replace.
-func (s *Sums) Take(sum citronpeer.Sum, now time.Time) {
+func (s *Sums) Take(sum citronpeer.ZoneTotals, now time.Time) {
 	if sum.Zone == s.zone || sum.AgeMS < 0 {
 		return
 	}
@@ -44,16 +44,16 @@
 	if old, ok := s.byZone[sum.Zone]; ok && !computed.After(old.computed) {
 		return
 	}
-	s.byZone[sum.Zone] = timedSum{Sum: sum, computed: computed}
+	s.byZone[sum.Zone] = timedSum{ZoneTotals: sum, computed: computed}
 }
 
 // Tell returns the totals of all zones that are at most maxTotalsAge old, with
 // their current ages.
-func (s *Sums) Tell(now time.Time) []citronpeer.Sum {
-	var out []citronpeer.Sum
+func (s *Sums) Tell(now time.Time) []citronpeer.ZoneTotals {
+	var out []citronpeer.ZoneTotals
 	for _, t := range s.byZone {
 		if age := now.Sub(t.computed); age <= maxTotalsAge {
-			sum := t.Sum
+			sum := t.ZoneTotals
 			sum.AgeMS = max(0, age.Milliseconds())
 			out = append(out, sum)
 		}
--- a/citronroster/table_test.go
+++ b/citronroster/table_test.go
@@ -216,8 +216,8 @@
 		}
 		return total.Load["z2"]
 	}
-	sum := func(ageMS, tokens int64) citronpeer.Sum {
-		return citronpeer.Sum{Zone: "z2", AgeMS: ageMS, Load: map[string]int64{"z2": tokens}}
+	sum := func(ageMS, tokens int64) citronpeer.ZoneTotals {
+		return citronpeer.ZoneTotals{Zone: "z2", AgeMS: ageMS, Load: map[string]int64{"z2": tokens}}
 	}
 	s.Take(sum(500, 1), start)
 	is.Equal(tokens(start), int64(1))
@@ -229,6 +229,6 @@
 	is.Equal(tokens(start), int64(3))
 	is.Equal(s.Tell(start.Add(time.Second))[0].AgeMS, int64(1300))
 	is.Equal(len(s.Tell(start.Add(3*time.Second))), 0)
-	s.Take(citronpeer.Sum{Zone: "z1", Load: map[string]int64{"z2": 9}}, start) // a node does not accept totals of its own zone
+	s.Take(citronpeer.ZoneTotals{Zone: "z1", Load: map[string]int64{"z2": 9}}, start) // a node does not accept totals of its own zone
 	is.Equal(len(s.Tell(start)), 1)
 }
