--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -163,15 +163,15 @@
 	Sent  map[string]Sent  `json:"sent,omitempty"`
 }
 
-// Wants lists the missing items that a node requests from a peer, by
+// MissingItems lists the missing items that a node requests from a peer, by
 // fingerprint from the peer's digest.
-type Wants struct {
+type MissingItems struct {
 	Members []Fingerprint `json:"members,omitempty"`
 	Gauges  []Fingerprint `json:"gauges,omitempty"`
 }
 
 // Empty reports whether no item is missing.
-func (w Wants) Empty() bool { return len(w.Members)+len(w.Gauges) == 0 }
+func (w MissingItems) Empty() bool { return len(w.Members)+len(w.Gauges) == 0 }
 
 // ConfigDocument is the configuration as nodes pass it on. The higher version
 // wins.
@@ -203,7 +203,7 @@
 	Digest     Digest
 	ZoneTotals []ZoneTotals
 	// Missing are the items of the receiver's digest that the sender is missing.
-	Missing Wants
+	Missing MissingItems
 	Config  ConfigDocument
 	Engines ListDocument
 	// Accused are the IDs of accused engines: engines that another engine has
@@ -226,7 +226,7 @@
 	Diff
 	Digest     Digest         `json:"digest,omitzero"`
 	ZoneTotals []ZoneTotals   `json:"sums,omitempty"`
-	Missing    Wants          `json:"wants,omitzero"`
+	Missing    MissingItems   `json:"wants,omitzero"`
 	Config     ConfigDocument `json:"config"`
 	Engines    ListDocument   `json:"engines"`
 	Accused    []string       `json:"accused,omitempty"`
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -43,7 +43,7 @@
 	var received citronpeer.Knowledge
 	answer := citronpeer.Knowledge{
 		From: member(2), Diff: citronpeer.Diff{Members: []citronpeer.Member{member(3)}, AgesMS: []int64{70}, Gauges: []citronpeer.GaugeUpdate{{Fingerprint: 7, Gauges: gauges(7)}}},
-		Missing: citronpeer.Wants{Gauges: []citronpeer.Fingerprint{1 << 31}}, Config: citronpeer.ConfigDocument{Version: 9, Body: []byte("nine")},
+		Missing: citronpeer.MissingItems{Gauges: []citronpeer.Fingerprint{1 << 31}}, Config: citronpeer.ConfigDocument{Version: 9, Body: []byte("nine")},
 	}
 	citronpeer.Handle(mux, answerFunc(func(k citronpeer.Knowledge) citronpeer.Knowledge {
 		received = k
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -98,8 +98,8 @@
 
 // Wants returns the items of digest d that this roster is missing. sameZone
 // reports whether the sender of d is in the roster's zone.
-func (r Roster) Wants(d citronpeer.Digest, sameZone bool) citronpeer.Wants {
-	var out citronpeer.Wants
+func (r Roster) Wants(d citronpeer.Digest, sameZone bool) citronpeer.MissingItems {
+	var out citronpeer.MissingItems
 	for i, p := range d.Fingerprints {
 		index, known := r.indexByPrint[p]
 		switch {
@@ -114,7 +114,7 @@
 
 // Wanted returns the items that another node requests. It leaves out items that
 // are no longer in the roster.
-func (r Roster) Wanted(w citronpeer.Wants) citronpeer.Diff {
+func (r Roster) Wanted(w citronpeer.MissingItems) citronpeer.Diff {
 	var out citronpeer.Diff
 	for _, p := range w.Members {
 		if index, ok := r.indexByPrint[p]; ok {
--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -73,8 +73,8 @@
 	r := roster("z1", member("a", "z1", 0, 10))
 	d := citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Of(member("a", "z1", 0, 1)), 77}}
 	is.Equal(len(r.Diff(d, true).Gauges), 1) // a missing heartbeat counter counts as zero
-	is.Equal(r.Wants(d, true), citronpeer.Wants{Members: []citronpeer.Fingerprint{77}})
-	is.Equal(r.Wanted(citronpeer.Wants{Members: []citronpeer.Fingerprint{77}, Gauges: []citronpeer.Fingerprint{78}}), citronpeer.Diff{})
+	is.Equal(r.Wants(d, true), citronpeer.MissingItems{Members: []citronpeer.Fingerprint{77}})
+	is.Equal(r.Wanted(citronpeer.MissingItems{Members: []citronpeer.Fingerprint{77}, Gauges: []citronpeer.Fingerprint{78}}), citronpeer.Diff{})
 }
 
 // Whatever two nodes know about a fleet, after one exchange both know the newest
