--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -233,9 +233,9 @@
 	return a.n.respond(s, k, theirs)
 }
 
-// News implements citronpeer.Answerer. It takes a peer's update and answers with this
+// Update implements citronpeer.Answerer. It takes a peer's update and answers with this
 // node's own.
-func (a answerer) News(theirs citronpeer.Knowledge) citronpeer.Knowledge {
+func (a answerer) Update(theirs citronpeer.Knowledge) citronpeer.Knowledge {
 	s := a.n.snap.Load()
 	return a.n.respond(s, s.update(), theirs)
 }
--- a/citronpeer/limit_test.go
+++ b/citronpeer/limit_test.go
@@ -61,4 +61,4 @@
 	return k
 }
 
-func (a blockingAnswerer) News(k citronpeer.Knowledge) citronpeer.Knowledge { return k }
+func (a blockingAnswerer) Update(k citronpeer.Knowledge) citronpeer.Knowledge { return k }
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -260,16 +260,16 @@
 	// Exchange receives the digest of another node. It returns what the other
 	// node is missing, and requests what this node is missing.
 	Exchange(Knowledge) Knowledge
-	// News receives another node's update about itself and about the members
+	// Update receives another node's update about itself and about the members
 	// that this node has requested. It returns this node's own update, with the
 	// documents that the other node is missing.
-	News(Knowledge) Knowledge
+	Update(Knowledge) Knowledge
 }
 
 // Handle mounts a node's procedures on mux.
 func Handle(mux *http.ServeMux, a Answerer) {
 	handle(mux, procedureExchange, maxConcurrentExchanges, a.Exchange)
-	handle(mux, procedureNews, maxConcurrentUpdates, a.News)
+	handle(mux, procedureNews, maxConcurrentUpdates, a.Update)
 }
 
 func handle(mux *http.ServeMux, procedure string, maxConcurrent int, answer func(Knowledge) Knowledge) {
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -34,7 +34,7 @@
 type answerFunc func(citronpeer.Knowledge) citronpeer.Knowledge
 
 func (a answerFunc) Exchange(k citronpeer.Knowledge) citronpeer.Knowledge { return a(k) }
-func (a answerFunc) News(k citronpeer.Knowledge) citronpeer.Knowledge     { return a(k) }
+func (a answerFunc) Update(k citronpeer.Knowledge) citronpeer.Knowledge   { return a(k) }
 
 // Each node receives exactly what the other node sent.
 func TestExchange(t *testing.T) {
