--- a/citronnode/accuse.go
+++ b/citronnode/accuse.go
@@ -45,7 +45,7 @@
 // sendAccusation sends an accusation to the node at addr and merges its answer.
 func (n *Node) sendAccusation(addr string, update citronpeer.Knowledge) {
 	ctx := context.Background()
-	if theirs, err := n.peers.News(ctx, addr, update); err == nil {
+	if theirs, err := n.peers.Update(ctx, addr, update); err == nil {
 		n.merge(ctx, theirs)
 	} // a node that this message does not reach learns it from its own requests
 }
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -90,7 +90,7 @@
 	if k.Limits == nil {
 		k.Limits = n.limits.Recent()
 	}
-	theirs, err := n.peers.News(ctx, addr, k)
+	theirs, err := n.peers.Update(ctx, addr, k)
 	if err != nil {
 		citronevent.Log(ctx, n.log, citronevent.GossipFailed, "peer", addr, "err", err)
 		return
--- a/citronpeer/limit_test.go
+++ b/citronpeer/limit_test.go
@@ -44,7 +44,7 @@
 	for range exchanges - 8 {
 		is.True(<-errs != nil) // rejected immediately
 	}
-	_, err := c.News(context.Background(), addr, citronpeer.Knowledge{})
+	_, err := c.Update(context.Background(), addr, citronpeer.Knowledge{})
 	is.NoErr(err)
 	close(release)
 	for range 8 {
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -308,10 +308,10 @@
 	return c.call(ctx, addr, procedureExchange, k)
 }
 
-// News sends the node at addr an update about this node and the revisions of
+// Update sends the node at addr an update about this node and the revisions of
 // its documents. It returns that node's update, with the documents that this
 // node is missing.
-func (c *Client) News(ctx context.Context, addr string, k Knowledge) (Knowledge, error) {
+func (c *Client) Update(ctx context.Context, addr string, k Knowledge) (Knowledge, error) {
 	return c.call(ctx, addr, procedureNews, k)
 }
 
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -124,7 +124,7 @@
 	defer hs.Close()
 	c := &citronpeer.Client{HC: hs.Client(), Timeout: 30 * time.Second}
 	for range b.N {
-		if _, err := c.News(context.Background(), strings.TrimPrefix(hs.URL, "http://"), k); err != nil {
+		if _, err := c.Update(context.Background(), strings.TrimPrefix(hs.URL, "http://"), k); err != nil {
 			b.Fatal(err)
 		}
 	}
