--- a/citronnode/accuse.go
+++ b/citronnode/accuse.go
@@ -43,7 +43,7 @@
 }
 
 // sendAccusation sends an accusation to the node at addr and merges its answer.
-func (n *Node) sendAccusation(addr string, update citronpeer.Knowledge) {
+func (n *Node) sendAccusation(addr string, update citronpeer.GossipState) {
 	ctx := context.Background()
 	if theirs, err := n.peers.Update(ctx, addr, update); err == nil {
 		n.merge(ctx, theirs)
--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -146,7 +146,7 @@
 		{Revision: citronkv.RevisionOf(1, 1), Base: citronkv.RevisionOf(0, 900), Body: []byte("[]")},
 		{Revision: citronkv.AnyRevision, Body: []byte("[]")},
 	} {
-		_, err := client.Update(context.Background(), m.addr, citronpeer.Knowledge{From: citronpeer.Member{Name: "stranger"}, Engines: list})
+		_, err := client.Update(context.Background(), m.addr, citronpeer.GossipState{From: citronpeer.Member{Name: "stranger"}, Engines: list})
 		is.NoErr(err)
 	}
 	f.engine(appEngine("e1"))
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -83,7 +83,7 @@
 
 // push sends k to the node at addr, completed with the recent suspects and rate limits,
 // and merges what the node answers.
-func (n *Node) push(ctx context.Context, addr string, k citronpeer.Knowledge) {
+func (n *Node) push(ctx context.Context, addr string, k citronpeer.GossipState) {
 	if k.Suspects == nil {
 		k.Suspects = n.recentSuspects()
 	}
@@ -99,15 +99,15 @@
 }
 
 // update returns this node's own member state and the versions of its documents.
-func (s *snapshot) update() citronpeer.Knowledge {
-	return citronpeer.Knowledge{
+func (s *snapshot) update() citronpeer.GossipState {
+	return citronpeer.GossipState{
 		From: s.self, Config: citronpeer.ConfigDocument{Version: s.config.Version}, Engines: citronpeer.ListDocument{Revision: s.list.Revision},
 	}
 }
 
 // gossipState returns the update of this node, the digest of the members that it knows,
 // and the zone totals.
-func (s *snapshot) gossipState() citronpeer.Knowledge {
+func (s *snapshot) gossipState() citronpeer.GossipState {
 	k := s.update()
 	k.Digest = s.roster.Digest()
 	k.ZoneTotals = s.zoneTotals
@@ -202,7 +202,7 @@
 
 // withDocuments adds to k the bodies of the documents of which the peer, described by
 // other, has an older version.
-func (s *snapshot) withDocuments(k, other citronpeer.Knowledge) (citronpeer.Knowledge, error) {
+func (s *snapshot) withDocuments(k, other citronpeer.GossipState) (citronpeer.GossipState, error) {
 	if other.Config.Version < s.config.Version {
 		k.Config = s.config
 	}
@@ -216,7 +216,7 @@
 
 // Exchange implements citronpeer.Answerer. It answers with this node's gossip state and
 // what the peer lacks, and names the items missing here.
-func (a answerer) Exchange(theirs citronpeer.Knowledge) citronpeer.Knowledge {
+func (a answerer) Exchange(theirs citronpeer.GossipState) citronpeer.GossipState {
 	s := a.n.snap.Load()
 	k := s.gossipState()
 	sameZone := theirs.From.Zone == s.self.Zone
@@ -235,14 +235,14 @@
 
 // Update implements citronpeer.Answerer. It takes a peer's update and answers with this
 // node's own.
-func (a answerer) Update(theirs citronpeer.Knowledge) citronpeer.Knowledge {
+func (a answerer) Update(theirs citronpeer.GossipState) citronpeer.GossipState {
 	s := a.n.snap.Load()
 	return a.n.respond(s, s.update(), theirs)
 }
 
 // respond merges the message of another node and returns k, completed with the
 // documents that the peer lacks.
-func (n *Node) respond(s *snapshot, k, theirs citronpeer.Knowledge) citronpeer.Knowledge {
+func (n *Node) respond(s *snapshot, k, theirs citronpeer.GossipState) citronpeer.GossipState {
 	ctx := context.Background()
 	n.applyAccused(theirs.Accused)
 	if k.Suspects == nil {
@@ -264,7 +264,7 @@
 }
 
 // isBehind reports whether the peer's message names a newer version of a document.
-func (s *snapshot) isBehind(theirs citronpeer.Knowledge) bool {
+func (s *snapshot) isBehind(theirs citronpeer.GossipState) bool {
 	return theirs.Config.Version > s.config.Version || theirs.Engines.Revision.After(s.list.Revision)
 }
 
@@ -275,12 +275,12 @@
 	mu      sync.Mutex
 	busy    bool
 	addr    string
-	offered citronpeer.Knowledge
+	offered citronpeer.GossipState
 }
 
 // enqueue starts fetching the documents offered by the node at addr, or remembers the
 // offer if it is newer than the current one.
-func (p *puller) enqueue(ctx context.Context, n *Node, addr string, offered citronpeer.Knowledge) {
+func (p *puller) enqueue(ctx context.Context, n *Node, addr string, offered citronpeer.GossipState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.busy && offered.Config.Version <= p.offered.Config.Version && !offered.Engines.Revision.After(p.offered.Engines.Revision) {
@@ -317,7 +317,7 @@
 
 // merge applies a message of another node: it merges suspects and rate limits, and passes
 // members and documents on to the control loop.
-func (n *Node) merge(ctx context.Context, k citronpeer.Knowledge) {
+func (n *Node) merge(ctx context.Context, k citronpeer.GossipState) {
 	n.mergeSuspects(ctx, k.From.Name, k.Suspects)
 	n.mergeLimits(ctx, k.From.Name, k.Limits)
 	n.sendToLoop(ctx, memberUpdate{from: k.From, told: k.Diff, digest: k.Digest, sums: k.ZoneTotals})
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -152,7 +152,7 @@
 		flood,
 	}
 	for _, suspects := range invalid {
-		_, err := client.Update(context.Background(), m.addr, citronpeer.Knowledge{From: citronpeer.Member{Name: "stranger"}, Suspects: suspects})
+		_, err := client.Update(context.Background(), m.addr, citronpeer.GossipState{From: citronpeer.Member{Name: "stranger"}, Suspects: suspects})
 		is.NoErr(err)
 	}
 	is.Equal(m.Status().SuspectsRejected, int64(len(invalid)))
--- a/citronpeer/fuzz_test.go
+++ b/citronpeer/fuzz_test.go
@@ -30,7 +30,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		mux := http.NewServeMux()
-		citronpeer.Handle(mux, answerFunc(func(k citronpeer.Knowledge) citronpeer.Knowledge {
+		citronpeer.Handle(mux, answerFunc(func(k citronpeer.GossipState) citronpeer.GossipState {
 			k.Diff.Age(0)
 			k.Digest.Heartbeat(0)
 			return k
--- a/citronpeer/limit_test.go
+++ b/citronpeer/limit_test.go
@@ -37,14 +37,14 @@
 	errs := make(chan error, exchanges)
 	for range exchanges {
 		go func() {
-			_, err := c.Exchange(context.Background(), addr, citronpeer.Knowledge{})
+			_, err := c.Exchange(context.Background(), addr, citronpeer.GossipState{})
 			errs <- err
 		}()
 	}
 	for range exchanges - 8 {
 		is.True(<-errs != nil) // rejected immediately
 	}
-	_, err := c.Update(context.Background(), addr, citronpeer.Knowledge{})
+	_, err := c.Update(context.Background(), addr, citronpeer.GossipState{})
 	is.NoErr(err)
 	close(release)
 	for range 8 {
@@ -56,9 +56,9 @@
 // blockingAnswerer is an Answerer that calls exchange in each exchange.
 type blockingAnswerer struct{ exchange func() }
 
-func (a blockingAnswerer) Exchange(k citronpeer.Knowledge) citronpeer.Knowledge {
+func (a blockingAnswerer) Exchange(k citronpeer.GossipState) citronpeer.GossipState {
 	a.exchange()
 	return k
 }
 
-func (a blockingAnswerer) Update(k citronpeer.Knowledge) citronpeer.Knowledge { return k }
+func (a blockingAnswerer) Update(k citronpeer.GossipState) citronpeer.GossipState { return k }
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -190,9 +190,9 @@
 	Body []byte            `json:"body,omitempty"`
 }
 
-// Knowledge is the gossip state that a node sends to another. A document with
+// GossipState is the gossip state that a node sends to another. A document with
 // an empty body only tells which revision the sender has.
-type Knowledge struct {
+type GossipState struct {
 	// From is the sender.
 	From Member
 	// Diff is what the receiver is missing according to the digest that it has
@@ -259,11 +259,11 @@
 type Answerer interface {
 	// Exchange receives the digest of another node. It returns what the other
 	// node is missing, and requests what this node is missing.
-	Exchange(Knowledge) Knowledge
+	Exchange(GossipState) GossipState
 	// Update receives another node's update about itself and about the members
 	// that this node has requested. It returns this node's own update, with the
 	// documents that the other node is missing.
-	Update(Knowledge) Knowledge
+	Update(GossipState) GossipState
 }
 
 // Handle mounts a node's procedures on mux.
@@ -272,10 +272,10 @@
 	handle(mux, procedureNews, maxConcurrentUpdates, a.Update)
 }
 
-func handle(mux *http.ServeMux, procedure string, maxConcurrent int, answer func(Knowledge) Knowledge) {
+func handle(mux *http.ServeMux, procedure string, maxConcurrent int, answer func(GossipState) GossipState) {
 	inner := http.NewServeMux()
 	citronwire.Handle(inner, procedure, func(_ context.Context, m *exchangeMessage) (*exchangeMessage, error) {
-		a := exchangeMessage(answer(Knowledge(*m)))
+		a := exchangeMessage(answer(GossipState(*m)))
 		return &a, nil
 	}, citronwire.Compact(), citronwire.FastGzipHandler, connect.WithCompressMinBytes(minCompressedBytes))
 	mux.Handle(procedure, limitConcurrency(inner, maxConcurrent))
@@ -304,18 +304,18 @@
 
 // Exchange sends this node's digest to the node at addr. It returns what that
 // node has newer, and what it is missing.
-func (c *Client) Exchange(ctx context.Context, addr string, k Knowledge) (Knowledge, error) {
+func (c *Client) Exchange(ctx context.Context, addr string, k GossipState) (GossipState, error) {
 	return c.call(ctx, addr, procedureExchange, k)
 }
 
 // Update sends the node at addr an update about this node and the revisions of
 // its documents. It returns that node's update, with the documents that this
 // node is missing.
-func (c *Client) Update(ctx context.Context, addr string, k Knowledge) (Knowledge, error) {
+func (c *Client) Update(ctx context.Context, addr string, k GossipState) (GossipState, error) {
 	return c.call(ctx, addr, procedureNews, k)
 }
 
-func (c *Client) call(ctx context.Context, addr, procedure string, k Knowledge) (Knowledge, error) {
+func (c *Client) call(ctx context.Context, addr, procedure string, k GossipState) (GossipState, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	m := exchangeMessage(k)
@@ -323,7 +323,7 @@
 	// shrinks a message to a quarter, and traffic between zones is expensive.
 	res, err := citronwire.NewUnary[exchangeMessage, exchangeMessage](c.HC, "http://"+addr, procedure, citronwire.Compact(), citronwire.FastGzipClient, connect.WithSendGzip(), connect.WithCompressMinBytes(minCompressedBytes)).Call(ctx, &m)
 	if err != nil {
-		return Knowledge{}, err
+		return GossipState{}, err
 	}
-	return Knowledge(*res), nil
+	return GossipState(*res), nil
 }
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -31,28 +31,28 @@
 }
 
 // answerFunc answers exchanges and updates alike.
-type answerFunc func(citronpeer.Knowledge) citronpeer.Knowledge
+type answerFunc func(citronpeer.GossipState) citronpeer.GossipState
 
-func (a answerFunc) Exchange(k citronpeer.Knowledge) citronpeer.Knowledge { return a(k) }
-func (a answerFunc) Update(k citronpeer.Knowledge) citronpeer.Knowledge   { return a(k) }
+func (a answerFunc) Exchange(k citronpeer.GossipState) citronpeer.GossipState { return a(k) }
+func (a answerFunc) Update(k citronpeer.GossipState) citronpeer.GossipState   { return a(k) }
 
 // Each node receives exactly what the other node sent.
 func TestExchange(t *testing.T) {
 	is := is.New(t)
 	mux := http.NewServeMux()
-	var received citronpeer.Knowledge
-	answer := citronpeer.Knowledge{
+	var received citronpeer.GossipState
+	answer := citronpeer.GossipState{
 		From: member(2), Diff: citronpeer.Diff{Members: []citronpeer.Member{member(3)}, AgesMS: []int64{70}, Gauges: []citronpeer.GaugeUpdate{{Fingerprint: 7, Gauges: gauges(7)}}},
 		Missing: citronpeer.MissingItems{Gauges: []citronpeer.Fingerprint{1 << 31}}, Config: citronpeer.ConfigDocument{Version: 9, Body: []byte("nine")},
 	}
-	citronpeer.Handle(mux, answerFunc(func(k citronpeer.Knowledge) citronpeer.Knowledge {
+	citronpeer.Handle(mux, answerFunc(func(k citronpeer.GossipState) citronpeer.GossipState {
 		received = k
 		return answer
 	}))
 	hs := httptest.NewServer(mux)
 	defer hs.Close()
 	c := &citronpeer.Client{HC: hs.Client(), Timeout: 30 * time.Second}
-	sent := citronpeer.Knowledge{From: member(1), Digest: citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{5}, Heartbeats: []int64{9}}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
+	sent := citronpeer.GossipState{From: member(1), Digest: citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{5}, Heartbeats: []int64{9}}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
 	got, err := c.Exchange(context.Background(), strings.TrimPrefix(hs.URL, "http://"), sent)
 	is.NoErr(err)
 	is.Equal(received, sent)
@@ -67,7 +67,7 @@
 	defer hs.Close()
 	defer close(block)
 	c := &citronpeer.Client{HC: hs.Client(), Timeout: 50 * time.Millisecond}
-	_, err := c.Exchange(context.Background(), strings.TrimPrefix(hs.URL, "http://"), citronpeer.Knowledge{})
+	_, err := c.Exchange(context.Background(), strings.TrimPrefix(hs.URL, "http://"), citronpeer.GossipState{})
 	is.True(err != nil)
 }
 
@@ -113,10 +113,10 @@
 // revisions of its documents, without the other members of the fleet. The full
 // gossip state of a hundred nodes, which updates used to carry, is 3.8 KB.
 func BenchmarkNews(b *testing.B) {
-	k := citronpeer.Knowledge{From: member(1), Config: citronpeer.ConfigDocument{Version: 9}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
+	k := citronpeer.GossipState{From: member(1), Config: citronpeer.ConfigDocument{Version: 9}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
 	var size int64
 	mux := http.NewServeMux()
-	citronpeer.Handle(mux, answerFunc(func(citronpeer.Knowledge) citronpeer.Knowledge { return citronpeer.Knowledge{} }))
+	citronpeer.Handle(mux, answerFunc(func(citronpeer.GossipState) citronpeer.GossipState { return citronpeer.GossipState{} }))
 	hs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		size = r.ContentLength
 		mux.ServeHTTP(w, r)
@@ -135,13 +135,13 @@
 // the number of members in it.
 func BenchmarkMessage(b *testing.B) {
 	for _, n := range []int{9, 100, 295, 1200} {
-		k := citronpeer.Knowledge{}
+		k := citronpeer.GossipState{}
 		for i := range n {
 			k.Members = append(k.Members, member(i))
 		}
 		var size int64
 		mux := http.NewServeMux()
-		citronpeer.Handle(mux, answerFunc(func(citronpeer.Knowledge) citronpeer.Knowledge { return citronpeer.Knowledge{} }))
+		citronpeer.Handle(mux, answerFunc(func(citronpeer.GossipState) citronpeer.GossipState { return citronpeer.GossipState{} }))
 		hs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			size = r.ContentLength
 			mux.ServeHTTP(w, r)
