--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -160,7 +160,7 @@
 	for _, sum := range s.zoneTotals {
 		updateAge = max(updateAge, 2*c.members.NearGap()+time.Duration(sum.AgeMS)*time.Millisecond)
 	}
-	s.roster = citronroster.New(c.self.Zone, append(alive, citronroster.Entry{Member: c.self, Fingerprint: citronroster.Of(c.self)}))
+	s.roster = citronroster.New(c.self.Zone, append(alive, citronroster.Entry{Member: c.self, Fingerprint: citronroster.Fingerprint(c.self)}))
 	s.targets = c.lastKnownTargets(now)
 	used := map[string]citronbudget.Usage{}
 	for service, u := range others.Sent {
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -33,8 +33,8 @@
 // gauges that are newer by less than half a second is of no use.
 const minHeartbeatLead = 5
 
-// Of returns the fingerprint of a member's details.
-func Of(m citronpeer.Member) citronpeer.Fingerprint {
+// Fingerprint returns the fingerprint of a member's details.
+func Fingerprint(m citronpeer.Member) citronpeer.Fingerprint {
 	text, err := json.Marshal(m.WithGauges(citronpeer.Gauges{}))
 	if err != nil {
 		panic(err) // A member holds only types that JSON can encode.
--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -22,7 +22,7 @@
 func roster(zone string, members ...citronpeer.Member) citronroster.Roster {
 	entries := make([]citronroster.Entry, len(members))
 	for i, m := range members {
-		entries[i] = citronroster.Entry{Member: m, Fingerprint: citronroster.Of(m)}
+		entries[i] = citronroster.Entry{Member: m, Fingerprint: citronroster.Fingerprint(m)}
 	}
 	return citronroster.New(zone, entries)
 }
@@ -32,10 +32,10 @@
 func TestFingerprintIgnoresGauges(t *testing.T) {
 	is := is.New(t)
 	a := member("a", "z1", 0, 5)
-	is.Equal(citronroster.Of(a), citronroster.Of(a.WithGauges(citronpeer.Gauges{Heartbeat: 99})))
+	is.Equal(citronroster.Fingerprint(a), citronroster.Fingerprint(a.WithGauges(citronpeer.Gauges{Heartbeat: 99})))
 	b := a
 	b.Leaving = true
-	is.True(citronroster.Of(a) != citronroster.Of(b))
+	is.True(citronroster.Fingerprint(a) != citronroster.Fingerprint(b))
 }
 
 // Two nodes of a fleet of three hundred that have the same knowledge of it send
@@ -62,7 +62,7 @@
 	is.Equal(len(diff.Gauges), 1)
 	is.Equal(diff.Gauges[0].Load, map[string]int64{"z1": 20})
 	is.Equal(newer.Diff(older.Digest(), false), citronpeer.Diff{})
-	is.Equal(older.Wants(newer.Digest(), true).Gauges, []citronpeer.Fingerprint{citronroster.Of(member("near", "z1", 0, 1))})
+	is.Equal(older.Wants(newer.Digest(), true).Gauges, []citronpeer.Fingerprint{citronroster.Fingerprint(member("near", "z1", 0, 1))})
 }
 
 // A digest with fewer heartbeat counters than fingerprints, or with unknown
@@ -71,7 +71,7 @@
 func TestMalformedDigest(t *testing.T) {
 	is := is.New(t)
 	r := roster("z1", member("a", "z1", 0, 10))
-	d := citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Of(member("a", "z1", 0, 1)), 77}}
+	d := citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(member("a", "z1", 0, 1)), 77}}
 	is.Equal(len(r.Diff(d, true).Gauges), 1) // a missing heartbeat counter counts as zero
 	is.Equal(r.Wants(d, true), citronpeer.MissingItems{Members: []citronpeer.Fingerprint{77}})
 	is.Equal(r.Wanted(citronpeer.MissingItems{Members: []citronpeer.Fingerprint{77}, Gauges: []citronpeer.Fingerprint{78}}), citronpeer.Diff{})
@@ -117,7 +117,7 @@
 				known[e.Name] = e.Member
 			}
 			for name, m := range newest {
-				if citronroster.Of(known[name]) != citronroster.Of(m) {
+				if citronroster.Fingerprint(known[name]) != citronroster.Fingerprint(m) {
 					t.Fatalf("member %s: known details are %v, want %v", name, known[name], m)
 				}
 			}
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -124,7 +124,7 @@
 	if ok && old.Alive {
 		heard = now // The heartbeat has advanced since this node last heard of the member.
 	}
-	k := &Known{Entry: Entry{Member: m, Fingerprint: Of(m)}, latestHeartbeat: m.Heartbeat, Heard: heard, Alive: true}
+	k := &Known{Entry: Entry{Member: m, Fingerprint: Fingerprint(m)}, latestHeartbeat: m.Heartbeat, Heard: heard, Alive: true}
 	t.members[m.Name] = k
 	t.byPrint[k.Fingerprint] = k
 	return true, !ok || !old.Alive || old.Leaving != m.Leaving || old.Ready != m.Ready
