--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -221,7 +221,7 @@
 	k := s.gossipState()
 	sameZone := theirs.From.Zone == s.self.Zone
 	k.Diff = s.roster.Diff(theirs.Digest, sameZone)
-	k.Missing = s.roster.Wants(theirs.Digest, sameZone)
+	k.Missing = s.roster.Missing(theirs.Digest, sameZone)
 	k.SuspectChecksum = a.n.quarantine.Sum()
 	if theirs.SuspectChecksum != k.SuspectChecksum {
 		k.Suspects = a.n.allSuspects()
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -96,9 +96,9 @@
 	return out
 }
 
-// Wants returns the items of digest d that this roster is missing. sameZone
+// Missing returns the items of digest d that this roster is missing. sameZone
 // reports whether the sender of d is in the roster's zone.
-func (r Roster) Wants(d citronpeer.Digest, sameZone bool) citronpeer.MissingItems {
+func (r Roster) Missing(d citronpeer.Digest, sameZone bool) citronpeer.MissingItems {
 	var out citronpeer.MissingItems
 	for i, p := range d.Fingerprints {
 		index, known := r.indexByPrint[p]
--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -48,7 +48,7 @@
 	}
 	a, b := roster("z1", all...), roster("z1", all...)
 	is.Equal(b.Diff(a.Digest(), true), citronpeer.Diff{})
-	is.True(b.Wants(a.Digest(), true).Empty())
+	is.True(b.Missing(a.Digest(), true).Empty())
 }
 
 // Only the heartbeat counter of a newer member of another zone is sent. The
@@ -62,7 +62,7 @@
 	is.Equal(len(diff.Gauges), 1)
 	is.Equal(diff.Gauges[0].Load, map[string]int64{"z1": 20})
 	is.Equal(newer.Diff(older.Digest(), false), citronpeer.Diff{})
-	is.Equal(older.Wants(newer.Digest(), true).Gauges, []citronpeer.Fingerprint{citronroster.Fingerprint(member("near", "z1", 0, 1))})
+	is.Equal(older.Missing(newer.Digest(), true).Gauges, []citronpeer.Fingerprint{citronroster.Fingerprint(member("near", "z1", 0, 1))})
 }
 
 // A digest with fewer heartbeat counters than fingerprints, or with unknown
@@ -73,7 +73,7 @@
 	r := roster("z1", member("a", "z1", 0, 10))
 	d := citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(member("a", "z1", 0, 1)), 77}}
 	is.Equal(len(r.Diff(d, true).Gauges), 1) // a missing heartbeat counter counts as zero
-	is.Equal(r.Wants(d, true), citronpeer.MissingItems{Members: []citronpeer.Fingerprint{77}})
+	is.Equal(r.Missing(d, true), citronpeer.MissingItems{Members: []citronpeer.Fingerprint{77}})
 	is.Equal(r.Wanted(citronpeer.MissingItems{Members: []citronpeer.Fingerprint{77}, Gauges: []citronpeer.Fingerprint{78}}), citronpeer.Diff{})
 }
 
@@ -110,7 +110,7 @@
 			}
 		}
 		take(a, rosterB.Diff(rosterA.Digest(), sameZone))
-		take(b, rosterA.Wanted(rosterB.Wants(rosterA.Digest(), sameZone)))
+		take(b, rosterA.Wanted(rosterB.Missing(rosterA.Digest(), sameZone)))
 		for _, tb := range tables {
 			known := map[string]citronpeer.Member{}
 			for _, e := range tb.Alive(now) {
