--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -190,7 +190,7 @@
 		return
 	}
 	k = s.update()
-	k.Diff = s.roster.Wanted(theirs.Missing)
+	k.Diff = s.roster.Requested(theirs.Missing)
 	if !same {
 		k.Suspects = n.allSuspects()
 	}
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -112,9 +112,9 @@
 	return out
 }
 
-// Wanted returns the items that another node requests. It leaves out items that
+// Requested returns the items that another node requests. It leaves out items that
 // are no longer in the roster.
-func (r Roster) Wanted(w citronpeer.MissingItems) citronpeer.Diff {
+func (r Roster) Requested(w citronpeer.MissingItems) citronpeer.Diff {
 	var out citronpeer.Diff
 	for _, p := range w.Members {
 		if index, ok := r.indexByPrint[p]; ok {
--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -74,7 +74,7 @@
 	d := citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(member("a", "z1", 0, 1)), 77}}
 	is.Equal(len(r.Diff(d, true).Gauges), 1) // a missing heartbeat counter counts as zero
 	is.Equal(r.Missing(d, true), citronpeer.MissingItems{Members: []citronpeer.Fingerprint{77}})
-	is.Equal(r.Wanted(citronpeer.MissingItems{Members: []citronpeer.Fingerprint{77}, Gauges: []citronpeer.Fingerprint{78}}), citronpeer.Diff{})
+	is.Equal(r.Requested(citronpeer.MissingItems{Members: []citronpeer.Fingerprint{77}, Gauges: []citronpeer.Fingerprint{78}}), citronpeer.Diff{})
 }
 
 // Whatever two nodes know about a fleet, after one exchange both know the newest
@@ -110,7 +110,7 @@
 			}
 		}
 		take(a, rosterB.Diff(rosterA.Digest(), sameZone))
-		take(b, rosterA.Wanted(rosterB.Missing(rosterA.Digest(), sameZone)))
+		take(b, rosterA.Requested(rosterB.Missing(rosterA.Digest(), sameZone)))
 		for _, tb := range tables {
 			known := map[string]citronpeer.Member{}
 			for _, e := range tb.Alive(now) {
