--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -81,7 +81,7 @@
 	for i, k := range lost {
 		names[i] = k.Name
 	}
-	citronevent.Log(ctx, c.n.log, citronevent.MemberLost, "lost", len(lost), "members", names[:min(maxLoggedNames, len(names))], "peer", lost[0].Peer, "age", now.Sub(lost[0].Heard))
+	citronevent.Log(ctx, c.n.log, citronevent.MemberLost, "lost", len(lost), "members", names[:min(maxLoggedNames, len(names))], "peer", lost[0].Peer, "age", now.Sub(lost[0].LastHeard))
 }
 
 // maxLoggedNames limits the node names in a log line.
@@ -114,7 +114,7 @@
 func (c *control) lastKnownTargets(now time.Time) map[string]citronmodel.Span {
 	var last *citronroster.Known
 	for k := range c.members.All() {
-		if len(k.TargetLayers) > 0 && now.Sub(k.Heard) < targetRetention && (last == nil || k.Heard.After(last.Heard)) {
+		if len(k.TargetLayers) > 0 && now.Sub(k.LastHeard) < targetRetention && (last == nil || k.LastHeard.After(last.LastHeard)) {
 			last = k
 		}
 	}
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -50,7 +50,7 @@
 // Known is a member in a table, and when it was last heard of.
 type Known struct {
 	Entry
-	Heard time.Time
+	LastHeard time.Time
 	// latestHeartbeat is the latest known heartbeat counter. Within a zone the gauges
 	// may be older.
 	latestHeartbeat int64
@@ -124,7 +124,7 @@
 	if ok && old.Alive {
 		heard = now // The heartbeat has advanced since this node last heard of the member.
 	}
-	k := &Known{Entry: Entry{Member: m, Fingerprint: Fingerprint(m)}, latestHeartbeat: m.Heartbeat, Heard: heard, Alive: true}
+	k := &Known{Entry: Entry{Member: m, Fingerprint: Fingerprint(m)}, latestHeartbeat: m.Heartbeat, LastHeard: heard, Alive: true}
 	t.members[m.Name] = k
 	t.byPrint[k.Fingerprint] = k
 	return true, !ok || !old.Alive || old.Leaving != m.Leaving || old.Ready != m.Ready
@@ -167,7 +167,7 @@
 // now were used instead, heartbeats of a dead member that travel from node to
 // node would keep it alive for another second.
 func (k *Known) heardAt(heartbeat int64, now time.Time) time.Time {
-	at := k.Heard.Add(time.Duration(heartbeat-k.latestHeartbeat) * citronpeer.MinHeartbeatInterval)
+	at := k.LastHeard.Add(time.Duration(heartbeat-k.latestHeartbeat) * citronpeer.MinHeartbeatInterval)
 	if oldest := now.Add(-maxReportAge); at.Before(oldest) {
 		return oldest
 	}
@@ -185,9 +185,9 @@
 	}
 	wasLost := !k.Alive
 	if !wasLost && k.Zone == t.zone {
-		t.sameZoneGap = t.sameZoneGap.with(now.Sub(k.Heard))
+		t.sameZoneGap = t.sameZoneGap.with(now.Sub(k.LastHeard))
 	}
-	k.Heard = k.heardAt(heartbeat, now)
+	k.LastHeard = k.heardAt(heartbeat, now)
 	k.latestHeartbeat, k.Alive, k.Stale, k.probed = heartbeat, true, false, false
 	return wasLost
 }
@@ -201,7 +201,7 @@
 	}
 	t.agedAt = now
 	for name, k := range t.members {
-		age, limit := now.Sub(k.Heard), t.probeAfter(k)
+		age, limit := now.Sub(k.LastHeard), t.probeAfter(k)
 		k.Stale = k.Stale || age > FreshFor
 		switch {
 		case age > forgetAfter:
@@ -231,7 +231,7 @@
 func (t *Table) discountStall(d time.Duration) {
 	for _, k := range t.members {
 		if k.Alive {
-			k.Heard = k.Heard.Add(d)
+			k.LastHeard = k.LastHeard.Add(d)
 		}
 	}
 }
@@ -254,7 +254,7 @@
 	for _, k := range t.members {
 		if k.Alive {
 			e := k.Entry
-			e.Age = max(0, now.Sub(k.Heard))
+			e.Age = max(0, now.Sub(k.LastHeard))
 			out = append(out, e)
 		}
 	}
