--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -54,7 +54,7 @@
 }
 
 // memberReturned records that a lost node is back.
-func (c *control) memberReturned(k *citronroster.Known) {
+func (c *control) memberReturned(k *citronroster.TrackedMember) {
 	c.collectDue = true
 	c.joined = append(c.joined, k.Name)
 }
@@ -112,7 +112,7 @@
 
 // lastKnownTargets returns the target layer ranges that a leader announced last.
 func (c *control) lastKnownTargets(now time.Time) map[string]citronmodel.Span {
-	var last *citronroster.Known
+	var last *citronroster.TrackedMember
 	for k := range c.members.All() {
 		if len(k.TargetLayers) > 0 && now.Sub(k.LastHeard) < targetRetention && (last == nil || k.LastHeard.After(last.LastHeard)) {
 			last = k
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -47,8 +47,8 @@
 	stallThreshold = 500 * time.Millisecond
 )
 
-// Known is a member in a table, and when it was last heard of.
-type Known struct {
+// TrackedMember is a member in a table, and when it was last heard of.
+type TrackedMember struct {
 	Entry
 	LastHeard time.Time
 	// latestHeartbeat is the latest known heartbeat counter. Within a zone the gauges
@@ -74,8 +74,8 @@
 type Table struct {
 	// self is the name of the node that owns the table, and zone is its zone.
 	self, zone string
-	members    map[string]*Known
-	byPrint    map[citronpeer.Fingerprint]*Known
+	members    map[string]*TrackedMember
+	byPrint    map[citronpeer.Fingerprint]*TrackedMember
 	// agedAt is when Age was last called.
 	agedAt time.Time
 	// sameZoneGap is the mean time between two updates about a member of this
@@ -97,7 +97,7 @@
 
 // NewTable returns the empty table of the node self in zone.
 func NewTable(self, zone string) *Table {
-	return &Table{self: self, zone: zone, members: map[string]*Known{}, byPrint: map[citronpeer.Fingerprint]*Known{}}
+	return &Table{self: self, zone: zone, members: map[string]*TrackedMember{}, byPrint: map[citronpeer.Fingerprint]*TrackedMember{}}
 }
 
 // Take records a full member from a node that last heard of it at heard. It
@@ -124,7 +124,7 @@
 	if ok && old.Alive {
 		heard = now // The heartbeat has advanced since this node last heard of the member.
 	}
-	k := &Known{Entry: Entry{Member: m, Fingerprint: Fingerprint(m)}, latestHeartbeat: m.Heartbeat, LastHeard: heard, Alive: true}
+	k := &TrackedMember{Entry: Entry{Member: m, Fingerprint: Fingerprint(m)}, latestHeartbeat: m.Heartbeat, LastHeard: heard, Alive: true}
 	t.members[m.Name] = k
 	t.byPrint[k.Fingerprint] = k
 	return true, !ok || !old.Alive || old.Leaving != m.Leaving || old.Ready != m.Ready
@@ -133,7 +133,7 @@
 // TakeGauge records new gauges of a member whose details are known. It returns
 // the member, and whether the member thereby came back. It returns nil if the
 // gauges are not new or the member is unknown.
-func (t *Table) TakeGauge(g citronpeer.GaugeUpdate, now time.Time) (of *Known, back bool) {
+func (t *Table) TakeGauge(g citronpeer.GaugeUpdate, now time.Time) (of *TrackedMember, back bool) {
 	k := t.byPrint[g.Fingerprint]
 	if k == nil || g.Heartbeat <= k.Heartbeat || g.Heartbeat > k.latestHeartbeat+maxHeartbeatLead {
 		return nil, false
@@ -145,7 +145,7 @@
 // TakeDigest records from another node's digest which members are alive, and
 // returns the members that thereby came back. Beat of a member of this zone
 // stays unchanged: it belongs to the gauges, which a digest does not carry.
-func (t *Table) TakeDigest(d citronpeer.Digest, now time.Time) (back []*Known) {
+func (t *Table) TakeDigest(d citronpeer.Digest, now time.Time) (back []*TrackedMember) {
 	for i, p := range d.Fingerprints {
 		k := t.byPrint[p]
 		heartbeat := d.Heartbeat(i)
@@ -166,7 +166,7 @@
 // counter, from the last known counter and the minimum heartbeat interval. If
 // now were used instead, heartbeats of a dead member that travel from node to
 // node would keep it alive for another second.
-func (k *Known) heardAt(heartbeat int64, now time.Time) time.Time {
+func (k *TrackedMember) heardAt(heartbeat int64, now time.Time) time.Time {
 	at := k.LastHeard.Add(time.Duration(heartbeat-k.latestHeartbeat) * citronpeer.MinHeartbeatInterval)
 	if oldest := now.Add(-maxReportAge); at.Before(oldest) {
 		return oldest
@@ -179,7 +179,7 @@
 
 // noteHeartbeat records that a member reached a heartbeat counter, and reports
 // whether the member was lost before.
-func (t *Table) noteHeartbeat(k *Known, heartbeat int64, now time.Time) bool {
+func (t *Table) noteHeartbeat(k *TrackedMember, heartbeat int64, now time.Time) bool {
 	if heartbeat <= k.latestHeartbeat {
 		return false
 	}
@@ -194,7 +194,7 @@
 
 // Age returns the members to probe and the members that have just become lost.
 // It removes members that have been lost for long.
-func (t *Table) Age(now time.Time) (probe, lost []*Known) {
+func (t *Table) Age(now time.Time) (probe, lost []*TrackedMember) {
 	sinceLast := now.Sub(t.agedAt)
 	if !t.agedAt.IsZero() && sinceLast > stallThreshold {
 		t.discountStall(sinceLast)
@@ -219,7 +219,7 @@
 }
 
 // probeAfter returns how long after a member was last heard of it is probed.
-func (t *Table) probeAfter(k *Known) time.Duration {
+func (t *Table) probeAfter(k *TrackedMember) time.Duration {
 	if k.Zone == t.zone {
 		return probeAfter
 	}
@@ -238,8 +238,8 @@
 
 // All iterates over the known members, including lost ones, in no particular
 // order.
-func (t *Table) All() iter.Seq[*Known] {
-	return func(yield func(*Known) bool) {
+func (t *Table) All() iter.Seq[*TrackedMember] {
+	return func(yield func(*TrackedMember) bool) {
 		for _, k := range t.members {
 			if !yield(k) {
 				return
