--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -40,7 +40,7 @@
 func (c *control) mergeGauges(gauges []citronpeer.GaugeUpdate) {
 	now := c.n.clock.Now()
 	for _, g := range gauges {
-		if k, back := c.members.TakeGauge(g, now); back {
+		if k, back := c.members.RecordGauges(g, now); back {
 			c.memberReturned(k)
 		}
 	}
--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -106,7 +106,7 @@
 				tb.Take(m, now, now)
 			}
 			for _, g := range d.Gauges {
-				tb.TakeGauge(g, now)
+				tb.RecordGauges(g, now)
 			}
 		}
 		take(a, rosterB.Diff(rosterA.Digest(), sameZone))
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -130,10 +130,10 @@
 	return true, !ok || !old.Alive || old.Leaving != m.Leaving || old.Ready != m.Ready
 }
 
-// TakeGauge records new gauges of a member whose details are known. It returns
+// RecordGauges records new gauges of a member whose details are known. It returns
 // the member, and whether the member thereby came back. It returns nil if the
 // gauges are not new or the member is unknown.
-func (t *Table) TakeGauge(g citronpeer.GaugeUpdate, now time.Time) (of *TrackedMember, back bool) {
+func (t *Table) RecordGauges(g citronpeer.GaugeUpdate, now time.Time) (of *TrackedMember, back bool) {
 	k := t.byPrint[g.Fingerprint]
 	if k == nil || g.Heartbeat <= k.Heartbeat || g.Heartbeat > k.latestHeartbeat+maxHeartbeatLead {
 		return nil, false
--- a/citronroster/table_test.go
+++ b/citronroster/table_test.go
@@ -58,7 +58,7 @@
 	is.Equal(lost, []string{"b"})
 	is.Equal(len(tb.Alive(now)), 0)
 	// It comes back: an update about it counts as one about a member that was absent.
-	_, back := tb.TakeGauge(citronpeer.GaugeUpdate{Fingerprint: citronroster.Fingerprint(member("b", "z1", 0, 1)), Gauges: citronpeer.Gauges{Heartbeat: 50}}, now)
+	_, back := tb.RecordGauges(citronpeer.GaugeUpdate{Fingerprint: citronroster.Fingerprint(member("b", "z1", 0, 1)), Gauges: citronpeer.Gauges{Heartbeat: 50}}, now)
 	is.True(back)
 	is.Equal(len(tb.Alive(now)), 1)
 }
@@ -196,11 +196,11 @@
 	b := member("b", "z1", 0, 1)
 	tb.Take(b, now, now)
 	tb.TakeDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(b)}, Heartbeats: []int64{1 << 60}}, now)
-	k, _ := tb.TakeGauge(citronpeer.GaugeUpdate{Fingerprint: citronroster.Fingerprint(b), Gauges: citronpeer.Gauges{Heartbeat: 1 << 60}}, now)
+	k, _ := tb.RecordGauges(citronpeer.GaugeUpdate{Fingerprint: citronroster.Fingerprint(b), Gauges: citronpeer.Gauges{Heartbeat: 1 << 60}}, now)
 	is.True(k == nil)
-	k, _ = tb.TakeGauge(citronpeer.GaugeUpdate{Fingerprint: citronroster.Fingerprint(b), Gauges: citronpeer.Gauges{Heartbeat: 2}}, now)
+	k, _ = tb.RecordGauges(citronpeer.GaugeUpdate{Fingerprint: citronroster.Fingerprint(b), Gauges: citronpeer.Gauges{Heartbeat: 2}}, now)
 	is.True(k != nil)
-	k, _ = tb.TakeGauge(citronpeer.GaugeUpdate{Fingerprint: 77, Gauges: citronpeer.Gauges{Heartbeat: 2}}, now)
+	k, _ = tb.RecordGauges(citronpeer.GaugeUpdate{Fingerprint: 77, Gauges: citronpeer.Gauges{Heartbeat: 2}}, now)
 	is.True(k == nil) // unknown fingerprint
 }
 
