--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -48,7 +48,7 @@
 
 // mergeDigest learns from another node's digest which nodes are alive.
 func (c *control) mergeDigest(d citronpeer.Digest) {
-	for _, k := range c.members.TakeDigest(d, c.n.clock.Now()) {
+	for _, k := range c.members.RecordDigest(d, c.n.clock.Now()) {
 		c.memberReturned(k)
 	}
 }
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -142,10 +142,10 @@
 	return k, t.noteHeartbeat(k, g.Heartbeat, now)
 }
 
-// TakeDigest records from another node's digest which members are alive, and
+// RecordDigest records from another node's digest which members are alive, and
 // returns the members that thereby came back. Beat of a member of this zone
 // stays unchanged: it belongs to the gauges, which a digest does not carry.
-func (t *Table) TakeDigest(d citronpeer.Digest, now time.Time) (back []*TrackedMember) {
+func (t *Table) RecordDigest(d citronpeer.Digest, now time.Time) (back []*TrackedMember) {
 	for i, p := range d.Fingerprints {
 		k := t.byPrint[p]
 		heartbeat := d.Heartbeat(i)
--- a/citronroster/table_test.go
+++ b/citronroster/table_test.go
@@ -135,7 +135,7 @@
 		tb.Age(now)
 		now = now.Add(400 * time.Millisecond)
 		tb.Age(now)
-		tb.TakeDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(member("b", "z2", 0, 1))}, Heartbeats: []int64{heartbeat}}, now)
+		tb.RecordDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(member("b", "z2", 0, 1))}, Heartbeats: []int64{heartbeat}}, now)
 	}
 	is.Equal(advertised(tb, now), []string{"b"})
 	age(tb, &now, 2200*time.Millisecond+tick)
@@ -153,7 +153,7 @@
 	b := member("b", "z1", 0, 1)
 	tb.Take(b, now, now)
 	age(tb, &now, time.Second)
-	tb.TakeDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(b)}, Heartbeats: []int64{4}}, now)
+	tb.RecordDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(b)}, Heartbeats: []int64{4}}, now)
 	_, lost := age(tb, &now, 2*time.Second)
 	is.Equal(lost, []string{"b"})
 }
@@ -184,7 +184,7 @@
 	for heartbeat := int64(1); heartbeat < 500; heartbeat += 2 {
 		probed, _ := age(tb, &now, 4*tick)
 		is.Equal(len(probed), 0)
-		tb.TakeDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(b)}, Heartbeats: []int64{heartbeat}}, now)
+		tb.RecordDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(b)}, Heartbeats: []int64{heartbeat}}, now)
 	}
 }
 
@@ -195,7 +195,7 @@
 	tb, now := citronroster.NewTable("a", "z1"), start
 	b := member("b", "z1", 0, 1)
 	tb.Take(b, now, now)
-	tb.TakeDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(b)}, Heartbeats: []int64{1 << 60}}, now)
+	tb.RecordDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(b)}, Heartbeats: []int64{1 << 60}}, now)
 	k, _ := tb.RecordGauges(citronpeer.GaugeUpdate{Fingerprint: citronroster.Fingerprint(b), Gauges: citronpeer.Gauges{Heartbeat: 1 << 60}}, now)
 	is.True(k == nil)
 	k, _ = tb.RecordGauges(citronpeer.GaugeUpdate{Fingerprint: citronroster.Fingerprint(b), Gauges: citronpeer.Gauges{Heartbeat: 2}}, now)
