--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -17,7 +17,7 @@
 func (c *control) mergeMembers(told citronpeer.Diff) {
 	now := c.n.clock.Now()
 	for i, m := range told.Members {
-		updated, changed := c.members.Take(m, now.Add(-told.Age(i)), now)
+		updated, changed := c.members.RecordMember(m, now.Add(-told.Age(i)), now)
 		if !updated {
 			continue
 		}
--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -92,7 +92,7 @@
 				}
 				details := rapid.Int64Range(0, 3).Draw(t, "details")
 				m := member(fmt.Sprint(i), zone(i), details, 100*details+rapid.Int64Range(0, 99).Draw(t, "beat"))
-				tb.Take(m, now, now)
+				tb.RecordMember(m, now, now)
 				if old, ok := newest[m.Name]; !ok || m.Newer(old) {
 					newest[m.Name] = m
 				}
@@ -103,7 +103,7 @@
 		rosterA, rosterB := citronroster.New("z0", a.Alive(now)), citronroster.New("z1", b.Alive(now))
 		take := func(tb *citronroster.Table, d citronpeer.Diff) {
 			for _, m := range d.Members {
-				tb.Take(m, now, now)
+				tb.RecordMember(m, now, now)
 			}
 			for _, g := range d.Gauges {
 				tb.RecordGauges(g, now)
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -100,14 +100,14 @@
 	return &Table{self: self, zone: zone, members: map[string]*TrackedMember{}, byPrint: map[citronpeer.Fingerprint]*TrackedMember{}}
 }
 
-// Take records a full member from a node that last heard of it at heard. It
+// RecordMember records a full member from a node that last heard of it at heard. It
 // reports whether the state was new, and whether the member thereby joined,
 // came back, or changed its Ready or Leaving state.
 //
 // A member that is new to this node is not counted as heard of just now.
 // Otherwise nodes that start one after the other would keep a dead member alive
 // for each other.
-func (t *Table) Take(m citronpeer.Member, heard, now time.Time) (isNew, changed bool) {
+func (t *Table) RecordMember(m citronpeer.Member, heard, now time.Time) (isNew, changed bool) {
 	if m.Name == "" || m.Name == t.self {
 		return false, false
 	}
--- a/citronroster/table_test.go
+++ b/citronroster/table_test.go
@@ -52,7 +52,7 @@
 func TestDeadMemberIsLostInTime(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
-	tb.Take(member("b", "z1", 0, 1), now, now)
+	tb.RecordMember(member("b", "z1", 0, 1), now, now)
 	probed, lost := age(tb, &now, 3*time.Second)
 	is.Equal(probed, []string{"b"})
 	is.Equal(lost, []string{"b"})
@@ -69,13 +69,13 @@
 	is := is.New(t)
 	now := start
 	first := citronroster.NewTable("a", "z1")
-	first.Take(member("b", "z1", 0, 1), now, now)
+	first.RecordMember(member("b", "z1", 0, 1), now, now)
 	_, lost := age(first, &now, 1900*time.Millisecond)
 	is.Equal(len(lost), 0)
 	report := citronroster.New("z1", first.Alive(now)).Diff(citronpeer.Digest{}, true)
 	is.Equal(len(report.Members), 1)
 	second := citronroster.NewTable("c", "z1")
-	second.Take(report.Members[0], now.Add(-report.Age(0)), now)
+	second.RecordMember(report.Members[0], now.Add(-report.Age(0)), now)
 	_, lost = age(second, &now, 600*time.Millisecond)
 	is.Equal(lost, []string{"b"})
 }
@@ -85,10 +85,10 @@
 func TestMemberThatAnswersProbeStays(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
-	tb.Take(member("b", "z1", 0, 1), now, now)
+	tb.RecordMember(member("b", "z1", 0, 1), now, now)
 	probed, _ := age(tb, &now, 1600*time.Millisecond)
 	is.Equal(probed, []string{"b"})
-	tb.Take(member("b", "z1", 0, 17), now, now)
+	tb.RecordMember(member("b", "z1", 0, 17), now, now)
 	_, lost := age(tb, &now, 1500*time.Millisecond)
 	is.Equal(len(lost), 0)
 }
@@ -99,7 +99,7 @@
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	for i := range 200 {
-		tb.Take(member(fmt.Sprint(i), []string{"z1", "z2"}[i%2], 0, 1), now, now)
+		tb.RecordMember(member(fmt.Sprint(i), []string{"z1", "z2"}[i%2], 0, 1), now, now)
 	}
 	_, lost := age(tb, &now, 2200*time.Millisecond+tick)
 	is.Equal(len(lost), 100)
@@ -113,7 +113,7 @@
 func TestStalledNodeLosesNoMember(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
-	tb.Take(member("b", "z1", 0, 1), now, now)
+	tb.RecordMember(member("b", "z1", 0, 1), now, now)
 	age(tb, &now, tick)
 	now = now.Add(5 * time.Second)
 	_, lost := age(tb, &now, time.Second)
@@ -129,7 +129,7 @@
 func TestSlowUpdatesDoNotKeepDeadMember(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
-	tb.Take(member("b", "z2", 0, 1), now, now)
+	tb.RecordMember(member("b", "z2", 0, 1), now, now)
 	for heartbeat := int64(10); heartbeat < 10000; heartbeat += 10 {
 		now = now.Add(400 * time.Millisecond)
 		tb.Age(now)
@@ -151,7 +151,7 @@
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	b := member("b", "z1", 0, 1)
-	tb.Take(b, now, now)
+	tb.RecordMember(b, now, now)
 	age(tb, &now, time.Second)
 	tb.RecordDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(b)}, Heartbeats: []int64{4}}, now)
 	_, lost := age(tb, &now, 2*time.Second)
@@ -163,8 +163,8 @@
 func TestMemberOfAnotherZoneIsProbedLater(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
-	tb.Take(member("near", "z1", 0, 1), now, now)
-	tb.Take(member("far", "z2", 0, 1), now, now)
+	tb.RecordMember(member("near", "z1", 0, 1), now, now)
+	tb.RecordMember(member("far", "z2", 0, 1), now, now)
 	probed, lost := age(tb, &now, 2200*time.Millisecond+tick)
 	is.Equal(probed, []string{"near"})
 	is.Equal(lost, []string{"near"})
@@ -180,7 +180,7 @@
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	b := member("b", "z2", 0, 1)
-	tb.Take(b, now, now)
+	tb.RecordMember(b, now, now)
 	for heartbeat := int64(1); heartbeat < 500; heartbeat += 2 {
 		probed, _ := age(tb, &now, 4*tick)
 		is.Equal(len(probed), 0)
@@ -194,7 +194,7 @@
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	b := member("b", "z1", 0, 1)
-	tb.Take(b, now, now)
+	tb.RecordMember(b, now, now)
 	tb.RecordDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(b)}, Heartbeats: []int64{1 << 60}}, now)
 	k, _ := tb.RecordGauges(citronpeer.GaugeUpdate{Fingerprint: citronroster.Fingerprint(b), Gauges: citronpeer.Gauges{Heartbeat: 1 << 60}}, now)
 	is.True(k == nil)
