--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -156,9 +156,9 @@
 		}
 	}
 	s.others = others.Load
-	updateAge := 2 * c.members.NearGap()
+	updateAge := 2 * c.members.MeanUpdateInterval()
 	for _, sum := range s.zoneTotals {
-		updateAge = max(updateAge, 2*c.members.NearGap()+time.Duration(sum.AgeMS)*time.Millisecond)
+		updateAge = max(updateAge, 2*c.members.MeanUpdateInterval()+time.Duration(sum.AgeMS)*time.Millisecond)
 	}
 	s.roster = citronroster.New(c.self.Zone, append(alive, citronroster.Entry{Member: c.self, Fingerprint: citronroster.Fingerprint(c.self)}))
 	s.targets = c.lastKnownTargets(now)
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -91,9 +91,9 @@
 	return m + runningMean(gapWeight*float64(d-time.Duration(m)))
 }
 
-// NearGap returns the mean time between two updates about a member of this
+// MeanUpdateInterval returns the mean time between two updates about a member of this
 // zone. What is known of such a member is usually at most twice as old.
-func (t *Table) NearGap() time.Duration { return time.Duration(t.sameZoneGap) }
+func (t *Table) MeanUpdateInterval() time.Duration { return time.Duration(t.sameZoneGap) }
 
 // NewTable returns the empty table of the node self in zone.
 func NewTable(self, zone string) *Table {
