--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -63,7 +63,7 @@
 func (c *control) mergeZoneTotals(sums []citronpeer.ZoneTotals) {
 	now := c.n.clock.Now()
 	for _, s := range sums {
-		c.sums.Take(s, now)
+		c.sums.Merge(s, now)
 	}
 }
 
--- a/citronroster/sums.go
+++ b/citronroster/sums.go
@@ -33,10 +33,10 @@
 	s.byZone[s.zone] = timedSum{ZoneTotals: sum, computed: now}
 }
 
-// Take stores the totals of another zone, as received from another node, if
+// Merge stores the totals of another zone, as received from another node, if
 // they are newer than the known ones. It ignores totals with a negative age,
 // which no later ones would replace.
-func (s *Sums) Take(sum citronpeer.ZoneTotals, now time.Time) {
+func (s *Sums) Merge(sum citronpeer.ZoneTotals, now time.Time) {
 	if sum.Zone == s.zone || sum.AgeMS < 0 {
 		return
 	}
--- a/citronroster/table_test.go
+++ b/citronroster/table_test.go
@@ -219,16 +219,16 @@
 	sum := func(ageMS, tokens int64) citronpeer.ZoneTotals {
 		return citronpeer.ZoneTotals{Zone: "z2", AgeMS: ageMS, Load: map[string]int64{"z2": tokens}}
 	}
-	s.Take(sum(500, 1), start)
+	s.Merge(sum(500, 1), start)
 	is.Equal(tokens(start), int64(1))
-	s.Take(sum(900, 2), start) // older
+	s.Merge(sum(900, 2), start) // older
 	is.Equal(tokens(start), int64(1))
-	s.Take(sum(300, 3), start)
+	s.Merge(sum(300, 3), start)
 	is.Equal(tokens(start), int64(3))
-	s.Take(sum(-1, 4), start) // from the future
+	s.Merge(sum(-1, 4), start) // from the future
 	is.Equal(tokens(start), int64(3))
 	is.Equal(s.Tell(start.Add(time.Second))[0].AgeMS, int64(1300))
 	is.Equal(len(s.Tell(start.Add(3*time.Second))), 0)
-	s.Take(citronpeer.ZoneTotals{Zone: "z1", Load: map[string]int64{"z2": 9}}, start) // a node does not accept totals of its own zone
+	s.Merge(citronpeer.ZoneTotals{Zone: "z1", Load: map[string]int64{"z2": 9}}, start) // a node does not accept totals of its own zone
 	is.Equal(len(s.Tell(start)), 1)
 }
