--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -149,7 +149,7 @@
 	own := others.Clone()
 	own.Add(c.self.Load, c.self.Sent)
 	c.sums.Set(citronpeer.ZoneTotals{Load: own.Load, Sent: own.Sent}, now)
-	s.zoneTotals = c.sums.Tell(now)
+	s.zoneTotals = c.sums.Current(now)
 	for _, sum := range s.zoneTotals {
 		if sum.Zone != c.self.Zone {
 			others.Add(sum.Load, sum.Sent)
--- a/citronroster/sums.go
+++ b/citronroster/sums.go
@@ -47,9 +47,9 @@
 	s.byZone[sum.Zone] = timedSum{ZoneTotals: sum, computed: computed}
 }
 
-// Tell returns the totals of all zones that are at most maxTotalsAge old, with
+// Current returns the totals of all zones that are at most maxTotalsAge old, with
 // their current ages.
-func (s *Sums) Tell(now time.Time) []citronpeer.ZoneTotals {
+func (s *Sums) Current(now time.Time) []citronpeer.ZoneTotals {
 	var out []citronpeer.ZoneTotals
 	for _, t := range s.byZone {
 		if age := now.Sub(t.computed); age <= maxTotalsAge {
--- a/citronroster/table_test.go
+++ b/citronroster/table_test.go
@@ -211,7 +211,7 @@
 	s := citronroster.NewSums("z1")
 	tokens := func(now time.Time) int64 {
 		total := citronroster.NewTotal()
-		for _, sum := range s.Tell(now) {
+		for _, sum := range s.Current(now) {
 			total.Add(sum.Load, sum.Sent)
 		}
 		return total.Load["z2"]
@@ -227,8 +227,8 @@
 	is.Equal(tokens(start), int64(3))
 	s.Merge(sum(-1, 4), start) // from the future
 	is.Equal(tokens(start), int64(3))
-	is.Equal(s.Tell(start.Add(time.Second))[0].AgeMS, int64(1300))
-	is.Equal(len(s.Tell(start.Add(3*time.Second))), 0)
+	is.Equal(s.Current(start.Add(time.Second))[0].AgeMS, int64(1300))
+	is.Equal(len(s.Current(start.Add(3*time.Second))), 0)
 	s.Merge(citronpeer.ZoneTotals{Zone: "z1", Load: map[string]int64{"z2": 9}}, start) // a node does not accept totals of its own zone
-	is.Equal(len(s.Tell(start)), 1)
+	is.Equal(len(s.Current(start)), 1)
 }
