--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -84,7 +84,7 @@
 	era     int64
 	eraAt   time.Time
 	members *citronroster.Table
-	sums    *citronroster.Sums
+	sums    *citronroster.ZoneTotals
 	self    citronpeer.Member
 	view    *citronpool.View
 	// listSince is when the first list arrived. listAt and configAt are when the list
--- a/citronroster/sums.go
+++ b/citronroster/sums.go
@@ -11,9 +11,9 @@
 // a few times a second; older ones describe nodes that are cut off or gone.
 const maxTotalsAge = 3 * time.Second
 
-// Sums holds the zone totals that one node knows. It is not safe for concurrent
+// ZoneTotals holds the zone totals that one node knows. It is not safe for concurrent
 // use.
-type Sums struct {
+type ZoneTotals struct {
 	zone   string
 	byZone map[string]timedSum
 }
@@ -25,10 +25,10 @@
 }
 
 // NewSums returns empty zone totals for a node of zone.
-func NewSums(zone string) *Sums { return &Sums{zone: zone, byZone: map[string]timedSum{}} }
+func NewSums(zone string) *ZoneTotals { return &ZoneTotals{zone: zone, byZone: map[string]timedSum{}} }
 
 // Set stores the totals of the node's own zone, computed by this node.
-func (s *Sums) Set(sum citronpeer.ZoneTotals, now time.Time) {
+func (s *ZoneTotals) Set(sum citronpeer.ZoneTotals, now time.Time) {
 	sum.Zone = s.zone
 	s.byZone[s.zone] = timedSum{ZoneTotals: sum, computed: now}
 }
@@ -36,7 +36,7 @@
 // Merge stores the totals of another zone, as received from another node, if
 // they are newer than the known ones. It ignores totals with a negative age,
 // which no later ones would replace.
-func (s *Sums) Merge(sum citronpeer.ZoneTotals, now time.Time) {
+func (s *ZoneTotals) Merge(sum citronpeer.ZoneTotals, now time.Time) {
 	if sum.Zone == s.zone || sum.AgeMS < 0 {
 		return
 	}
@@ -49,7 +49,7 @@
 
 // Current returns the totals of all zones that are at most maxTotalsAge old, with
 // their current ages.
-func (s *Sums) Current(now time.Time) []citronpeer.ZoneTotals {
+func (s *ZoneTotals) Current(now time.Time) []citronpeer.ZoneTotals {
 	var out []citronpeer.ZoneTotals
 	for _, t := range s.byZone {
 		if age := now.Sub(t.computed); age <= maxTotalsAge {
