--- a/citronroster/sums.go
+++ b/citronroster/sums.go
@@ -24,8 +24,10 @@
 	computed time.Time
 }
 
-// NewSums returns empty zone totals for a node of zone.
-func NewSums(zone string) *ZoneTotals { return &ZoneTotals{zone: zone, byZone: map[string]timedSum{}} }
+// NewZoneTotals returns empty zone totals for a node of zone.
+func NewZoneTotals(zone string) *ZoneTotals {
+	return &ZoneTotals{zone: zone, byZone: map[string]timedSum{}}
+}
 
 // Set stores the totals of the node's own zone, computed by this node.
 func (s *ZoneTotals) Set(sum citronpeer.ZoneTotals, now time.Time) {
--- a/citronroster/table_test.go
+++ b/citronroster/table_test.go
@@ -208,7 +208,7 @@
 // older than three seconds do not count: the zone's nodes may be cut off.
 func TestMostRecentZoneTotalsCount(t *testing.T) {
 	is := is.New(t)
-	s := citronroster.NewSums("z1")
+	s := citronroster.NewZoneTotals("z1")
 	tokens := func(now time.Time) int64 {
 		total := citronroster.NewTotal()
 		for _, sum := range s.Current(now) {
