--- a/citronconfig/config.go
+++ b/citronconfig/config.go
@@ -32,9 +32,9 @@
 
 // Keys in the KV service.
 const (
-	// Key is the key of the head: the active configuration and its change
+	// HeadKey is the key of the head: the active configuration and its change
 	// record.
-	Key = "deck/config/fleet"
+	HeadKey = "deck/config/fleet"
 	// AuditPrefix is the key prefix of the change records of replaced
 	// configurations, one per revision.
 	AuditPrefix = "audit/"
@@ -86,7 +86,7 @@
 // Current returns the item that holds the active configuration. Its revision
 // is zero if there is none.
 func (c Config) Current(ctx context.Context) (citronkv.Item, error) {
-	it, err := c.KV.Get(ctx, Key)
+	it, err := c.KV.Get(ctx, HeadKey)
 	if errors.Is(err, citronkv.ErrNotFound) {
 		return citronkv.Item{}, nil
 	}
@@ -218,7 +218,7 @@
 func (c Config) writeHead(ctx context.Context, val []byte, ch Change) (citronkv.Revision, error) {
 	replyLost := false
 	for attempt := range maxWriteAttempts {
-		rev, err := c.KV.Put(ctx, Key, val, ch.Previous, 0)
+		rev, err := c.KV.Put(ctx, HeadKey, val, ch.Previous, 0)
 		switch {
 		case err == nil:
 			return rev, nil
--- a/citronconfig/config_test.go
+++ b/citronconfig/config_test.go
@@ -40,7 +40,7 @@
 }
 
 func (s *interleavingStore) Put(ctx context.Context, key string, v []byte, expect citronkv.Revision, l citronkv.LeaseID) (citronkv.Revision, error) {
-	if key == citronconfig.Key && s.beforePut != nil {
+	if key == citronconfig.HeadKey && s.beforePut != nil {
 		f := s.beforePut
 		s.beforePut = nil
 		f()
--- a/citronconfig/section.go
+++ b/citronconfig/section.go
@@ -103,7 +103,7 @@
 func (l *Loader) Load(ctx context.Context, it citronkv.Item) (citronfleet.Fleet, error) {
 	h, ok := parseHead(it)
 	if !ok {
-		f, err := citronfleet.Parse(Key, it.Value)
+		f, err := citronfleet.Parse(HeadKey, it.Value)
 		return f.WithRevision(it.Revision), err
 	}
 	f := citronfleet.Fleet{Name: h.Change.Fleet, Zones: h.Zones, Revision: it.Revision}
--- a/citronentry/config_test.go
+++ b/citronentry/config_test.go
@@ -53,7 +53,7 @@
 		fake = &staleStore{Server: s}
 		return fake
 	})
-	base, err := r.kv.Get(context.Background(), citronconfig.Key)
+	base, err := r.kv.Get(context.Background(), citronconfig.HeadKey)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,11 +65,11 @@
 			switch rapid.IntRange(0, 2).Draw(rt, "action") {
 			case 0: // an operator applies a changed configuration
 				text := strings.Replace(string(base.Value), "fleet: t", fmt.Sprintf("fleet: t%d", len(history)), 1)
-				rev, err := r.kv.Put(context.Background(), citronconfig.Key, []byte(text), citronkv.AnyRevision, 0)
+				rev, err := r.kv.Put(context.Background(), citronconfig.HeadKey, []byte(text), citronkv.AnyRevision, 0)
 				if err != nil {
 					continue // the KV service is down; the write was not accepted
 				}
-				history = append(history, citronkv.Item{Key: citronconfig.Key, Value: []byte(text), Revision: rev})
+				history = append(history, citronkv.Item{Key: citronconfig.HeadKey, Value: []byte(text), Revision: rev})
 			case 1: // the watch replays an old configuration
 				fake.offer(rapid.SampledFrom(history).Draw(rt, "old"))
 			case 2:
--- a/citronentry/control.go
+++ b/citronentry/control.go
@@ -27,7 +27,7 @@
 	// attached to that entry's lease.
 	EntriesPrefix = "deck/entries/"
 	// watchPrefix covers EntriesPrefix and the configuration
-	// (citronconfig.Key).
+	// (citronconfig.HeadKey).
 	watchPrefix = "deck/"
 )
 
--- a/citronentry/rig_test.go
+++ b/citronentry/rig_test.go
@@ -185,7 +185,7 @@
 // apply writes a fleet configuration to the KV server.
 func (tc *testCluster) apply(t testing.TB, fleet string) {
 	t.Helper()
-	if _, err := tc.kv.Put(context.Background(), citronconfig.Key, []byte(fleet), citronkv.AnyRevision, 0); err != nil {
+	if _, err := tc.kv.Put(context.Background(), citronconfig.HeadKey, []byte(fleet), citronkv.AnyRevision, 0); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/citronentry/watch.go
+++ b/citronentry/watch.go
@@ -82,7 +82,7 @@
 func (c *control) loadFleet(ctx context.Context, w watchResult) watchResult {
 	var newest citronkv.Item
 	for _, it := range w.items {
-		if it.Key == citronconfig.Key && !it.Deleted && it.Revision.After(newest.Revision) {
+		if it.Key == citronconfig.HeadKey && !it.Deleted && it.Revision.After(newest.Revision) {
 			newest = it
 		}
 	}
