--- a/citroncli/apply.go
+++ b/citroncli/apply.go
@@ -98,7 +98,7 @@
 	case errors.Is(err, citronconfig.ErrRace):
 		citronevent.Log(ctx, log, citronevent.ConfigApplyRace, "expected", c.Expect.String(), "err", err)
 		return errors.Wrap(err, "another operator applied first; read the fleet again, merge, and apply")
-	case errors.Is(err, citronconfig.ErrUnknown):
+	case errors.Is(err, citronconfig.ErrOutcomeUnknown):
 		return errors.Wrap(err, "the KV service failed in between; see `citrondeck audit` before applying again")
 	case err != nil:
 		return err
--- a/citronconfig/config.go
+++ b/citronconfig/config.go
@@ -62,9 +62,9 @@
 	// ErrRace reports that another operator's change was written first.
 	// This change was not written.
 	ErrRace = errors.New("the active fleet changed since it was read")
-	// ErrUnknown reports that the KV service did not confirm the write and
+	// ErrOutcomeUnknown reports that the KV service did not confirm the write and
 	// that its outcome could not be determined.
-	ErrUnknown = errors.New("it is unknown whether the change was written")
+	ErrOutcomeUnknown = errors.New("it is unknown whether the change was written")
 )
 
 // changeRecord returns the change record in a value of Key. A bare fleet text
@@ -240,7 +240,7 @@
 			break
 		}
 	}
-	return citronkv.Revision{}, errors.Wrapf(ErrUnknown, "change %s", ch.ID)
+	return citronkv.Revision{}, errors.Wrapf(ErrOutcomeUnknown, "change %s", ch.ID)
 }
 
 // findRevision returns the revision that the change with this ID created, or
