--- a/citroncli/apply.go
+++ b/citroncli/apply.go
@@ -123,7 +123,7 @@
 func (c *auditCmd) Run(g *Globals) error {
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
-	trail, err := config(c.KV).Trail(ctx)
+	trail, err := config(c.KV).AuditTrail(ctx)
 	if err != nil {
 		return err
 	}
--- a/citronconfig/config.go
+++ b/citronconfig/config.go
@@ -246,7 +246,7 @@
 // findRevision returns the revision that the change with this ID created, or
 // zero if the change is not in the audit trail.
 func (c Config) findRevision(ctx context.Context, id string) (citronkv.Revision, error) {
-	trail, err := c.Trail(ctx)
+	trail, err := c.AuditTrail(ctx)
 	if err != nil {
 		return citronkv.Revision{}, err
 	}
@@ -258,9 +258,9 @@
 	return citronkv.Revision{}, nil
 }
 
-// Trail returns the audit trail, oldest change first. The last element is the
+// AuditTrail returns the audit trail, oldest change first. The last element is the
 // active change.
-func (c Config) Trail(ctx context.Context) ([]Change, error) {
+func (c Config) AuditTrail(ctx context.Context) ([]Change, error) {
 	// The active change must be read first. If it is replaced before the
 	// range is read, its record is found under the audit prefix.
 	cur, err := c.Current(ctx)
--- a/citronconfig/config_test.go
+++ b/citronconfig/config_test.go
@@ -119,7 +119,7 @@
 			}
 		}
 		kv.SetFaults(citronkv.Faults{})
-		trail, err := ops[0].Trail(ctx)
+		trail, err := ops[0].AuditTrail(ctx)
 		if err != nil {
 			rt.Fatal(err)
 		}
