--- a/citronfleet/fleet.go
+++ b/citronfleet/fleet.go
@@ -92,11 +92,11 @@
 	return s.Upstreams
 }
 
-// Bound returns the maximum rate of a model service in tokens per second. Each
+// MaxTokenRate returns the maximum rate of a model service in tokens per second. Each
 // token passes every layer once, so the bound is the minimum over all layers of
 // the total capacity of the engines that hold the layer. It is zero if the
 // engines of some layer declare no capacity, and for plain services.
-func (s Service) Bound() float64 {
+func (s Service) MaxTokenRate() float64 {
 	bound := 0.0
 	for l := range s.Layers {
 		capacity := 0.0
--- a/citronload/load.go
+++ b/citronload/load.go
@@ -63,7 +63,7 @@
 		}
 		services = append(services, s)
 		if s.Kind == citronfleet.Model {
-			r.BoundTokensPerSecond += s.Bound()
+			r.BoundTokensPerSecond += s.MaxTokenRate()
 		}
 	}
 	if len(services) == 0 {
--- a/citronload/report.go
+++ b/citronload/report.go
@@ -26,7 +26,7 @@
 	Elapsed               time.Duration
 	Latency               *hdrhistogram.Histogram // in microseconds
 	// BoundTokensPerSecond is the sum of the maximum rates of the model services
-	// in the surge (see Service.Bound in citronfleet).
+	// in the surge (see Service.MaxTokenRate in citronfleet).
 	BoundTokensPerSecond float64
 	Entries              int // entries on the list at the start
 	// FailedTries is the number of tries without a response: connection
--- a/citronroute/snapshot.go
+++ b/citronroute/snapshot.go
@@ -71,7 +71,7 @@
 // engines busy without making that time longer. The entries share this number
 // evenly. Window returns fallback if no capacity is declared.
 func (s *Snapshot) Window(svc citronfleet.Service, tokenGap time.Duration, fallback int) int {
-	bound := svc.Bound()
+	bound := svc.MaxTokenRate()
 	if bound <= 0 {
 		return fallback
 	}
