--- a/citronfleet/check.go
+++ b/citronfleet/check.go
@@ -171,7 +171,7 @@
 // are the nodes of a graph, and each layer range is an edge from its start to
 // its end. A path from 0 to layers runs each layer exactly once and in order.
 func (c *checker) checkCover(path string, s Service) {
-	reachable := Reachable(s.Layers, s.Engines)
+	reachable := ReachableBoundaries(s.Layers, s.Engines)
 	for j, e := range s.Engines {
 		ep := fmt.Sprintf("%s.engines[%d].layers", path, j)
 		from, to := e.Range[0], e.Range[1]
@@ -198,10 +198,10 @@
 	From []bool
 }
 
-// Reachable computes which layer boundaries can be reached from layer 0, and
+// ReachableBoundaries computes which layer boundaries can be reached from layer 0, and
 // from which ones the end of the last layer can be reached. A boundary for
 // which both hold is part of an exact cover of [0, layers).
-func Reachable(layers int, engines []Backend) Cover {
+func ReachableBoundaries(layers int, engines []Backend) Cover {
 	to := make([]bool, layers+1)
 	from := make([]bool, layers+1)
 	to[0], from[layers] = true, true
