--- a/citronfleet/check.go
+++ b/citronfleet/check.go
@@ -188,9 +188,9 @@
 	}
 }
 
-// Cover records which layer boundaries are connected to layer 0 and to the end of
+// Boundaries records which layer boundaries are connected to layer 0 and to the end of
 // the last layer by a chain of engines.
-type Cover struct {
+type Boundaries struct {
 	// To[b] is true if a chain from layer 0 reaches boundary b.
 	To []bool
 	// From[b] is true if a chain from boundary b reaches the end of the last
@@ -201,7 +201,7 @@
 // ReachableBoundaries computes which layer boundaries can be reached from layer 0, and
 // from which ones the end of the last layer can be reached. A boundary for
 // which both hold is part of an exact cover of [0, layers).
-func ReachableBoundaries(layers int, engines []Backend) Cover {
+func ReachableBoundaries(layers int, engines []Backend) Boundaries {
 	to := make([]bool, layers+1)
 	from := make([]bool, layers+1)
 	to[0], from[layers] = true, true
@@ -226,7 +226,7 @@
 			}
 		}
 	}
-	return Cover{To: to, From: from}
+	return Boundaries{To: to, From: from}
 }
 
 // findCycle returns the names of the services on a dependency cycle, with the
