--- a/citronfleet/check.go
+++ b/citronfleet/check.go
@@ -179,11 +179,11 @@
 			c.addProblem(ep, "layers [%d,%d) must lie within [0,%d) and hold at least one layer", from, to, s.Layers)
 			continue
 		}
-		if !reachable.To[from] || !reachable.From[to] {
+		if !reachable.FromStart[from] || !reachable.From[to] {
 			c.addProblem(ep, "layers [%d,%d) of engine %q lie on no exact cover of layers 0..%d (a gap or an overlap)", from, to, e.Name, s.Layers)
 		}
 	}
-	if !reachable.To[s.Layers] {
+	if !reachable.FromStart[s.Layers] {
 		c.addProblem(path+".engines", "no chain of engines covers layers 0..%d exactly once in order", s.Layers)
 	}
 }
@@ -191,8 +191,8 @@
 // Boundaries records which layer boundaries are connected to layer 0 and to the end of
 // the last layer by a chain of engines.
 type Boundaries struct {
-	// To[b] is true if a chain from layer 0 reaches boundary b.
-	To []bool
+	// FromStart[b] is true if a chain from layer 0 reaches boundary b.
+	FromStart []bool
 	// From[b] is true if a chain from boundary b reaches the end of the last
 	// layer.
 	From []bool
@@ -226,7 +226,7 @@
 			}
 		}
 	}
-	return Boundaries{To: to, From: from}
+	return Boundaries{FromStart: to, From: from}
 }
 
 // findCycle returns the names of the services on a dependency cycle, with the
