--- a/citronfleet/check.go
+++ b/citronfleet/check.go
@@ -179,7 +179,7 @@
 			c.addProblem(ep, "layers [%d,%d) must lie within [0,%d) and hold at least one layer", from, to, s.Layers)
 			continue
 		}
-		if !reachable.FromStart[from] || !reachable.From[to] {
+		if !reachable.FromStart[from] || !reachable.ToEnd[to] {
 			c.addProblem(ep, "layers [%d,%d) of engine %q lie on no exact cover of layers 0..%d (a gap or an overlap)", from, to, e.Name, s.Layers)
 		}
 	}
@@ -193,9 +193,9 @@
 type Boundaries struct {
 	// FromStart[b] is true if a chain from layer 0 reaches boundary b.
 	FromStart []bool
-	// From[b] is true if a chain from boundary b reaches the end of the last
+	// ToEnd[b] is true if a chain from boundary b reaches the end of the last
 	// layer.
-	From []bool
+	ToEnd []bool
 }
 
 // ReachableBoundaries computes which layer boundaries can be reached from layer 0, and
@@ -226,7 +226,7 @@
 			}
 		}
 	}
-	return Boundaries{FromStart: to, From: from}
+	return Boundaries{FromStart: to, ToEnd: from}
 }
 
 // findCycle returns the names of the services on a dependency cycle, with the
