--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -188,7 +188,7 @@
 
 var appTable = citrontable.New(1, []citrontable.Route{{
 	Name: "r", Host: "h", Prefix: "/", Kind: citrontable.Safe, Timeout: 4 * time.Second, Target: 120 * time.Millisecond, MaxAttempts: 2,
-	Services: []citrontable.Weighted{{Service: "app", Weight: 1}},
+	Services: []citrontable.WeightedService{{Service: "app", Weight: 1}},
 }}, []citrontable.Service{{Name: "app"}}, nil, citrontable.Limits{})
 
 // forwarder returns the forwarder of a node in front of the given upstreams.
--- a/citrontable/table.go
+++ b/citrontable/table.go
@@ -29,9 +29,9 @@
 	return [...]string{"unsafe", "safe", "streaming"}[k]
 }
 
-// Weighted is one of the services over which a route distributes its requests,
+// WeightedService is one of the services over which a route distributes its requests,
 // with its relative weight.
-type Weighted struct {
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -46,7 +46,7 @@
 	// counts as late.
 	Timeout, Target, MaxGap time.Duration
 	Priority                int
-	Services                []Weighted
+	Services                []WeightedService
 	// MaxAttempts is the maximum number of runs of an idempotent request.
 	MaxAttempts int
 	// Public routes need no API key.
