--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -304,7 +304,7 @@
 		f.refuse(r, out, http.StatusRequestEntityTooLarge, -1, "body is over the limit")
 		return nil, false
 	}
-	name := route.Pick(rand.Float64())
+	name := route.PickService(rand.Float64())
 	j.service, ok = s.Table.Services[name]
 	if !ok {
 		j.service = citrontable.Service{Name: name}
--- a/citrontable/table.go
+++ b/citrontable/table.go
@@ -61,8 +61,8 @@
 	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
 
-// Pick chooses a service by weight. draw is a random number in [0, 1).
-func (r Route) Pick(draw float64) string {
+// PickService chooses a service by weight. draw is a random number in [0, 1).
+func (r Route) PickService(draw float64) string {
 	total := 0
 	for _, w := range r.Services {
 		total += w.Weight
