--- a/citronforward/admit.go
+++ b/citronforward/admit.go
@@ -47,7 +47,7 @@
 // awaitCapacity waits for a path with free capacity for the stream and returns it. full reports
 // that paths exist but none has free capacity.
 func (s *streamJob) awaitCapacity(ctx context.Context) (p citronpath.Path, full, ok bool) {
-	until := s.f.Clock.Now().Add(time.Duration(float64(s.route.Target) * capacityWaitShare))
+	until := s.f.Clock.Now().Add(time.Duration(float64(s.route.TargetLatency) * capacityWaitShare))
 	for {
 		state := s.f.Current()
 		p, ok = s.job.path(state, "")
--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -94,8 +94,8 @@
 		return 0
 	}
 	maxWait := time.Duration(maxPermitWaitShare * float64(max(0, j.timeLeft())))
-	if j.route.Kind == citrontable.Streaming && j.route.Target > 0 {
-		maxWait = min(maxWait, maxPermitWaitTargets*j.route.Target)
+	if j.route.Kind == citrontable.Streaming && j.route.TargetLatency > 0 {
+		maxWait = min(maxWait, maxPermitWaitTargets*j.route.TargetLatency)
 	}
 	return maxWait
 }
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -351,7 +351,7 @@
 	}
 	if w.switchZoneAt.IsZero() {
 		w.switchZoneAt = now
-		if late := now.Sub(w.s.Received) > w.s.route.Target; w.s.begun || late {
+		if late := now.Sub(w.s.Received) > w.s.route.TargetLatency; w.s.begun || late {
 			w.switchZoneAt = now.Add(zoneSwitchDelay + rand.N(zoneSwitchSpread))
 		}
 	}
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -124,7 +124,7 @@
 
 // attempt sends the request to one engine and reads the complete response.
 func (j *job) attempt(ctx context.Context, e *citronpool.Engine, hops citronpath.Path) result {
-	if timeout := attemptTargets * j.route.Target; j.route.Idempotent() && timeout > 0 && j.runs+1 < j.route.MaxAttempts && timeout < j.timeLeft() {
+	if timeout := attemptTargets * j.route.TargetLatency; j.route.Idempotent() && timeout > 0 && j.runs+1 < j.route.MaxAttempts && timeout < j.timeLeft() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -187,7 +187,7 @@
 func (a *answers) Abort()                 {}
 
 var appTable = citrontable.New(1, []citrontable.Route{{
-	Name: "r", Host: "h", Prefix: "/", Kind: citrontable.Safe, Timeout: 4 * time.Second, Target: 120 * time.Millisecond, MaxAttempts: 2,
+	Name: "r", Host: "h", Prefix: "/", Kind: citrontable.Safe, Timeout: 4 * time.Second, TargetLatency: 120 * time.Millisecond, MaxAttempts: 2,
 	Services: []citrontable.WeightedService{{Service: "app", Weight: 1}},
 }}, []citrontable.Service{{Name: "app"}}, nil, citrontable.Limits{})
 
--- a/citrontable/table.go
+++ b/citrontable/table.go
@@ -44,9 +44,9 @@
 	// latency: a later response, or a later first event of a stream, counts as
 	// late. MaxGap is the maximum time between two events of a stream before it
 	// counts as late.
-	Timeout, Target, MaxGap time.Duration
-	Priority                int
-	Services                []WeightedService
+	Timeout, TargetLatency, MaxGap time.Duration
+	Priority                       int
+	Services                       []WeightedService
 	// MaxAttempts is the maximum number of runs of an idempotent request.
 	MaxAttempts int
 	// Public routes need no API key.
