--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -117,7 +117,7 @@
 	route := func(name string, kind citrontable.Kind, service string, attempts int) citrontable.Route {
 		return citrontable.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, Timeout: 10 * time.Second, TargetLatency: 100 * time.Millisecond,
-			MaxGap: 250 * time.Millisecond, MaxAttempts: attempts, Services: []citrontable.WeightedService{{Service: service, Weight: 1}},
+			MaxEventGap: 250 * time.Millisecond, MaxAttempts: attempts, Services: []citrontable.WeightedService{{Service: service, Weight: 1}},
 			Resumable: kind == citrontable.Streaming, Public: name == "public",
 		}
 	}
--- a/citrontable/table.go
+++ b/citrontable/table.go
@@ -42,11 +42,11 @@
 	Kind               Kind
 	// Timeout is the maximum time that a caller waits. Target is the target
 	// latency: a later response, or a later first event of a stream, counts as
-	// late. MaxGap is the maximum time between two events of a stream before it
+	// late. MaxEventGap is the maximum time between two events of a stream before it
 	// counts as late.
-	Timeout, TargetLatency, MaxGap time.Duration
-	Priority                       int
-	Services                       []WeightedService
+	Timeout, TargetLatency, MaxEventGap time.Duration
+	Priority                            int
+	Services                            []WeightedService
 	// MaxAttempts is the maximum number of runs of an idempotent request.
 	MaxAttempts int
 	// Public routes need no API key.
