--- a/citronlist/starts.go
+++ b/citronlist/starts.go
@@ -13,7 +13,7 @@
 		return
 	}
 	old := e.engine
-	e.engine = old.Reborn(born)
+	e.engine = old.Restarted(born)
 	l.setEntry(key, e)
 	l.version++
 	l.reportEnded(ctx, old, e.engine.ID)
--- a/citronmodel/model.go
+++ b/citronmodel/model.go
@@ -134,9 +134,9 @@
 	return instance + "@" + strconv.FormatInt(born, 10)
 }
 
-// Reborn returns the engine after a restart at born, in Unix milliseconds: a new
+// Restarted returns the engine after a restart at born, in Unix milliseconds: a new
 // incarnation that holds no layers and is not leaving.
-func (e Engine) Reborn(born int64) Engine {
+func (e Engine) Restarted(born int64) Engine {
 	e.ID, e.Born = IncarnationID(e.Instance, born), born
 	e.Layers, e.Leaving = Span{}, false
 	return e
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -125,7 +125,7 @@
 	before.MarkRestarted(200, time.Now())
 	r.tick(context.Background())
 	r.publish()
-	is.Equal(r.inUse()["a:1"], modelEngine("i-1", "a:1", 100, 8).Reborn(200))
+	is.Equal(r.inUse()["a:1"], modelEngine("i-1", "a:1", 100, 8).Restarted(200))
 	is.Equal(r.self.Starts, map[string]int64{"i-1": 200})
 	told := r.self
 	told.Name, told.Heartbeat = "n2", 7
