--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -462,7 +462,7 @@
 func TestRunOnRestartedEngineHasEnded(t *testing.T) {
 	is := is.New(t)
 	first := engine("m1", "a", 0, 8)
-	first.Born = 100
+	first.StartMS = 100
 	r := newRig(t, first, engine("m2", "b", 0, 8), engine("m3", "b", 0, 8))
 	r.engines.answer = func(ctx context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, events(3, 4))
--- a/citronlist/index_test.go
+++ b/citronlist/index_test.go
@@ -30,7 +30,7 @@
 					return citronmodel.Engine{}, errors.New("entry of another writer")
 				}
 				id, v := key[2:], int(text[1]-'0')
-				return citronmodel.Engine{ID: fmt.Sprintf("%s@%d", id, v/4), Instance: id, Born: int64(v / 4), Service: string(text[0]), Addr: fmt.Sprint(v % 3), Slots: v}, nil
+				return citronmodel.Engine{ID: fmt.Sprintf("%s@%d", id, v/4), Instance: id, StartMS: int64(v / 4), Service: string(text[0]), Addr: fmt.Sprint(v % 3), Slots: v}, nil
 			},
 		})
 		ctx := context.Background()
@@ -69,7 +69,7 @@
 				t.Fatalf("patched:\n%v\nrebuilt:\n%v", got, want)
 			}
 			for key, e := range l.entries {
-				if l.index.missing[key] == e.missingSince.IsZero() || l.index.restarted[key] != (e.engine.Born > e.listedBorn) {
+				if l.index.missing[key] == e.missingSince.IsZero() || l.index.restarted[key] != (e.engine.StartMS > e.listedBorn) {
 					t.Fatalf("entry %s is wrongly indexed: missing %t, restarted %t", key, l.index.missing[key], l.index.restarted[key])
 				}
 			}
--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -207,8 +207,8 @@
 	if l.resolveAddressConflict(ctx, it, e) {
 		return
 	}
-	now := entry{engine: e, item: it, listedBorn: e.Born}
-	if had && old.engine.Born > e.Born && e.Born > 0 {
+	now := entry{engine: e, item: it, listedBorn: e.StartMS}
+	if had && old.engine.StartMS > e.StartMS && e.StartMS > 0 {
 		now.engine = old.engine // the entry was written before the engine restarted
 	}
 	if had && old.engine.ID != now.engine.ID {
--- a/citronlist/starts.go
+++ b/citronlist/starts.go
@@ -9,7 +9,7 @@
 func (l *List) StartedAnew(ctx context.Context, instance string, born int64) {
 	key := l.set.Prefix + instance
 	e, ok := l.entries[key]
-	if !ok || e.engine.Born == 0 || e.engine.Born >= born {
+	if !ok || e.engine.StartMS == 0 || e.engine.StartMS >= born {
 		return
 	}
 	old := e.engine
@@ -25,7 +25,7 @@
 	starts := map[string]int64{}
 	for key := range l.index.restarted {
 		e := l.entries[key].engine
-		starts[e.Instance] = e.Born
+		starts[e.Instance] = e.StartMS
 	}
 	return starts
 }
--- a/citronmodel/model.go
+++ b/citronmodel/model.go
@@ -113,7 +113,7 @@
 	// same after a restart. Born is the start time in Unix milliseconds, or
 	// zero if the engine does not report it.
 	Instance string
-	Born     int64
+	StartMS  int64
 	Service  string
 	Addr     string
 	Zone     string
@@ -137,7 +137,7 @@
 // Restarted returns the engine after a restart at born, in Unix milliseconds: a new
 // incarnation that holds no layers and is not leaving.
 func (e Engine) Restarted(born int64) Engine {
-	e.ID, e.Born = IncarnationID(e.Instance, born), born
+	e.ID, e.StartMS = IncarnationID(e.Instance, born), born
 	e.Layers, e.Leaving = Span{}, false
 	return e
 }
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -37,7 +37,7 @@
 		if err == nil && e.Addr == "" {
 			err = errors.Newf("%s names no address", key)
 		}
-		e.ID = citronmodel.IncarnationID(e.Instance, e.Born)
+		e.ID = citronmodel.IncarnationID(e.Instance, e.StartMS)
 		return e, err
 	}}
 	n := New(set, src, citronclock.Real{}, slog.New(slog.NewTextHandler(io.Discard, nil)), citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 10, Window: time.Second}), &citronpool.Loads{}, nil)
@@ -84,7 +84,7 @@
 }
 
 func modelEngine(instance, addr string, born int64, to int) citronmodel.Engine {
-	return citronmodel.Engine{Instance: instance, Born: born, Service: "m", Addr: addr, Zone: "z", Kind: "fast", Layers: citronmodel.Span{To: to}, Slots: 4}
+	return citronmodel.Engine{Instance: instance, StartMS: born, Service: "m", Addr: addr, Zone: "z", Kind: "fast", Layers: citronmodel.Span{To: to}, Slots: 4}
 }
 
 // Guards against a restarted engine that is taken for its predecessor. An engine
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -244,7 +244,7 @@
 	is := is.New(t)
 	e := &fakeEngines{state: citronplace.EngineState{Born: 200}}
 	listed := engine("e1", 0, 0)
-	listed.Born = 100
+	listed.StartMS = 100
 	s := state(listed)
 	run(t, e, s)
 	eventually(t, "the restart is recorded in the view", func() bool { return len(s.View.Restarted()) == 1 })
--- a/citronprobe/heard_test.go
+++ b/citronprobe/heard_test.go
@@ -34,7 +34,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			list := []citronmodel.Engine{{ID: "i-1@100", Instance: "i-1", Born: 100, Service: "m", Addr: "a:1", Kind: "fast", Layers: held}}
+			list := []citronmodel.Engine{{ID: "i-1@100", Instance: "i-1", StartMS: 100, Service: "m", Addr: "a:1", Kind: "fast", Layers: held}}
 			v := citronpool.Build(list, nil)
 			e, _ := v.ByID("i-1@100")
 			now := time.Now()
