--- a/citronmodel/model.go
+++ b/citronmodel/model.go
@@ -78,10 +78,10 @@
 	return max(0, free/(s.TokenBytes/float64(s.Layers)*float64(layers)))
 }
 
-// RoomTokens returns an engine's capacity in tokens of running requests while it
+// TokenCapacity returns an engine's capacity in tokens of running requests while it
 // holds the given number of layers. The capacity is the smaller of two limits:
 // the cache size, and Slots concurrent requests of MeanTokens each.
-func (s Spec) RoomTokens(kind string, layers int) float64 {
+func (s Spec) TokenCapacity(kind string, layers int) float64 {
 	cache := s.CacheTokens(kind, layers)
 	if s.Slots <= 0 || s.MeanTokens <= 0 {
 		return cache
--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -108,7 +108,7 @@
 // requests than they can run at once and would refuse the excess. The load from
 // other nodes is known only as a total per zone.
 func (q Query) Utilization(e *citronpool.Engine) float64 {
-	capacity := q.Spec.RoomTokens(e.Kind, e.Layers.Len())
+	capacity := q.Spec.TokenCapacity(e.Kind, e.Layers.Len())
 	if capacity <= 0 {
 		return math.Inf(1)
 	}
--- a/citronplace/cover.go
+++ b/citronplace/cover.go
@@ -67,7 +67,7 @@
 
 // add counts an engine that holds a span.
 func (z *zoneCache) add(kind string, s citronmodel.Span) {
-	tokens := z.spec.RoomTokens(kind, s.Len())
+	tokens := z.spec.TokenCapacity(kind, s.Len())
 	for l := max(0, s.From); l < min(s.To, z.spec.Layers); l++ {
 		z.total[l] += tokens
 		z.largest[l] = max(z.largest[l], tokens)
@@ -85,7 +85,7 @@
 // strainReduction returns how much the strain of a span falls if one more
 // engine of the given kind holds it.
 func (z *zoneCache) strainReduction(kind string, s citronmodel.Span) float64 {
-	tokens, sum := z.spec.RoomTokens(kind, s.Len()), 0.0
+	tokens, sum := z.spec.TokenCapacity(kind, s.Len()), 0.0
 	for l := s.From; l < s.To; l++ {
 		if z.total[l] == 0 {
 			return 0 // a gap; repair fills it
