--- a/citronmodel/model.go
+++ b/citronmodel/model.go
@@ -89,11 +89,11 @@
 	return min(cache, float64(s.Slots*s.MeanTokens))
 }
 
-// StepTime returns the time in milliseconds that an engine of this kind needs
+// StepTimeMS returns the time in milliseconds that an engine of this kind needs
 // for one token step over the given number of layers. writers is the number of
 // requests that are generating tokens, contextTokens the number of tokens that
 // they have cached.
-func (s Spec) StepTime(kind string, layers int, writers, contextTokens float64) float64 {
+func (s Spec) StepTimeMS(kind string, layers int, writers, contextTokens float64) float64 {
 	k, ok := s.Kinds[kind]
 	if !ok || s.Layers == 0 {
 		return 0
--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -140,7 +140,7 @@
 
 // layerCost returns the cost of running one layer on an engine.
 func (q Query) layerCost(e *citronpool.Engine) float64 {
-	ms := q.Spec.StepTime(e.Kind, 1, typicalRequests, typicalContext)
+	ms := q.Spec.StepTimeMS(e.Kind, 1, typicalRequests, typicalContext)
 	used := q.Utilization(e)
 	if math.IsInf(used, 1) {
 		return used
