--- a/citronmodel/model.go
+++ b/citronmodel/model.go
@@ -42,9 +42,9 @@
 	// that is generating tokens, plus ContextMSPerK for each 1000 cached tokens.
 	// ReadPerS is the prompt processing rate in tokens per second.
 	StepMS, PerSeqMS, ContextMSPerK, ReadPerS float64
-	// Load is the time to load the whole model. LoadsAtOnce is the number of
+	// LoadTime is the time to load the whole model. LoadsAtOnce is the number of
 	// concurrent loads beyond which each load slows down.
-	Load        time.Duration
+	LoadTime    time.Duration
 	LoadsAtOnce int
 	// Slots is the number of requests that an engine runs concurrently as the
 	// first hop of their paths.
