--- a/citronmodel/model.go
+++ b/citronmodel/model.go
@@ -42,10 +42,10 @@
 	// that is generating tokens, plus ContextMSPerK for each 1000 cached tokens.
 	// ReadPerS is the prompt processing rate in tokens per second.
 	StepMS, PerSeqMS, ContextMSPerK, ReadPerS float64
-	// LoadTime is the time to load the whole model. LoadsAtOnce is the number of
+	// LoadTime is the time to load the whole model. MaxConcurrentLoads is the number of
 	// concurrent loads beyond which each load slows down.
-	LoadTime    time.Duration
-	LoadsAtOnce int
+	LoadTime           time.Duration
+	MaxConcurrentLoads int
 	// Slots is the number of requests that an engine runs concurrently as the
 	// first hop of their paths.
 	Slots int
