--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -93,7 +93,7 @@
 func (c *caller) Abort()                          { c.aborted = true }
 
 var spec = citronmodel.Spec{
-	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, PerSeqMS: 0.005, ContextMSPerK: 0.006, ReadPerS: 160_000, Slots: 8,
+	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, PerSeqMS: 0.005, ContextMSPerK: 0.006, PromptTokensPerS: 160_000, Slots: 8,
 	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 10_000, StepFactor: 2, ReadFactor: 3}},
 }
 
--- a/citronmodel/model.go
+++ b/citronmodel/model.go
@@ -40,8 +40,8 @@
 	TokenBytes float64
 	// A token step over all layers takes StepMS, plus PerSeqMS for each request
 	// that is generating tokens, plus ContextMSPerK for each 1000 cached tokens.
-	// ReadPerS is the prompt processing rate in tokens per second.
-	StepMS, PerSeqMS, ContextMSPerK, ReadPerS float64
+	// PromptTokensPerS is the prompt processing rate in tokens per second.
+	StepMS, PerSeqMS, ContextMSPerK, PromptTokensPerS float64
 	// LoadTime is the time to load the whole model. MaxConcurrentLoads is the number of
 	// concurrent loads beyond which each load slows down.
 	LoadTime           time.Duration
--- a/citronplacer/board_test.go
+++ b/citronplacer/board_test.go
@@ -13,7 +13,7 @@
 
 // zoneSpec describes an 80-layer model on three kinds of accelerators.
 var zoneSpec = citronmodel.Spec{
-	Layers: 80, LayerMB: 1750, TokenBytes: 590_000, StepMS: 1.02, PerSeqMS: 0.0046, ContextMSPerK: 0.0062, ReadPerS: 164_000, Slots: 192,
+	Layers: 80, LayerMB: 1750, TokenBytes: 590_000, StepMS: 1.02, PerSeqMS: 0.0046, ContextMSPerK: 0.0062, PromptTokensPerS: 164_000, Slots: 192,
 	Kinds: map[string]citronmodel.Kind{
 		"large": {Name: "large", MemoryMB: 72_000, StepFactor: 2.4, ReadFactor: 3.2},
 		"small": {Name: "small", MemoryMB: 14_400, StepFactor: 5.3, ReadFactor: 7.9},
