--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -94,7 +94,7 @@
 
 var spec = citronmodel.Spec{
 	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, PerSeqMS: 0.005, ContextMSPerK: 0.006, PromptTokensPerS: 160_000, Slots: 8,
-	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 10_000, StepFactor: 2, ReadFactor: 3}},
+	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 10_000, StepFactor: 2, PromptFactor: 3}},
 }
 
 func engine(id, zone string, from, to int) citronmodel.Engine {
--- a/citronmodel/model.go
+++ b/citronmodel/model.go
@@ -27,9 +27,9 @@
 	// MemoryMB is the memory in MB. The memory that the engine's layers leave
 	// free holds the cache of running requests.
 	MemoryMB float64
-	// StepFactor and ReadFactor scale the declared times for token steps and
+	// StepFactor and PromptFactor scale the declared times for token steps and
 	// for prompt processing.
-	StepFactor, ReadFactor float64
+	StepFactor, PromptFactor float64
 }
 
 // Spec is a service's declaration of its model and its engines.
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -173,7 +173,7 @@
 
 var spec = citronmodel.Spec{
 	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, PromptTokensPerS: 1000, Slots: 8,
-	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 6000, StepFactor: 2, ReadFactor: 3}},
+	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 6000, StepFactor: 2, PromptFactor: 3}},
 }
 
 func decodeConfig(text []byte) (*citrontable.Table, error) {
--- a/citronpath/path_test.go
+++ b/citronpath/path_test.go
@@ -15,8 +15,8 @@
 var spec = citronmodel.Spec{
 	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, PerSeqMS: 0.005, ContextMSPerK: 0.006, PromptTokensPerS: 160_000,
 	Kinds: map[string]citronmodel.Kind{
-		"fast": {Name: "fast", MemoryMB: 20_000, StepFactor: 2, ReadFactor: 3},
-		"slow": {Name: "slow", MemoryMB: 20_000, StepFactor: 16, ReadFactor: 8},
+		"fast": {Name: "fast", MemoryMB: 20_000, StepFactor: 2, PromptFactor: 3},
+		"slow": {Name: "slow", MemoryMB: 20_000, StepFactor: 16, PromptFactor: 8},
 	},
 }
 
--- a/citronplace/plan_test.go
+++ b/citronplace/plan_test.go
@@ -15,9 +15,9 @@
 var spec = citronmodel.Spec{
 	Layers: 80, LayerMB: 1750, TokenBytes: 590_000, StepMS: 1.02, PerSeqMS: 0.0046, ContextMSPerK: 0.0062, PromptTokensPerS: 164_000, Slots: 192,
 	Kinds: map[string]citronmodel.Kind{
-		"large": {Name: "large", MemoryMB: 72_000, StepFactor: 2.4, ReadFactor: 3.2},
-		"small": {Name: "small", MemoryMB: 14_400, StepFactor: 5.3, ReadFactor: 7.9},
-		"slow":  {Name: "slow", MemoryMB: 21_600, StepFactor: 16, ReadFactor: 8.2},
+		"large": {Name: "large", MemoryMB: 72_000, StepFactor: 2.4, PromptFactor: 3.2},
+		"small": {Name: "small", MemoryMB: 14_400, StepFactor: 5.3, PromptFactor: 7.9},
+		"slow":  {Name: "slow", MemoryMB: 21_600, StepFactor: 16, PromptFactor: 8.2},
 	},
 }
 
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -20,7 +20,7 @@
 
 var spec = citronmodel.Spec{
 	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, PromptTokensPerS: 1000, Slots: 8,
-	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 9000, StepFactor: 2, ReadFactor: 3}},
+	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 9000, StepFactor: 2, PromptFactor: 3}},
 }
 
 // sentOrder is an order that fakeEngines received.
