--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -56,8 +56,8 @@
 	// services.
 	Hops     citronpath.Path
 	Customer string
-	// Left is the remaining time that the engine may use.
-	Left time.Duration
+	// TimeLeft is the remaining time that the engine may use.
+	TimeLeft time.Duration
 	// After is the ID of the last event that the caller has received by the time
 	// of the call, or ResumeAfter if it has received none since its request.
 	After string
