--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -58,9 +58,9 @@
 	Customer string
 	// TimeLeft is the remaining time that the engine may use.
 	TimeLeft time.Duration
-	// After is the ID of the last event that the caller has received by the time
+	// AfterEvent is the ID of the last event that the caller has received by the time
 	// of the call, or ResumeAfter if it has received none since its request.
-	After string
+	AfterEvent string
 	// Once is true if the transport must not retry the call and must not reuse
 	// a connection of an earlier call.
 	Once bool
