--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -44,7 +44,7 @@
 func (f *fakeEngines) Send(ctx context.Context, c citronupstream.Call) (*citronupstream.Reply, error) {
 	f.mu.Lock()
 	n := len(f.calls)
-	f.calls = append(f.calls, sent{engine: c.Engine.ID, after: c.AfterEvent, path: c.Hops, once: c.Once})
+	f.calls = append(f.calls, sent{engine: c.Engine.ID, after: c.AfterEvent, path: c.Hops, once: c.NoRetry})
 	f.mu.Unlock()
 	return f.answer(ctx, n, c)
 }
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -61,9 +61,9 @@
 	// AfterEvent is the ID of the last event that the caller has received by the time
 	// of the call, or ResumeAfter if it has received none since its request.
 	AfterEvent string
-	// Once is true if the transport must not retry the call and must not reuse
+	// NoRetry is true if the transport must not retry the call and must not reuse
 	// a connection of an earlier call.
-	Once bool
+	NoRetry bool
 	// Urgent is true if the engine should run the call before others.
 	Urgent bool
 }
