--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -401,7 +401,7 @@
 // receive reads the engine's response and forwards it to the caller.
 func (s *streamJob) receive(ctx context.Context, reply *citronupstream.Reply, w *watch) runOutcome {
 	first := s.path[0].Engine
-	if reply.NotRun {
+	if reply.NotExecuted {
 		_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxAnswerBytes)) // so that the connection can be reused
 		s.noteRefusal(first, reply)
 		s.f.Metrics.Attempts.WithLabelValues(notRun.String()).Inc()
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -136,7 +136,7 @@
 		return j.classifyError(e, err)
 	}
 	defer reply.Body.Close()
-	if reply.NotRun {
+	if reply.NotExecuted {
 		_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxAnswerBytes)) // drain the body so that the connection can be reused
 		j.noteRefusal(e, reply)
 		return result{outcome: notRun, status: reply.Status}
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -73,8 +73,8 @@
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// NotRun is true if the engine reports that it did not run the request.
-	NotRun bool
+	// NotExecuted is true if the engine reports that it did not run the request.
+	NotExecuted bool
 	// Fault is the address of the accused engine: the engine on the path that the
 	// response names as the cause of the failure.
 	Fault string
