--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -161,6 +161,6 @@
 
 func refusal(fault string) *citronupstream.Reply {
 	r := reply(http.StatusServiceUnavailable, "")
-	r.NotExecuted, r.Fault, r.Signed = true, fault, false
+	r.NotExecuted, r.FaultAddr, r.Signed = true, fault, false
 	return r
 }
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -75,9 +75,9 @@
 	Body   io.ReadCloser
 	// NotExecuted is true if the engine reports that it did not run the request.
 	NotExecuted bool
-	// Fault is the address of the accused engine: the engine on the path that the
+	// FaultAddr is the address of the accused engine: the engine on the path that the
 	// response names as the cause of the failure.
-	Fault string
+	FaultAddr string
 	// Signed is true if the response carries the stamp of an engine, so that it
 	// was not produced by a proxy in between.
 	Signed bool
