--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -223,7 +223,7 @@
 	}
 	switch l := reply.RateLimit.(type) {
 	case citronupstream.NoRateLimit:
-		if !reply.Signed {
+		if !reply.FromEngine {
 			return
 		}
 	case citronupstream.InvalidRateLimit:
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -178,7 +178,7 @@
 		ends  bool
 	}{
 		{"its own", func() *citronupstream.Reply { return reply(http.StatusOK, "ok") }, true},
-		{"unsigned", func() *citronupstream.Reply { r := reply(http.StatusOK, "ok"); r.Signed = false; return r }, false},
+		{"unsigned", func() *citronupstream.Reply { r := reply(http.StatusOK, "ok"); r.FromEngine = false; return r }, false},
 		{"a refusal", func() *citronupstream.Reply { return refusal("") }, false},
 		{"of another engine", func() *citronupstream.Reply { r := refusal(""); r.Status = http.StatusMisdirectedRequest; return r }, false},
 		{"an invalid one", func() *citronupstream.Reply {
--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -156,11 +156,11 @@
 }
 
 func reply(status int, body string) *citronupstream.Reply {
-	return &citronupstream.Reply{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), Signed: true}
+	return &citronupstream.Reply{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), FromEngine: true}
 }
 
 func refusal(fault string) *citronupstream.Reply {
 	r := reply(http.StatusServiceUnavailable, "")
-	r.NotExecuted, r.FaultAddr, r.Signed = true, fault, false
+	r.NotExecuted, r.FaultAddr, r.FromEngine = true, fault, false
 	return r
 }
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -411,7 +411,7 @@
 	if reply.Status != http.StatusOK {
 		return s.handleEngineFailure(ctx, reply)
 	}
-	if !reply.Signed || reply.Header.Get("Content-Encoding") != "" {
+	if !reply.FromEngine || reply.Header.Get("Content-Encoding") != "" {
 		s.logRun(first, result{outcome: unknown, status: reply.Status, err: errors.New("response lacks the engine's signature or has a content encoding")})
 		s.avoid[first.ID] = true
 		return runBroken
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		return j.classifyError(e, errors.Wrap(err, "read response"))
 	}
-	if !reply.Signed && reply.Status < 300 || reply.Header.Get("Content-Encoding") != "" {
+	if !reply.FromEngine && reply.Status < 300 || reply.Header.Get("Content-Encoding") != "" {
 		return result{outcome: unknown, status: reply.Status, err: errors.New("response lacks the engine's signature or has a content encoding")}
 	}
 	res := result{outcome: answered, status: reply.Status, header: reply.Header, body: body}
--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -53,7 +53,7 @@
 	full := func() (*citronupstream.Reply, error) { return refusal(""), nil }
 	unsigned := func() (*citronupstream.Reply, error) {
 		rep := reply(200, "x")
-		rep.Signed = false
+		rep.FromEngine = false
 		return rep, nil
 	}
 	for _, c := range []struct {
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -142,7 +142,7 @@
 func (u nodeUpstreams) Send(_ context.Context, c citronupstream.Call) (*citronupstream.Reply, error) {
 	limit := u.arrive(u.node, c.Engine.ID)
 	time.Sleep(workTime(c.Engine.ID))
-	return &citronupstream.Reply{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("ok")), Signed: true, RateLimit: limit}, nil
+	return &citronupstream.Reply{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("ok")), FromEngine: true, RateLimit: limit}, nil
 }
 
 func (nodeUpstreams) Report(context.Context, string) (citronupstream.Report, error) {
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -78,9 +78,9 @@
 	// FaultAddr is the address of the accused engine: the engine on the path that the
 	// response names as the cause of the failure.
 	FaultAddr string
-	// Signed is true if the response carries the stamp of an engine, so that it
+	// FromEngine is true if the response carries the stamp of an engine, so that it
 	// was not produced by a proxy in between.
-	Signed bool
+	FromEngine bool
 	// RateLimit is the rate limit that the response declares. It is nil if
 	// nothing is known about it.
 	RateLimit RateLimit
