--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -476,7 +476,7 @@
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		if addr == "m1:1" {
-			return citronupstream.Report{Born: 200, Holds: &citronmodel.Span{}}, nil
+			return citronupstream.Report{StartMS: 200, Holds: &citronmodel.Span{}}, nil
 		}
 		return citronupstream.Report{}, nil
 	}
--- a/citronprobe/heard_test.go
+++ b/citronprobe/heard_test.go
@@ -23,10 +23,10 @@
 		report        citronupstream.Report
 		usable, ended bool
 	}{
-		{"same start time", citronupstream.Report{Born: 100, Holds: layers(2, 6)}, true, false},
-		{"holds more layers than listed", citronupstream.Report{Born: 100, Holds: layers(0, 8)}, true, false},
-		{"later start time", citronupstream.Report{Born: 200, Holds: layers(0, 0)}, false, true},
-		{"late report of an earlier start", citronupstream.Report{Born: 50, Holds: layers(0, 0)}, true, false},
+		{"same start time", citronupstream.Report{StartMS: 100, Holds: layers(2, 6)}, true, false},
+		{"holds more layers than listed", citronupstream.Report{StartMS: 100, Holds: layers(0, 8)}, true, false},
+		{"later start time", citronupstream.Report{StartMS: 200, Holds: layers(0, 0)}, false, true},
+		{"late report of an earlier start", citronupstream.Report{StartMS: 50, Holds: layers(0, 0)}, true, false},
 		{"no start time, holds fewer layers than listed", citronupstream.Report{Holds: layers(2, 5)}, false, false},
 		{"no start time, holds nothing after some orders", citronupstream.Report{Holds: layers(0, 0), Accepted: 3}, false, false},
 		{"no start time, holds nothing and never accepted an order", citronupstream.Report{Holds: layers(0, 0)}, false, true},
@@ -41,7 +41,7 @@
 			citronprobe.RecordReport(e, c.report, now)
 			is.Equal(e.Usable(now), c.usable)
 			is.Equal(e.Ended(), c.ended)
-			is.Equal(len(v.Restarted()) > 0, c.report.Born > 100)
+			is.Equal(len(v.Restarted()) > 0, c.report.StartMS > 100)
 			// A list with other layers for the engine is newer than the report and
 			// makes the engine usable again.
 			list[0].Layers = citronmodel.Span{From: 2, To: 5}
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -98,12 +98,12 @@
 // and runs none of the requests of the earlier one. A report of an earlier
 // incarnation is ignored.
 func RecordReport(e *citronpool.Engine, r citronupstream.Report, now time.Time) {
-	startsKnown := r.Born != 0 && e.StartMS != 0
+	startsKnown := r.StartMS != 0 && e.StartMS != 0
 	switch {
-	case startsKnown && r.Born > e.StartMS:
-		e.MarkRestarted(r.Born, now)
+	case startsKnown && r.StartMS > e.StartMS:
+		e.MarkRestarted(r.StartMS, now)
 		return
-	case startsKnown && r.Born < e.StartMS:
+	case startsKnown && r.StartMS < e.StartMS:
 		return
 	case !e.Layers.Empty() && r.Holds != nil && r.Holds.Empty() && r.Accepted == 0:
 		// According to the list the engine holds layers, so it must have accepted
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -102,9 +102,9 @@
 	Stalled map[string]string
 	// Slowdown is greater than 1 if the engine is slower than declared.
 	Slowdown float64
-	// Born is the engine's start time in Unix milliseconds, or zero if the
+	// StartMS is the engine's start time in Unix milliseconds, or zero if the
 	// engine does not report it.
-	Born int64
+	StartMS int64
 	// Holds is the layer range that the engine holds, or nil if the engine does
 	// not report it.
 	Holds *citronmodel.Span
