--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -42,7 +42,7 @@
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		rep, err := report(addr)
 		if err != nil {
-			return citronupstream.Report{Holds: &citronmodel.Span{}}, nil
+			return citronupstream.Report{Layers: &citronmodel.Span{}}, nil
 		}
 		return rep, nil
 	}
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -443,7 +443,7 @@
 	}
 	r.engines.report = func(string) (citronupstream.Report, error) {
 		if ended.Load() {
-			return citronupstream.Report{Holds: &citronmodel.Span{}}, nil // another process has taken its place
+			return citronupstream.Report{Layers: &citronmodel.Span{}}, nil // another process has taken its place
 		}
 		return citronupstream.Report{}, nil
 	}
@@ -476,7 +476,7 @@
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		if addr == "m1:1" {
-			return citronupstream.Report{StartMS: 200, Holds: &citronmodel.Span{}}, nil
+			return citronupstream.Report{StartMS: 200, Layers: &citronmodel.Span{}}, nil
 		}
 		return citronupstream.Report{}, nil
 	}
--- a/citronprobe/heard_test.go
+++ b/citronprobe/heard_test.go
@@ -23,13 +23,13 @@
 		report        citronupstream.Report
 		usable, ended bool
 	}{
-		{"same start time", citronupstream.Report{StartMS: 100, Holds: layers(2, 6)}, true, false},
-		{"holds more layers than listed", citronupstream.Report{StartMS: 100, Holds: layers(0, 8)}, true, false},
-		{"later start time", citronupstream.Report{StartMS: 200, Holds: layers(0, 0)}, false, true},
-		{"late report of an earlier start", citronupstream.Report{StartMS: 50, Holds: layers(0, 0)}, true, false},
-		{"no start time, holds fewer layers than listed", citronupstream.Report{Holds: layers(2, 5)}, false, false},
-		{"no start time, holds nothing after some orders", citronupstream.Report{Holds: layers(0, 0), Accepted: 3}, false, false},
-		{"no start time, holds nothing and never accepted an order", citronupstream.Report{Holds: layers(0, 0)}, false, true},
+		{"same start time", citronupstream.Report{StartMS: 100, Layers: layers(2, 6)}, true, false},
+		{"holds more layers than listed", citronupstream.Report{StartMS: 100, Layers: layers(0, 8)}, true, false},
+		{"later start time", citronupstream.Report{StartMS: 200, Layers: layers(0, 0)}, false, true},
+		{"late report of an earlier start", citronupstream.Report{StartMS: 50, Layers: layers(0, 0)}, true, false},
+		{"no start time, holds fewer layers than listed", citronupstream.Report{Layers: layers(2, 5)}, false, false},
+		{"no start time, holds nothing after some orders", citronupstream.Report{Layers: layers(0, 0), Accepted: 3}, false, false},
+		{"no start time, holds nothing and never accepted an order", citronupstream.Report{Layers: layers(0, 0)}, false, true},
 		{"empty report", citronupstream.Report{}, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -105,9 +105,9 @@
 	// StartMS is the engine's start time in Unix milliseconds, or zero if the
 	// engine does not report it.
 	StartMS int64
-	// Holds is the layer range that the engine holds, or nil if the engine does
+	// Layers is the layer range that the engine holds, or nil if the engine does
 	// not report it.
-	Holds *citronmodel.Span
+	Layers *citronmodel.Span
 	// Accepted is the number of orders that the engine has accepted since it
 	// started.
 	Accepted int64
