--- a/citronprobe/heard_test.go
+++ b/citronprobe/heard_test.go
@@ -28,7 +28,7 @@
 		{"later start time", citronupstream.Report{StartMS: 200, Layers: layers(0, 0)}, false, true},
 		{"late report of an earlier start", citronupstream.Report{StartMS: 50, Layers: layers(0, 0)}, true, false},
 		{"no start time, holds fewer layers than listed", citronupstream.Report{Layers: layers(2, 5)}, false, false},
-		{"no start time, holds nothing after some orders", citronupstream.Report{Layers: layers(0, 0), Accepted: 3}, false, false},
+		{"no start time, holds nothing after some orders", citronupstream.Report{Layers: layers(0, 0), AcceptedOrders: 3}, false, false},
 		{"no start time, holds nothing and never accepted an order", citronupstream.Report{Layers: layers(0, 0)}, false, true},
 		{"empty report", citronupstream.Report{}, true, false},
 	} {
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -105,7 +105,7 @@
 		return
 	case startsKnown && r.StartMS < e.StartMS:
 		return
-	case !e.Layers.Empty() && r.Layers != nil && r.Layers.Empty() && r.Accepted == 0:
+	case !e.Layers.Empty() && r.Layers != nil && r.Layers.Empty() && r.AcceptedOrders == 0:
 		// According to the list the engine holds layers, so it must have accepted
 		// an order to load them. An engine that has never accepted an order has
 		// restarted without reporting its start time. Requests through it are
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -108,9 +108,9 @@
 	// Layers is the layer range that the engine holds, or nil if the engine does
 	// not report it.
 	Layers *citronmodel.Span
-	// Accepted is the number of orders that the engine has accepted since it
+	// AcceptedOrders is the number of orders that the engine has accepted since it
 	// started.
-	Accepted int64
+	AcceptedOrders int64
 }
 
 // Engines sends calls and orders to engines.
