--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -336,7 +336,7 @@
 func (s *streamJob) repath(ctx context.Context, p citronpath.Path, added []*citronpool.Engine) error {
 	for _, e := range added {
 		if !s.f.takeMovePermit(ctx, e) {
-			return &citronupstream.PartError{Addr: e.Addr}
+			return &citronupstream.HopError{Addr: e.Addr}
 		}
 	}
 	return s.f.Upstream.Repath(ctx, p[0].Engine.Addr, s.ID, p)
@@ -399,7 +399,7 @@
 		return keepRun
 	}
 	citronevent.Log(w.ctx, s.f.Log, citronevent.RepathFailed, "request", s.ID, "peer", m.path[0].Engine.Addr, "err", m.err)
-	var part *citronupstream.PartError
+	var part *citronupstream.HopError
 	if errors.As(m.err, &part) {
 		for i, h := range m.path {
 			if h.Engine.Addr == part.Addr && i > 0 {
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -121,7 +121,7 @@
 	Report(ctx context.Context, addr string) (Report, error)
 	// Repath moves the running request with this ID to another path with the
 	// same first engine, whose address is first. It returns ErrUnknownRequest
-	// or a *PartError if the engines decline the move.
+	// or a *HopError if the engines decline the move.
 	Repath(ctx context.Context, first, id string, path citronpath.Path) error
 }
 
@@ -129,9 +129,9 @@
 // does not run.
 var ErrUnknownRequest = errors.New("engine does not run this request")
 
-// PartError reports that the engine at Addr cannot take its hop of a path.
-type PartError struct{ Addr string }
+// HopError reports that the engine at Addr cannot take its hop of a path.
+type HopError struct{ Addr string }
 
-func (e *PartError) Error() string {
+func (e *HopError) Error() string {
 	return "engine cannot take its hop, no free capacity or a different layer range: " + e.Addr
 }
