--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -48,7 +48,9 @@
 func TestRetriesByKindAndOutcome(t *testing.T) {
 	lost := func() (*citronupstream.Reply, error) { return nil, errReset }
 	notSent := func() (*citronupstream.Reply, error) { return nil, errors.Mark(errReset, citronupstream.ErrNotSent) }
-	foreign := func() (*citronupstream.Reply, error) { return nil, errors.Mark(errReset, citronupstream.ErrForeign) }
+	foreign := func() (*citronupstream.Reply, error) {
+		return nil, errors.Mark(errReset, citronupstream.ErrWrongResponse)
+	}
 	fails := func() (*citronupstream.Reply, error) { return reply(500, "broken"), nil }
 	full := func() (*citronupstream.Reply, error) { return refusal(""), nil }
 	unsigned := func() (*citronupstream.Reply, error) {
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -91,8 +91,8 @@
 var (
 	// ErrNotSent reports that no byte of the request left this node.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrForeign reports that the response belongs to another request.
-	ErrForeign = errors.New("response belongs to another request")
+	// ErrWrongResponse reports that the response belongs to another request.
+	ErrWrongResponse = errors.New("response belongs to another request")
 )
 
 // Report is the state that an engine reports about itself.
