--- a/citronkv/servercopy.go
+++ b/citronkv/servercopy.go
@@ -2,17 +2,17 @@
 
 import "maps"
 
-// Copy is a snapshot of the data of a Server.
-type Copy struct {
+// Snapshot is a snapshot of the data of a Server.
+type Snapshot struct {
 	rev   Revision
 	items map[string]Item
 }
 
 // Copy returns a snapshot of the current data.
-func (s *Server) Copy() Copy {
+func (s *Server) Copy() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{rev: s.rev, items: maps.Clone(s.items)}
+	return Snapshot{rev: s.rev, items: maps.Clone(s.items)}
 }
 
 // Era returns the number of times the server has been restored from a snapshot.
@@ -25,7 +25,7 @@
 // Return restores the server from an older snapshot. All later writes are lost, and
 // so are all leases with their keys. The counts of the revisions continue from the
 // count of the snapshot, and the era increases by one.
-func (s *Server) Return(c Copy) {
+func (s *Server) Return(c Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	era := s.rev.Era() + 1
--- a/citronsoak/return_test.go
+++ b/citronsoak/return_test.go
@@ -52,7 +52,7 @@
 
 // restoreFrom cuts all nodes off from the store, restores it from a copy, and then has
 // engines and the operator write again what the copy lacks.
-func (w *world) restoreFrom(snapshot citronkv.Copy) {
+func (w *world) restoreFrom(snapshot citronkv.Snapshot) {
 	for _, n := range w.nodes {
 		n.proxy.set(stalled)
 		n.recordLinkFault()
