--- a/citronkv/servercopy.go
+++ b/citronkv/servercopy.go
@@ -8,8 +8,8 @@
 	items map[string]Item
 }
 
-// Copy returns a snapshot of the current data.
-func (s *Server) Copy() Snapshot {
+// Snapshot returns a snapshot of the current data.
+func (s *Server) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Snapshot{rev: s.rev, items: maps.Clone(s.items)}
--- a/citronlist/era_test.go
+++ b/citronlist/era_test.go
@@ -146,7 +146,7 @@
 			write(i, nil)
 		}
 		read()
-		backup := kv.Copy()
+		backup := kv.Snapshot()
 		t.Repeat(map[string]func(*rapid.T){
 			"write": func(t *rapid.T) { write(engine.Draw(t, "engine"), nil); read() },
 			"leave": func(t *rapid.T) { write(engine.Draw(t, "engine"), leaving); read() },
@@ -157,7 +157,7 @@
 				}
 				read()
 			},
-			"copy": func(*rapid.T) { backup = kv.Copy() },
+			"copy": func(*rapid.T) { backup = kv.Snapshot() },
 			"return": func(*rapid.T) {
 				kv.Return(backup)
 				read()
--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -49,7 +49,7 @@
 	}
 	f.awaitFullMembership()
 	eventually(t, "all nodes use all engines", func() bool { return f.usableAt("e0") == size && f.usableAt("e19") == size })
-	copied := f.store.Copy()
+	copied := f.store.Snapshot()
 
 	// After the copy is made, one engine leaves, one joins, and many entries change.
 	gone := appEngine("e0")
@@ -91,7 +91,7 @@
 	t.Parallel()
 	f := newFleet(t)
 	f.config("1")
-	copied := f.store.Copy()
+	copied := f.store.Snapshot()
 	for _, name := range []string{"a", "b", "c"} {
 		f.add(name, "z1")
 	}
@@ -160,7 +160,7 @@
 func TestSingleLeaderDuringStoreRestores(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
-	copied := f.store.Copy()
+	copied := f.store.Snapshot()
 	for i := range 5 {
 		f.add(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
 	}
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -69,7 +69,7 @@
 			before := calls()
 			b.ResetTimer()
 			for i := range b.N {
-				backup := f.store.Copy()
+				backup := f.store.Snapshot()
 				for k := range 20 {
 					f.engine(appEngine(fmt.Sprintf("gap%d", k)))
 				}
--- a/citronsoak/return_test.go
+++ b/citronsoak/return_test.go
@@ -44,7 +44,7 @@
 // restoreStore repeatedly copies the store and restores it from that copy, until end.
 func (w *world) restoreStore(r *rand.Rand, end time.Time) {
 	for time.Now().Before(end) {
-		snapshot := w.store.Copy()
+		snapshot := w.store.Snapshot()
 		time.Sleep(time.Duration(r.Int64N(int64(maxCopyAge))))
 		w.restoreFrom(snapshot)
 	}
