--- a/citronkv/servercopy.go
+++ b/citronkv/servercopy.go
@@ -22,10 +22,10 @@
 	return s.rev.Era()
 }
 
-// Return restores the server from an older snapshot. All later writes are lost, and
+// Restore restores the server from an older snapshot. All later writes are lost, and
 // so are all leases with their keys. The counts of the revisions continue from the
 // count of the snapshot, and the era increases by one.
-func (s *Server) Return(c Snapshot) {
+func (s *Server) Restore(c Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	era := s.rev.Era() + 1
--- a/citronlist/era_test.go
+++ b/citronlist/era_test.go
@@ -159,7 +159,7 @@
 			},
 			"copy": func(*rapid.T) { backup = kv.Snapshot() },
 			"return": func(*rapid.T) {
-				kv.Return(backup)
+				kv.Restore(backup)
 				read()
 			},
 			"wait": func(t *rapid.T) {
--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -64,7 +64,7 @@
 	f.config("2")
 	eventually(t, "all nodes know the changes since the copy", func() bool { return f.usableAt("e0") == 0 && f.usableAt("late") == size })
 
-	f.store.Return(copied)
+	f.store.Restore(copied)
 	from := time.Now()
 	f.engine(appEngine("late")) // the engine renews its entry
 	f.engine(appEngine("new"))
@@ -108,7 +108,7 @@
 		return true
 	}
 	eventually(t, "all records are in the store", allWritten)
-	f.store.Return(copied)
+	f.store.Restore(copied)
 	f.config("1")
 	f.engine(appEngine("e1"))
 	eventually(t, "all records are in the store again", allWritten)
@@ -176,7 +176,7 @@
 	eventually(t, "a node places layers", func() bool { return len(placers()) == 1 })
 	for i := range 3 {
 		f.nodes[i].gate.rejecting.Store(true)
-		f.store.Return(copied)
+		f.store.Restore(copied)
 		for end := time.Now().Add(800 * time.Millisecond); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 			if names := placers(); len(names) > 1 {
 				t.Fatalf("nodes %v place layers at the same time", names)
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -73,7 +73,7 @@
 				for k := range 20 {
 					f.engine(appEngine(fmt.Sprintf("gap%d", k)))
 				}
-				f.store.Return(backup)
+				f.store.Restore(backup)
 				f.engine(appEngine(fmt.Sprintf("new%d", i)))
 				eventually(b, "all nodes use the list of the new era", func() bool { return f.usableAt(fmt.Sprintf("new%d", i)) == size })
 			}
--- a/citronsoak/return_test.go
+++ b/citronsoak/return_test.go
@@ -58,7 +58,7 @@
 		n.recordLinkFault()
 	}
 	time.Sleep(outageTime)
-	w.store.Return(snapshot)
+	w.store.Restore(snapshot)
 	for _, n := range w.nodes {
 		n.proxy.set(healthy)
 		n.recordLinkFault()
