--- a/citronkv/revision.go
+++ b/citronkv/revision.go
@@ -29,9 +29,9 @@
 // They last for over eighty years at 400 writes a second.
 const numberBits = 40
 
-// LastEra and LastNumber are the highest era and the highest count of a revision.
+// MaxEra and LastNumber are the highest era and the highest count of a revision.
 const (
-	LastEra    = 1<<(63-numberBits) - 1
+	MaxEra     = 1<<(63-numberBits) - 1
 	LastNumber = 1<<numberBits - 1
 )
 
