--- a/citronengine/engine.go
+++ b/citronengine/engine.go
@@ -64,7 +64,7 @@
 	fence    int64           // highest fencing number seen
 	loaded   map[string]bool // models, adapters and versions loaded by orders
 
-	Steps, Prefills, Imports, Cancels, Refused, StaleOrders atomic.Int64
+	Steps, Prefills, Imports, Cancels, Rejected, StaleOrders atomic.Int64
 }
 
 // New returns an engine. Zero cache bounds select the defaults.
@@ -128,7 +128,7 @@
 	case ok && r.Attempt < held.attempt:
 		return 0, citronwire.Errorf(connect.CodeAborted, "engine %s: attempt %d of %s is older than %d", e.settings.Name, r.Attempt, r.Request, held.attempt)
 	case e.leaving.Load() && !ok:
-		e.Refused.Add(1)
+		e.Rejected.Add(1)
 		return 0, citronwire.Leaving(e.settings.Name)
 	case r.Pos > 0 && r.Prefill == 0 && (!ok || held.next != r.Pos):
 		return 0, citronwire.Errorf(connect.CodeFailedPrecondition, "engine %s: kv cache lacks %s before position %d", e.settings.Name, r.Request, r.Pos)
--- a/citronentry/lifecycle_test.go
+++ b/citronentry/lifecycle_test.go
@@ -28,7 +28,7 @@
 	for i := range 10 {
 		wantOracle(t, r.ask(0, "p"+string(rune('a'+i)), 2), "p"+string(rune('a'+i)), 4, 2)
 	}
-	is.True(r.engines["a1"].engine.Refused.Load() <= 1) // rejects one request, then is skipped
+	is.True(r.engines["a1"].engine.Rejected.Load() <= 1) // rejects one request, then is skipped
 	is.Equal(r.engines["a1"].engine.Steps.Load(), int64(0))
 }
 
