--- a/citronengine/client.go
+++ b/citronengine/client.go
@@ -89,10 +89,10 @@
 	return Status{From: r.From, To: r.To, Leaving: r.Leaving, Waiting: r.Waiting}, nil
 }
 
-// Move exports the KV cache of a request from the engine of c and imports it into the
+// MoveCache exports the KV cache of a request from the engine of c and imports it into the
 // engine of to, under the given attempt number. The engine of c keeps its copy. Move
 // returns the next position of the request.
-func (c *Client) Move(ctx context.Context, to *Client, request string, attempt int) (int, error) {
+func (c *Client) MoveCache(ctx context.Context, to *Client, request string, attempt int) (int, error) {
 	st, err := c.exportCache.Call(ctx, &sequenceRequest{Request: request})
 	if err != nil {
 		return 0, err
--- a/citronengine/contract_test.go
+++ b/citronengine/contract_test.go
@@ -84,15 +84,15 @@
 	_, other := startEngine(t, layerRange(4, 8))
 	_, err := from.Run(ctx, citronengine.Step{Request: "r", Attempt: 1, Pos: 0})
 	is.NoErr(err)
-	next, err := from.Move(ctx, toClient, "r", 2)
+	next, err := from.MoveCache(ctx, toClient, "r", 2)
 	is.NoErr(err)
 	is.Equal(next, 1)
 	_, err = toClient.Run(ctx, citronengine.Step{Request: "r", Attempt: 2, Pos: 1})
 	is.NoErr(err)
 	is.Equal(to.Prefills.Load(), int64(0))
-	_, err = from.Move(ctx, other, "r", 2)
+	_, err = from.MoveCache(ctx, other, "r", 2)
 	is.Equal(citronwire.Code(err), connect.CodeInvalidArgument)
-	_, err = from.Move(ctx, toClient, "nobody", 2)
+	_, err = from.MoveCache(ctx, toClient, "nobody", 2)
 	is.Equal(citronwire.Code(err), connect.CodeNotFound)
 }
 
--- a/citronentry/model.go
+++ b/citronentry/model.go
@@ -248,7 +248,7 @@
 		}
 		var next int
 		err := to.Do(ctx, m.a.e.clock, func(ctx context.Context) (err error) {
-			next, err = b.Engine.Move(ctx, to.Engine, m.r.id, m.attempt)
+			next, err = b.Engine.MoveCache(ctx, to.Engine, m.r.id, m.attempt)
 			return err
 		})
 		if err != nil || next != pos {
