--- a/citronentry/rig_test.go
+++ b/citronentry/rig_test.go
@@ -89,7 +89,7 @@
 func (b *testBackend) set(f fault) {
 	if f == refused {
 		b.srv.Close()
-		b.reserved.Claim()
+		b.reserved.StopSharing()
 		return
 	}
 	b.fault.Store(int32(f))
--- a/citronport/port.go
+++ b/citronport/port.go
@@ -46,9 +46,9 @@
 // Listen listens on the reserved port.
 func (r *Reservation) Listen() (net.Listener, error) { return net.Listen("tcp", r.Addr()) }
 
-// Claim stops the sharing of the port, so that no process can listen on it. Call it
+// StopSharing stops the sharing of the port, so that no process can listen on it. Call it
 // after the server on the port has closed.
-func (r *Reservation) Claim() {
+func (r *Reservation) StopSharing() {
 	_ = syscall.SetsockoptInt(r.fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 0)
 }
 
