--- a/citronentry/discovery.go
+++ b/citronentry/discovery.go
@@ -165,9 +165,9 @@
 	return max(e.set.LeaseTTL, renewals*time.Duration(n)*time.Second/maxRenewalsPerSecond)
 }
 
-// choose returns up to maxDiscovered random entries for a caller in zone, the
+// chooseEntries returns up to maxDiscovered random entries for a caller in zone, the
 // entries of that zone first.
-func choose(all []citronroute.EntryAddr, zone string) []citronroute.EntryAddr {
+func chooseEntries(all []citronroute.EntryAddr, zone string) []citronroute.EntryAddr {
 	out := slices.Clone(all)
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	slices.SortStableFunc(out, func(a, b citronroute.EntryAddr) int {
