--- a/citronentry/discovery.go
+++ b/citronentry/discovery.go
@@ -131,9 +131,9 @@
 	return citronroute.EntryAddr{Name: e.set.Name, Addr: e.set.Advertise, Zone: e.set.Zone, Incarnation: e.incarnation}
 }
 
-// listed returns the entries that discovery may return: the other entries of
+// discoverableEntries returns the entries that discovery may return: the other entries of
 // the snapshot, and this one unless it is stopping.
-func (e *Entry) listed(s *citronroute.Snapshot) []citronroute.EntryAddr {
+func (e *Entry) discoverableEntries(s *citronroute.Snapshot) []citronroute.EntryAddr {
 	var out []citronroute.EntryAddr
 	for _, en := range s.Entries {
 		if en.Name != e.set.Name {
--- a/citronentry/serve.go
+++ b/citronentry/serve.go
@@ -76,7 +76,7 @@
 func (a *api) Entries(_ context.Context, p *deck.EntriesPayload) (*deck.EntriesResult, error) {
 	s := a.e.snap.Load()
 	var out []*deck.EntryAddr
-	for _, en := range chooseEntries(a.e.listed(s), deref(p.Zone)) {
+	for _, en := range chooseEntries(a.e.discoverableEntries(s), deref(p.Zone)) {
 		out = append(out, &deck.EntryAddr{Name: en.Name, Addr: en.Addr, Zone: en.Zone})
 	}
 	rev := s.Fleet.Revision.Number()
