--- a/citronentry/control.go
+++ b/citronentry/control.go
@@ -48,9 +48,9 @@
 	reportCapacity = 1024
 )
 
-// report tells the control loop that a request or the watchdog found a back
+// backendReport tells the control loop that a request or the watchdog found a back
 // end failing, frozen or leaving.
-type report struct {
+type backendReport struct {
 	backend string
 	reason  citronroute.Reason
 }
--- a/citronentry/entry.go
+++ b/citronentry/entry.go
@@ -62,7 +62,7 @@
 
 	pool    *citronroute.Pool
 	snap    atomic.Pointer[citronroute.Snapshot]
-	reports chan report
+	reports chan backendReport
 	ledger  *citronledger.Ledger
 	gates   sync.Map // service name -> *citronadmit.Gate
 	work    *work
@@ -82,7 +82,7 @@
 		set: set, clock: clock, log: log.With("entry", set.Name), kv: kv, instances: instances,
 		incarnation: uuid.NewString()[:8],
 		pool:        citronroute.NewPool(hc, set.Name),
-		reports:     make(chan report, reportCapacity),
+		reports:     make(chan backendReport, reportCapacity),
 		work:        newWork(),
 		metrics:     newMetrics(),
 	}
@@ -198,7 +198,7 @@
 	e.metrics.frozen.Add(1)
 	citronevent.Log(context.Background(), e.log, citronevent.UpstreamFrozen, "backend", b.Spec.Name, "peer", b.Spec.Addr)
 	select {
-	case e.reports <- report{backend: b.Spec.Name, reason: citronroute.Frozen}:
+	case e.reports <- backendReport{backend: b.Spec.Name, reason: citronroute.Frozen}:
 	default: // the control loop is behind; the next stall reports again
 	}
 }
--- a/citronentry/serve.go
+++ b/citronentry/serve.go
@@ -244,7 +244,7 @@
 		b.MarkLeaving(a.e.clock.Now())
 	}
 	select {
-	case a.e.reports <- report{backend: b.Spec.Name, reason: reason}:
+	case a.e.reports <- backendReport{backend: b.Spec.Name, reason: reason}:
 	default: // the reports channel is full; the next failure is reported again
 	}
 }
--- a/citronentry/trouble.go
+++ b/citronentry/trouble.go
@@ -82,7 +82,7 @@
 
 // takeReport records a report from traffic or the watchdog. The event is
 // logged only if the back end was considered healthy until then.
-func (c *control) takeReport(ctx context.Context, r report) {
+func (c *control) takeReport(ctx context.Context, r backendReport) {
 	if !c.trouble.report(r.backend, r.reason, c.e.clock.Now()) {
 		return
 	}
