--- a/citronentry/control.go
+++ b/citronentry/control.go
@@ -63,7 +63,7 @@
 	// leaving holds the names of the instances that the instance list marks
 	// as leaving.
 	leaving  map[string]bool
-	trouble  troubles
+	failures troubles
 	kvUp     bool
 	watchRev citronkv.Revision
 	// loader is used only by the watch goroutine once that has started.
@@ -78,7 +78,7 @@
 
 func newControl(e *Entry) *control {
 	return &control{
-		e: e, loader: &citronconfig.Loader{KV: e.kv}, members: members{}, leaving: map[string]bool{}, trouble: troubles{},
+		e: e, loader: &citronconfig.Loader{KV: e.kv}, members: members{}, leaving: map[string]bool{}, failures: troubles{},
 		watchResults: make(chan watchResult, 1), instances: make(chan []citronkv.Instance, 1), probed: make(chan probeResult, 16),
 	}
 }
@@ -133,7 +133,7 @@
 // request handling and resizes the admission gates to match it.
 func (c *control) publish() {
 	c.dirty = false
-	avoid := c.trouble.avoid()
+	avoid := c.failures.avoid()
 	for name := range c.leaving {
 		avoid[name] = citronroute.Leaving
 	}
--- a/citronentry/trouble.go
+++ b/citronentry/trouble.go
@@ -83,7 +83,7 @@
 // takeReport records a report from traffic or the watchdog. The event is
 // logged only if the back end was considered healthy until then.
 func (c *control) takeReport(ctx context.Context, r backendReport) {
-	if !c.trouble.report(r.backend, r.reason, c.e.clock.Now()) {
+	if !c.failures.report(r.backend, r.reason, c.e.clock.Now()) {
 		return
 	}
 	c.dirty = true
@@ -98,11 +98,11 @@
 // that recovered more than relapseWindow ago or are no longer configured.
 func (c *control) probeDue(ctx context.Context, now time.Time) {
 	s := c.e.snap.Load()
-	for name, t := range c.trouble {
+	for name, t := range c.failures {
 		b, known := s.Backends[name]
 		switch {
 		case !known, !t.recoveredAt.IsZero() && now.Sub(t.recoveredAt) > relapseWindow:
-			delete(c.trouble, name)
+			delete(c.failures, name)
 		case t.recoveredAt.IsZero() && !t.probing && now.After(t.nextProbe):
 			t.probing = true
 			go c.probe(ctx, b)
@@ -125,7 +125,7 @@
 // takeProbe records the result of a probe: the back end has recovered, or the
 // next probe is postponed and the reason updated.
 func (c *control) takeProbe(ctx context.Context, p probeResult) {
-	t := c.trouble[p.backend]
+	t := c.failures[p.backend]
 	if t == nil {
 		return
 	}
