--- a/citronentry/discovery.go
+++ b/citronentry/discovery.go
@@ -128,7 +128,7 @@
 
 // selfAddr returns the discovery address of this entry.
 func (e *Entry) selfAddr() citronroute.EntryAddr {
-	return citronroute.EntryAddr{Name: e.set.Name, Addr: e.set.Advertise, Zone: e.set.Zone, Incarnation: e.incarnation}
+	return citronroute.EntryAddr{Name: e.settings.Name, Addr: e.settings.Advertise, Zone: e.settings.Zone, Incarnation: e.incarnation}
 }
 
 // discoverableEntries returns the entries that discovery may return: the other entries of
@@ -136,7 +136,7 @@
 func (e *Entry) discoverableEntries(s *citronroute.Snapshot) []citronroute.EntryAddr {
 	var out []citronroute.EntryAddr
 	for _, en := range s.Entries {
-		if en.Name != e.set.Name {
+		if en.Name != e.settings.Name {
 			out = append(out, en)
 		}
 	}
@@ -162,7 +162,7 @@
 func (e *Entry) leaseTTL() time.Duration {
 	const renewals = 3 // renewals per lease lifetime
 	n := len(e.snap.Load().Entries)
-	return max(e.set.LeaseTTL, renewals*time.Duration(n)*time.Second/maxRenewalsPerSecond)
+	return max(e.settings.LeaseTTL, renewals*time.Duration(n)*time.Second/maxRenewalsPerSecond)
 }
 
 // chooseEntries returns up to maxDiscovered random entries for a caller in zone, the
@@ -189,7 +189,7 @@
 // marks the key as leaving and revokes the lease, so that the entry leaves
 // discovery at once.
 func (e *Entry) register(ctx context.Context) {
-	key := EntriesPrefix + e.set.Name
+	key := EntriesPrefix + e.settings.Name
 	val, _ := json.Marshal(registration{EntryAddr: e.selfAddr()})
 	var id citronkv.LeaseID
 	var ttl time.Duration
--- a/citronentry/entry.go
+++ b/citronentry/entry.go
@@ -48,10 +48,10 @@
 // Entry is a server that accepts callers' requests and routes them to back
 // ends. Create one with New and serve with Run.
 type Entry struct {
-	set   Settings
-	clock citronclock.Clock
-	log   *slog.Logger
-	kv    citronkv.Store
+	settings Settings
+	clock    citronclock.Clock
+	log      *slog.Logger
+	kv       citronkv.Store
 	// instances reads the platform's instance list.
 	instances func(context.Context) ([]citronkv.Instance, error)
 	// incarnation is unique to this process. It keeps the request IDs of
@@ -79,7 +79,7 @@
 func New(set Settings, clock citronclock.Clock, log *slog.Logger, kv citronkv.Store, instances func(context.Context) ([]citronkv.Instance, error), hc *http.Client) *Entry {
 	set = set.WithDefaults()
 	e := &Entry{
-		set: set, clock: clock, log: log.With("entry", set.Name), kv: kv, instances: instances,
+		settings: set, clock: clock, log: log.With("entry", set.Name), kv: kv, instances: instances,
 		incarnation: uuid.NewString()[:8],
 		pool:        citronroute.NewPool(hc, set.Name),
 		reports:     make(chan backendReport, reportCapacity),
@@ -109,14 +109,14 @@
 	if g, ok := e.gates.Load(svc.Name); ok {
 		return g.(*citronadmit.Gate)
 	}
-	g, _ := e.gates.LoadOrStore(svc.Name, citronadmit.New(e.clock, e.window(s, svc), e.set.MaxQueue))
+	g, _ := e.gates.LoadOrStore(svc.Name, citronadmit.New(e.clock, e.window(s, svc), e.settings.MaxQueue))
 	return g.(*citronadmit.Gate)
 }
 
 // window returns the number of requests of svc that the entry may have in
 // flight under s.
 func (e *Entry) window(s *citronroute.Snapshot, svc citronfleet.Service) int {
-	return s.Window(svc, e.set.TokenGap, e.set.MaxInflight)
+	return s.Window(svc, e.settings.TokenGap, e.settings.MaxInflight)
 }
 
 // Handler returns an HTTP handler that serves the caller API, and the
@@ -126,7 +126,7 @@
 	srv := deckserver.New(deck.NewEndpoints(&api{e: e}), mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, nil)
 	deckserver.Mount(mux, srv)
 	mux.Handle(http.MethodGet, "/debug/vars", expvar.Handler().ServeHTTP)
-	limit := e.set.MaxBody
+	limit := e.settings.MaxBody
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		// An oversized body is rejected with 413 before it is decoded, so
 		// that a large upload cannot tie up memory. MaxBytesReader covers
@@ -156,7 +156,7 @@
 	defer tasks.Wait()
 	defer stop()
 	watchdog := &citronroute.Watchdog{
-		Clock: e.clock, StallAfter: e.set.StallAfter, ProbeTimeout: e.set.ProbeTimeout,
+		Clock: e.clock, StallAfter: e.settings.StallAfter, ProbeTimeout: e.settings.ProbeTimeout,
 		Current: e.snap.Load, Frozen: e.reportFrozen,
 	}
 	tasks.Go(func() { ctl.run(bg) })
@@ -169,7 +169,7 @@
 	httpServer := &http.Server{Handler: e.Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	served := make(chan error, 1)
 	go func() { served <- httpServer.Serve(ln) }()
-	citronevent.Log(ctx, e.log, citronevent.ProcessStarted, "role", "entry", "addr", ln.Addr().String(), "zone", e.set.Zone)
+	citronevent.Log(ctx, e.log, citronevent.ProcessStarted, "role", "entry", "addr", ln.Addr().String(), "zone", e.settings.Zone)
 	select {
 	case err := <-served:
 		return errors.Wrap(err, "serve caller API")
@@ -183,7 +183,7 @@
 	// The next response on each open connection tells the caller to close
 	// it, so that few requests race with the final close.
 	httpServer.SetKeepAlivesEnabled(false)
-	_ = e.clock.Sleep(bg, e.set.DrainGrace)
+	_ = e.clock.Sleep(bg, e.settings.DrainGrace)
 	<-e.work.close()
 	shutdownCtx, cancel := context.WithTimeout(bg, shutdownTimeout)
 	defer cancel()
--- a/citronentry/once.go
+++ b/citronentry/once.go
@@ -108,7 +108,7 @@
 
 // ledgerRecord returns the ledger record of r in the given state.
 func (a *api) ledgerRecord(r *request, state citronledger.State) citronledger.Record {
-	return citronledger.Record{State: state, Entry: a.e.set.Name, Incarnation: a.e.incarnation, Request: r.id}
+	return citronledger.Record{State: state, Entry: a.e.settings.Name, Incarnation: a.e.incarnation, Request: r.id}
 }
 
 // recordOutcome records the answer of a call in the ledger, or releases the key
--- a/citronentry/serve.go
+++ b/citronentry/serve.go
@@ -58,7 +58,7 @@
 // result returns a result with the given outcome and without an answer.
 func (r *request) result(outcome string, e *Entry) *deck.SubmitResult {
 	rev := r.snap.Fleet.Revision.Number()
-	return &deck.SubmitResult{RequestID: r.id, Outcome: outcome, Entry: e.set.Name, Revision: &rev}
+	return &deck.SubmitResult{RequestID: r.id, Outcome: outcome, Entry: e.settings.Name, Revision: &rev}
 }
 
 func deref(s *string) string {
@@ -80,7 +80,7 @@
 		out = append(out, &deck.EntryAddr{Name: en.Name, Addr: en.Addr, Zone: en.Zone})
 	}
 	rev := s.Fleet.Revision.Number()
-	return &deck.EntriesResult{Entries: out, TTLSeconds: int(a.e.set.DiscoveryTTL / time.Second), Revision: &rev}, nil
+	return &deck.EntriesResult{Entries: out, TTLSeconds: int(a.e.settings.DiscoveryTTL / time.Second), Revision: &rev}, nil
 }
 
 // Submit implements deck.Service.
@@ -121,7 +121,7 @@
 	}
 	defer e.work.leave()
 
-	r := &request{SubmitPayload: p, id: fmt.Sprintf("%s-%s-%d", e.set.Name, e.incarnation, e.seq.Add(1)), snap: e.snap.Load()}
+	r := &request{SubmitPayload: p, id: fmt.Sprintf("%s-%s-%d", e.settings.Name, e.incarnation, e.seq.Add(1)), snap: e.snap.Load()}
 	if emit != nil {
 		r.emit = emit(r.id)
 	}
@@ -207,7 +207,7 @@
 
 // newPicker returns a Picker of back ends for r.
 func (a *api) newPicker(r *request) citronroute.Picker {
-	return citronroute.Picker{Snapshot: r.snap, Zone: a.e.set.Zone, Now: a.e.clock.Now()}
+	return citronroute.Picker{Snapshot: r.snap, Zone: a.e.settings.Zone, Now: a.e.clock.Now()}
 }
 
 // callFailure classifies a failed call.
--- a/citronentry/trouble.go
+++ b/citronentry/trouble.go
@@ -113,7 +113,7 @@
 // probe probes b and hands the result to the control loop.
 func (c *control) probe(ctx context.Context, b *citronroute.Backend) {
 	c.e.metrics.probes.Add(1)
-	pctx, cancel := context.WithTimeout(ctx, c.e.set.ProbeTimeout)
+	pctx, cancel := context.WithTimeout(ctx, c.e.settings.ProbeTimeout)
 	defer cancel()
 	h, err := b.Probe(pctx)
 	select {
