--- a/citronentry/entry.go
+++ b/citronentry/entry.go
@@ -60,13 +60,13 @@
 	incarnation string
 	seq         atomic.Int64
 
-	pool    *citronroute.Pool
-	snap    atomic.Pointer[citronroute.Snapshot]
-	reports chan backendReport
-	ledger  *citronledger.Ledger
-	gates   sync.Map // service name -> *citronadmit.Gate
-	work    *work
-	leaving atomic.Bool
+	pool     *citronroute.Pool
+	snap     atomic.Pointer[citronroute.Snapshot]
+	reports  chan backendReport
+	ledger   *citronledger.Ledger
+	gates    sync.Map // service name -> *citronadmit.Gate
+	inflight *work
+	leaving  atomic.Bool
 	// lastRenewalFailure is the time of the last failed attempt to renew the
 	// discovery lease or to register under it, in Unix nanoseconds.
 	lastRenewalFailure atomic.Int64
@@ -83,7 +83,7 @@
 		incarnation: uuid.NewString()[:8],
 		pool:        citronroute.NewPool(hc, set.Name),
 		reports:     make(chan backendReport, reportCapacity),
-		work:        newWork(),
+		inflight:    newWork(),
 		metrics:     newMetrics(),
 	}
 	e.ledger = &citronledger.Ledger{
@@ -175,7 +175,7 @@
 		return errors.Wrap(err, "serve caller API")
 	case <-ctx.Done():
 	}
-	citronevent.Log(bg, e.log, citronevent.DrainStarted, "inflight", e.work.count())
+	citronevent.Log(bg, e.log, citronevent.DrainStarted, "inflight", e.inflight.count())
 	e.leaving.Store(true)
 	e.metrics.draining.Set(1)
 	deregister()
@@ -184,7 +184,7 @@
 	// it, so that few requests race with the final close.
 	httpServer.SetKeepAlivesEnabled(false)
 	_ = e.clock.Sleep(bg, e.settings.DrainGrace)
-	<-e.work.close()
+	<-e.inflight.close()
 	shutdownCtx, cancel := context.WithTimeout(bg, shutdownTimeout)
 	defer cancel()
 	err := httpServer.Shutdown(shutdownCtx)
--- a/citronentry/metrics.go
+++ b/citronentry/metrics.go
@@ -40,7 +40,7 @@
 // publishState adds the variables that are computed from e's state on each
 // read.
 func (m *metrics) publishState(e *Entry) {
-	m.all.Set("inflight", expvar.Func(func() any { return e.work.count() }))
+	m.all.Set("inflight", expvar.Func(func() any { return e.inflight.count() }))
 	m.all.Set("avoided", expvar.Func(func() any {
 		out := map[string]citronroute.Reason{}
 		for name, why := range e.snap.Load().Avoid {
--- a/citronentry/once.go
+++ b/citronentry/once.go
@@ -54,7 +54,7 @@
 		return a.duplicate(ctx, r, claim)
 	}
 	call := newOnceCall()
-	go a.completeOnce(context.WithoutCancel(ctx), r, claim, call, e.work.acquire())
+	go a.completeOnce(context.WithoutCancel(ctx), r, claim, call, e.inflight.acquire())
 	select {
 	case <-call.answered:
 		return call.res, call.err
--- a/citronentry/serve.go
+++ b/citronentry/serve.go
@@ -115,11 +115,11 @@
 // is not nil, emit(id) returns the function that sends the request's tokens.
 func (a *api) serve(ctx context.Context, p *deck.SubmitPayload, emit func(id string) func(int, string) error) (*deck.SubmitResult, error) {
 	e := a.e
-	if !e.work.enter() {
+	if !e.inflight.enter() {
 		e.metrics.notRun.Add(1)
 		return nil, refusal("draining", "this entry is stopping; ask discovery for another", retryAfterNow)
 	}
-	defer e.work.leave()
+	defer e.inflight.leave()
 
 	r := &request{SubmitPayload: p, id: fmt.Sprintf("%s-%s-%d", e.settings.Name, e.incarnation, e.seq.Add(1)), snap: e.snap.Load()}
 	if emit != nil {
