--- a/citronentry/entry.go
+++ b/citronentry/entry.go
@@ -65,7 +65,7 @@
 	reports  chan backendReport
 	ledger   *citronledger.Ledger
 	gates    sync.Map // service name -> *citronadmit.Gate
-	inflight *work
+	inflight *requestTracker
 	leaving  atomic.Bool
 	// lastRenewalFailure is the time of the last failed attempt to renew the
 	// discovery lease or to register under it, in Unix nanoseconds.
--- a/citronentry/work.go
+++ b/citronentry/work.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// work counts the requests in flight and, once closed, rejects new ones. One
+// requestTracker counts the requests in flight and, once closed, rejects new ones. One
 // lock guards both the count and the closed flag. With separate locks, a
 // request could pass the check of the flag, the shutdown could then see a
 // count of zero and end, and the request would be cut off without an answer.
-type work struct {
+type requestTracker struct {
 	mu       sync.Mutex
 	inFlight int
 	closed   bool
@@ -14,10 +14,10 @@
 	idle chan struct{}
 }
 
-func newWork() *work { return &work{idle: make(chan struct{})} }
+func newWork() *requestTracker { return &requestTracker{idle: make(chan struct{})} }
 
 // enter counts a new request. It returns false if work is closed.
-func (w *work) enter() bool {
+func (w *requestTracker) enter() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
@@ -29,7 +29,7 @@
 
 // acquire counts additional work for a request that is already counted, also
 // after close. The function that it returns ends that work.
-func (w *work) acquire() func() {
+func (w *requestTracker) acquire() func() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.inFlight++
@@ -37,7 +37,7 @@
 }
 
 // leave ends what one call of enter or acquire counted.
-func (w *work) leave() {
+func (w *requestTracker) leave() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.inFlight--
@@ -48,7 +48,7 @@
 
 // close makes enter reject new requests and returns a channel that is closed
 // once no request is in flight. It must be called only once.
-func (w *work) close() <-chan struct{} {
+func (w *requestTracker) close() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closed = true
@@ -59,7 +59,7 @@
 }
 
 // count returns the number of requests in flight.
-func (w *work) count() int {
+func (w *requestTracker) count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.inFlight
