--- a/citronentry/entry.go
+++ b/citronentry/entry.go
@@ -83,7 +83,7 @@
 		incarnation: uuid.NewString()[:8],
 		pool:        citronroute.NewPool(hc, set.Name),
 		reports:     make(chan backendReport, reportCapacity),
-		inflight:    newWork(),
+		inflight:    newRequestTracker(),
 		metrics:     newMetrics(),
 	}
 	e.ledger = &citronledger.Ledger{
--- a/citronentry/work.go
+++ b/citronentry/work.go
@@ -14,7 +14,7 @@
 	idle chan struct{}
 }
 
-func newWork() *requestTracker { return &requestTracker{idle: make(chan struct{})} }
+func newRequestTracker() *requestTracker { return &requestTracker{idle: make(chan struct{})} }
 
 // enter counts a new request. It returns false if work is closed.
 func (w *requestTracker) enter() bool {
