--- a/citronentry/control.go
+++ b/citronentry/control.go
@@ -63,7 +63,7 @@
 	// leaving holds the names of the instances that the instance list marks
 	// as leaving.
 	leaving  map[string]bool
-	failures troubles
+	failures failureRecords
 	kvUp     bool
 	watchRev citronkv.Revision
 	// loader is used only by the watch goroutine once that has started.
@@ -78,7 +78,7 @@
 
 func newControl(e *Entry) *control {
 	return &control{
-		e: e, loader: &citronconfig.Loader{KV: e.kv}, members: members{}, leaving: map[string]bool{}, failures: troubles{},
+		e: e, loader: &citronconfig.Loader{KV: e.kv}, members: members{}, leaving: map[string]bool{}, failures: failureRecords{},
 		watchResults: make(chan watchResult, 1), instances: make(chan []citronkv.Instance, 1), probed: make(chan probeResult, 16),
 	}
 }
--- a/citronentry/trouble.go
+++ b/citronentry/trouble.go
@@ -41,12 +41,12 @@
 	recoveredAt time.Time
 }
 
-// troubles maps back end names to their failure records. The control goroutine
+// failureRecords maps back end names to their failure records. The control goroutine
 // owns it.
-type troubles map[string]*failureRecord
+type failureRecords map[string]*failureRecord
 
 // avoid returns the back ends that get no new work, with the reasons.
-func (ts troubles) avoid() map[string]citronroute.Reason {
+func (ts failureRecords) avoid() map[string]citronroute.Reason {
 	out := map[string]citronroute.Reason{}
 	for name, t := range ts {
 		if t.recoveredAt.IsZero() {
@@ -58,7 +58,7 @@
 
 // report records a failure of the back end name. It returns true if the back
 // end was considered healthy until then.
-func (ts troubles) report(name string, reason citronroute.Reason, now time.Time) bool {
+func (ts failureRecords) report(name string, reason citronroute.Reason, now time.Time) bool {
 	t := ts[name]
 	if t == nil {
 		ts[name] = &failureRecord{reason: reason, probeDelay: probeInitialDelay, nextProbe: now.Add(probeInitialDelay)}
