--- a/citronentry/control.go
+++ b/citronentry/control.go
@@ -115,7 +115,7 @@
 		case list := <-c.instances:
 			c.handleInstances(ctx, list)
 		case r := <-c.e.reports:
-			c.takeReport(ctx, r)
+			c.handleReport(ctx, r)
 		case p := <-c.probed:
 			c.takeProbe(ctx, p)
 		case <-tick.C:
--- a/citronentry/trouble.go
+++ b/citronentry/trouble.go
@@ -80,9 +80,9 @@
 	err     error
 }
 
-// takeReport records a report from traffic or the watchdog. The event is
+// handleReport records a report from traffic or the watchdog. The event is
 // logged only if the back end was considered healthy until then.
-func (c *control) takeReport(ctx context.Context, r backendReport) {
+func (c *control) handleReport(ctx context.Context, r backendReport) {
 	if !c.failures.report(r.backend, r.reason, c.e.clock.Now()) {
 		return
 	}
