--- a/citronentry/control.go
+++ b/citronentry/control.go
@@ -117,7 +117,7 @@
 		case r := <-c.e.reports:
 			c.handleReport(ctx, r)
 		case p := <-c.probed:
-			c.takeProbe(ctx, p)
+			c.handleProbe(ctx, p)
 		case <-tick.C:
 			now := c.e.clock.Now()
 			c.dirty = c.members.removeExpired(now) || c.dirty
--- a/citronentry/trouble.go
+++ b/citronentry/trouble.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// takeProbe records the result of a probe: the back end has recovered, or the
+// handleProbe records the result of a probe: the back end has recovered, or the
 // next probe is postponed and the reason updated.
-func (c *control) takeProbe(ctx context.Context, p probeResult) {
+func (c *control) handleProbe(ctx context.Context, p probeResult) {
 	t := c.failures[p.backend]
 	if t == nil {
 		return
