--- a/citronentry/control.go
+++ b/citronentry/control.go
@@ -121,7 +121,7 @@
 		case <-tick.C:
 			now := c.e.clock.Now()
 			c.dirty = c.members.removeExpired(now) || c.dirty
-			c.probeDue(ctx, now)
+			c.startDueProbes(ctx, now)
 		}
 		if c.dirty {
 			c.publish()
--- a/citronentry/trouble.go
+++ b/citronentry/trouble.go
@@ -94,9 +94,9 @@
 	citronevent.Log(ctx, c.e.log, event, "backend", r.backend, "reason", string(r.reason))
 }
 
-// probeDue starts the probes that are due. It deletes the records of back ends
+// startDueProbes starts the probes that are due. It deletes the records of back ends
 // that recovered more than relapseWindow ago or are no longer configured.
-func (c *control) probeDue(ctx context.Context, now time.Time) {
+func (c *control) startDueProbes(ctx context.Context, now time.Time) {
 	s := c.e.snap.Load()
 	for name, t := range c.failures {
 		b, known := s.Backends[name]
