--- a/citronentry/api_test.go
+++ b/citronentry/api_test.go
@@ -40,7 +40,7 @@
 			res.Body.Close()
 			is.Equal(res.StatusCode, c.status)
 			is.True(strings.Contains(string(b), c.code))
-			is.Equal(len(r.ups[0].plain.Runs()), 0) // nothing ran
+			is.Equal(len(r.upstreams[0].plain.Runs()), 0) // nothing ran
 		})
 	}
 }
--- a/citronentry/once_test.go
+++ b/citronentry/once_test.go
@@ -40,7 +40,7 @@
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
 	defer release() // a failed check must not leave the entry waiting
-	r.ups[0].plain.Hold = hold
+	r.upstreams[0].plain.Hold = hold
 	first := r.submit(0, "release", "k1", 100*time.Millisecond)
 	is.Equal(first.code, "outcome_unknown")
 	is.True(first.retryAfter != "")
@@ -61,7 +61,7 @@
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
 	defer release()
-	r.ups[0].plain.Hold = hold
+	r.upstreams[0].plain.Hold = hold
 	is.Equal(r.submit(0, "release", "k", 50*time.Millisecond).code, "outcome_unknown")
 	r.cancel[0]()
 	time.AfterFunc(50*time.Millisecond, release)
@@ -200,7 +200,7 @@
 	// until its timeouts. Nearly all of the 50 callers are therefore answered
 	// without a claim.
 	is.True(claims() <= before+5)
-	is.Equal(len(r.ups[0].plain.Runs()), 0)
+	is.Equal(len(r.upstreams[0].plain.Runs()), 0)
 	r.kv.SetFaults(citronkv.Faults{})
 	eventually(t, "served", func() bool { return r.submit(0, "release", "again", time.Minute).status == http.StatusOK })
 }
--- a/citronentry/plain_test.go
+++ b/citronentry/plain_test.go
@@ -16,7 +16,7 @@
 func TestRefusedUpstreamKeepsItsPort(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 1, 2)
-	for _, b := range r.ups {
+	for _, b := range r.upstreams {
 		b.set(refused)
 		_, err := net.Listen("tcp", b.addr())
 		is.True(err != nil) // another server could listen on the port
@@ -64,10 +64,10 @@
 				t.Parallel()
 				is := is.New(t)
 				r := newPlainRig(t, 1, 2)
-				r.ups[0].set(c.first)
-				r.ups[1].set(c.second)
+				r.upstreams[0].set(c.first)
+				r.upstreams[1].set(c.second)
 				if c.leaving {
-					r.ups[0].plain.SetLeaving()
+					r.upstreams[0].plain.SetLeaving()
 				}
 				a := r.submit(0, service, "k", longDeadline)
 				want := c.idempotent
--- a/citronentry/rig_test.go
+++ b/citronentry/rig_test.go
@@ -377,7 +377,7 @@
 // "release" is not idempotent, "summary" is.
 type plainRig struct {
 	*testCluster
-	ups []*testBackend
+	upstreams []*testBackend
 }
 
 // newPlainRig starts a plainRig with the given number of entries and
@@ -391,7 +391,7 @@
 		s := citronplain.NewServer(fmt.Sprintf("u%d", i+1))
 		b := newBackend(s.Mount)
 		b.plain = s
-		r.ups = append(r.ups, b)
+		r.upstreams = append(r.upstreams, b)
 		list = append(list, fmt.Sprintf("{name: u%d, addr: %q, zone: %s}", i+1, b.addr(), zoneOf(first, 0)))
 	}
 	r.apply(t, fmt.Sprintf(`fleet: t
@@ -414,7 +414,7 @@
 // stop stops the entries, then the upstreams.
 func (r *plainRig) stop() {
 	r.testCluster.stop()
-	for _, b := range r.ups {
+	for _, b := range r.upstreams {
 		b.stop()
 	}
 }
@@ -423,7 +423,7 @@
 // upstreams.
 func (r *plainRig) runs(key string) int {
 	n := 0
-	for _, b := range r.ups {
+	for _, b := range r.upstreams {
 		n += b.plain.Runs()[key]
 	}
 	return n
