--- a/citronentry/once.go
+++ b/citronentry/once.go
@@ -121,7 +121,7 @@
 	case err == nil:
 		rec := a.ledgerRecord(r, citronledger.Done)
 		rec.Tokens, rec.Result = res.Tokens, deref(res.Result)
-		a.e.ledger.Settle(ctx, claim, rec)
+		a.e.ledger.RecordAnswer(ctx, claim, rec)
 	case errors.As(err, &ref) && ref.Code == codeNotRun:
 		a.e.ledger.Release(ctx, claim)
 	}
--- a/citronledger/ledger.go
+++ b/citronledger/ledger.go
@@ -262,13 +262,13 @@
 	}
 }
 
-// Settle records the answer, so that a retry gets it without running the
+// RecordAnswer records the answer, so that a retry gets it without running the
 // request again. Settle retries a write that ends with ErrUnavailable until
 // ctx ends: the reply may be lost or the service briefly down. A second write
 // of the same record at the same revision is harmless, because it ends with a
 // conflict. If Settle gives up, the key stays "started": no retry gets the
 // answer, but the request still does not run twice.
-func (l *Ledger) Settle(ctx context.Context, c Claim, rec Record) {
+func (l *Ledger) RecordAnswer(ctx context.Context, c Claim, rec Record) {
 	val, _ := json.Marshal(rec)
 	_ = l.retry(ctx, c.Key, func() error {
 		l.Wrote()
