--- a/citronentry/entry.go
+++ b/citronentry/entry.go
@@ -88,7 +88,7 @@
 	}
 	e.ledger = &citronledger.Ledger{
 		KV: kv, Clock: clock, Log: e.log,
-		Wrote:    func() { e.metrics.ledgerWrites.Add(1) },
+		OnWrite:  func() { e.metrics.ledgerWrites.Add(1) },
 		ReadBack: func() { e.metrics.ledgerReadBack.Add(1) },
 	}
 	e.snap.Store(e.pool.Build(citronfleet.Fleet{}, nil, nil, false))
--- a/citronledger/ledger.go
+++ b/citronledger/ledger.go
@@ -82,9 +82,9 @@
 	KV    citronkv.Store
 	Clock citronclock.Clock
 	Log   *slog.Logger
-	// Wrote is called before each write and ReadBack before each read-back
+	// OnWrite is called before each write and ReadBack before each read-back
 	// of a claim; they update the metrics.
-	Wrote, ReadBack func()
+	OnWrite, ReadBack func()
 
 	breaker breaker
 }
@@ -167,7 +167,7 @@
 // undoClaim in the background.
 func (l *Ledger) claim(ctx context.Context, k string, rec Record) (Claim, error) {
 	val, _ := json.Marshal(rec)
-	l.Wrote()
+	l.OnWrite()
 	pctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	rev, err := l.KV.Put(pctx, k, val, citronkv.Absent, 0)
@@ -229,7 +229,7 @@
 		case err != nil:
 			return err
 		case mine:
-			l.Wrote()
+			l.OnWrite()
 			return l.KV.Delete(ctx, k, it.Revision)
 		case !it.Revision.IsZero():
 			return nil // another claim holds the key
@@ -271,7 +271,7 @@
 func (l *Ledger) RecordAnswer(ctx context.Context, c Claim, rec Record) {
 	val, _ := json.Marshal(rec)
 	_ = l.retry(ctx, c.Key, func() error {
-		l.Wrote()
+		l.OnWrite()
 		_, err := l.KV.Put(ctx, c.Key, val, c.Revision, 0)
 		return err
 	})
@@ -281,7 +281,7 @@
 // the caller may send the request again.
 func (l *Ledger) Release(ctx context.Context, c Claim) {
 	_ = l.retry(ctx, c.Key, func() error {
-		l.Wrote()
+		l.OnWrite()
 		return l.KV.Delete(ctx, c.Key, c.Revision)
 	})
 }
