--- a/citronentry/entry.go
+++ b/citronentry/entry.go
@@ -88,8 +88,8 @@
 	}
 	e.ledger = &citronledger.Ledger{
 		KV: kv, Clock: clock, Log: e.log,
-		OnWrite:  func() { e.metrics.ledgerWrites.Add(1) },
-		ReadBack: func() { e.metrics.ledgerReadBack.Add(1) },
+		OnWrite:    func() { e.metrics.ledgerWrites.Add(1) },
+		OnReadBack: func() { e.metrics.ledgerReadBack.Add(1) },
 	}
 	e.snap.Store(e.pool.Build(citronfleet.Fleet{}, nil, nil, false))
 	e.metrics.publishState(e)
--- a/citronledger/ledger.go
+++ b/citronledger/ledger.go
@@ -82,9 +82,9 @@
 	KV    citronkv.Store
 	Clock citronclock.Clock
 	Log   *slog.Logger
-	// OnWrite is called before each write and ReadBack before each read-back
+	// OnWrite is called before each write and OnReadBack before each read-back
 	// of a claim; they update the metrics.
-	OnWrite, ReadBack func()
+	OnWrite, OnReadBack func()
 
 	breaker breaker
 }
@@ -177,7 +177,7 @@
 	case errors.Is(err, citronkv.ErrConflict):
 		return l.readBack(ctx, k, val)
 	case errors.Is(err, citronkv.ErrUnavailable):
-		l.ReadBack()
+		l.OnReadBack()
 		citronevent.Log(ctx, l.Log, citronevent.LedgerReadBack, "key", k, "err", err)
 		c, err := l.readBack(ctx, k, val)
 		if err != nil {
