--- a/citronledger/ledger.go
+++ b/citronledger/ledger.go
@@ -57,9 +57,9 @@
 	Existing Record
 }
 
-// ErrDown means that the ledger could not confirm a claim. The request must
+// ErrUnavailable means that the ledger could not confirm a claim. The request must
 // not be sent to an upstream.
-var ErrDown = errors.New("at-most-once ledger unavailable")
+var ErrUnavailable = errors.New("at-most-once ledger unavailable")
 
 const (
 	// claimTimeout bounds the write of a claim and, separately, its
@@ -142,14 +142,14 @@
 // the reply to the create is lost, the create may have been applied: Claim
 // then reads the key back and owns it if it holds rec.
 //
-// While the KV service does not answer, Claim returns ErrDown at once, except
+// While the KV service does not answer, Claim returns ErrUnavailable at once, except
 // for one trial claim at a time, which detects that the service is back. A
 // trial starts at the earliest retryInitialDelay after the last claim has
 // failed. Without the breaker each request would wait for the timeouts of its
 // claim and its read-back, only to fail with the same error.
 func (l *Ledger) Claim(ctx context.Context, service, customer, idempotencyKey string, rec Record) (Claim, error) {
 	if !l.breaker.allow(l.Clock.Now()) {
-		return Claim{}, errors.Mark(errors.New("claim idempotency key: not attempted, because the KV service did not answer the last claim"), ErrDown)
+		return Claim{}, errors.Mark(errors.New("claim idempotency key: not attempted, because the KV service did not answer the last claim"), ErrUnavailable)
 	}
 	c, err := l.claim(ctx, key(service, customer, idempotencyKey), rec)
 	if err != nil && ctx.Err() != nil {
@@ -185,7 +185,7 @@
 		}
 		return c, err
 	}
-	return Claim{}, errors.Mark(errors.Wrap(err, "claim idempotency key"), ErrDown)
+	return Claim{}, errors.Mark(errors.Wrap(err, "claim idempotency key"), ErrUnavailable)
 }
 
 // readBack reads key k. The returned claim is owned if the key holds exactly
@@ -195,7 +195,7 @@
 	defer cancel()
 	it, mine, err := citronkv.ReadBack(ctx, l.KV, k, own)
 	if err != nil {
-		return Claim{}, errors.Mark(errors.Wrap(err, "read back idempotency key"), ErrDown)
+		return Claim{}, errors.Mark(errors.Wrap(err, "read back idempotency key"), ErrUnavailable)
 	}
 	if mine {
 		return Claim{Key: k, Owned: true, Revision: it.Revision}, nil
@@ -204,11 +204,11 @@
 		// The key does not exist, so the create has not taken effect. A
 		// delayed write may still take effect later; the key is then
 		// "started", and its request does not run.
-		return Claim{}, errors.Mark(errors.New("read back idempotency key: the key does not exist, its create has not taken effect"), ErrDown)
+		return Claim{}, errors.Mark(errors.New("read back idempotency key: the key does not exist, its create has not taken effect"), ErrUnavailable)
 	}
 	var rec Record
 	if err := json.Unmarshal(it.Value, &rec); err != nil {
-		return Claim{}, errors.Mark(errors.Wrap(err, "decode ledger record"), ErrDown)
+		return Claim{}, errors.Mark(errors.Wrap(err, "decode ledger record"), ErrUnavailable)
 	}
 	return Claim{Key: k, Revision: it.Revision, Existing: rec}, nil
 }
