--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -24,11 +24,11 @@
 )
 
 const (
-	// LapseGrace is how long after an outage of the store missing entries may still come
+	// ExpiryGrace is how long after an outage of the store missing entries may still come
 	// back; the entries of live engines are back within two seconds. It is also how long
 	// the store must have served a node before that node's status counts against an
 	// outage.
-	LapseGrace = 2500 * time.Millisecond
+	ExpiryGrace = 2500 * time.Millisecond
 	// expiryHeartbeats is the number of heartbeats of an engine that an outage must
 	// suppress before entries expire. An entry lasts for three heartbeats, and the first
 	// of them is partly over when the outage begins.
@@ -105,11 +105,11 @@
 	// Away is true while the store has been unreachable for this node for long enough
 	// that entries expire.
 	Away bool `json:"away,omitempty"`
-	// Back is true for LapseGrace after such an outage has ended.
+	// Back is true for ExpiryGrace after such an outage has ended.
 	Back bool `json:"back,omitempty"`
 	// Answered is true if the store has answered this node recently.
 	Answered bool `json:"answered,omitempty"`
-	// Served is true if the store has been answering this node for at least LapseGrace
+	// Served is true if the store has been answering this node for at least ExpiryGrace
 	// without such an outage.
 	Served bool `json:"served,omitempty"`
 }
@@ -119,7 +119,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	stalled := now.Sub(h.lastAnswer) >= h.expireAfter
-	stable := now.Sub(h.servedSince) >= LapseGrace
+	stable := now.Sub(h.servedSince) >= ExpiryGrace
 	return Status{
 		Away:     stalled && h.lastFailed != nil && now.Sub(h.lastFailed.Ended) < failedCallMaxAge,
 		Back:     h.afterOutage && !stable,
@@ -137,7 +137,7 @@
 }
 
 // Away reports whether the store is unreachable for all nodes, or was within the last
-// LapseGrace. The statuses are those of all nodes currently heard. A node that the store
+// ExpiryGrace. The statuses are those of all nodes currently heard. A node that the store
 // has served all along disproves an outage. While some nodes cannot reach the store, a
 // single answered node shows that the store rejects only those nodes.
 func Away(statuses ...Status) bool {
--- a/citronlist/lapse.go
+++ b/citronlist/lapse.go
@@ -48,7 +48,7 @@
 	now := l.set.Clock.Now()
 	l.forgetSuperseded(now)
 	for key := range l.index.missing {
-		if e := l.entries[key]; now.Sub(e.missingSince) > citronhealth.LapseGrace {
+		if e := l.entries[key]; now.Sub(e.missingSince) > citronhealth.ExpiryGrace {
 			l.deleteEntry(key)
 			if l.byAddr[e.engine.Addr] == key {
 				delete(l.byAddr, e.engine.Addr)
@@ -63,11 +63,11 @@
 // currentRetainReason returns why engines whose entries are missing stay in use, or
 // retainNone if they do not.
 func (l *List) currentRetainReason(now time.Time) retainReason {
-	l.removalTimes = slices.DeleteFunc(l.removalTimes, func(t time.Time) bool { return now.Sub(t) > citronhealth.LapseGrace })
+	l.removalTimes = slices.DeleteFunc(l.removalTimes, func(t time.Time) bool { return now.Sub(t) > citronhealth.ExpiryGrace })
 	switch {
 	case l.outage:
 		return retainOutage
-	case !l.restoredAt.IsZero() && now.Sub(l.restoredAt) < citronhealth.LapseGrace:
+	case !l.restoredAt.IsZero() && now.Sub(l.restoredAt) < citronhealth.ExpiryGrace:
 		return retainRestore
 	case len(l.removalTimes) >= max(massRemovalMin, len(l.entries)/massRemovalDivisor):
 		return retainMassRemoval
--- a/citronlist/lapse_test.go
+++ b/citronlist/lapse_test.go
@@ -84,8 +84,8 @@
 		{"one is removed", 0, 0, 1, 0},
 		{"many are removed", 0, 0, 6, 1200 * time.Millisecond},
 		{"many are removed, with a longer drain time", 3 * time.Second, 0, 6, 1800 * time.Millisecond},
-		{"one is removed in an outage", 0, always, 1, citronhealth.LapseGrace},
-		{"all are removed in an outage", 0, always, 12, citronhealth.LapseGrace},
+		{"one is removed in an outage", 0, always, 1, citronhealth.ExpiryGrace},
+		{"all are removed in an outage", 0, always, 12, citronhealth.ExpiryGrace},
 		{"one is removed, and the outage is disproved after 300 ms", 0, 300 * time.Millisecond, 1, 300 * time.Millisecond},
 	}
 	for _, c := range cases {
@@ -98,7 +98,7 @@
 			const step = 50 * time.Millisecond
 			for since := time.Duration(0); since < 3*time.Second; since += step {
 				want := 12 - c.gone
-				if since < c.until || since == c.until && c.until == citronhealth.LapseGrace {
+				if since < c.until || since == c.until && c.until == citronhealth.ExpiryGrace {
 					want = 12
 				}
 				if got := l.countInUse(); got != want {
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -91,7 +91,7 @@
 	// and the configuration last changed.
 	listSince, listAt, configAt time.Time
 	// storeAway reports that the store is unavailable to all nodes, or was within the
-	// last citronhealth.LapseGrace.
+	// last citronhealth.ExpiryGrace.
 	storeAway bool
 	// configChanged means that the view must be rebuilt for a new configuration.
 	// collectDue means that the state of the other nodes must be collected for the next
