--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -136,11 +136,11 @@
 	return h.lastFailed
 }
 
-// Away reports whether the store is unreachable for all nodes, or was within the last
+// ConfirmedOutage reports whether the store is unreachable for all nodes, or was within the last
 // ExpiryGrace. The statuses are those of all nodes currently heard. A node that the store
 // has served all along disproves an outage. While some nodes cannot reach the store, a
 // single answered node shows that the store rejects only those nodes.
-func Away(statuses ...Status) bool {
+func ConfirmedOutage(statuses ...Status) bool {
 	var all Status
 	for _, s := range statuses {
 		all.Away = all.Away || s.Away
--- a/citronhealth/health_test.go
+++ b/citronhealth/health_test.go
@@ -99,6 +99,6 @@
 		{"all nodes have just started", []Status{idle, idle}, false},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(Away(c.nodes...), c.want) })
+		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(ConfirmedOutage(c.nodes...), c.want) })
 	}
 }
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -264,7 +264,7 @@
 			statuses = append(statuses, k.Store)
 		}
 	}
-	if away := citronhealth.Away(statuses...); away != c.storeAway {
+	if away := citronhealth.ConfirmedOutage(statuses...); away != c.storeAway {
 		c.storeAway = away
 		c.logStoreStatus(ctx, now, statuses)
 	}
