--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -102,9 +102,9 @@
 
 // Status is what one node reports to the other nodes about the store.
 type Status struct {
-	// Away is true while the store has been unreachable for this node for long enough
+	// Outage is true while the store has been unreachable for this node for long enough
 	// that entries expire.
-	Away bool `json:"away,omitempty"`
+	Outage bool `json:"away,omitempty"`
 	// Back is true for ExpiryGrace after such an outage has ended.
 	Back bool `json:"back,omitempty"`
 	// Answered is true if the store has answered this node recently.
@@ -121,7 +121,7 @@
 	stalled := now.Sub(h.lastAnswer) >= h.expireAfter
 	stable := now.Sub(h.servedSince) >= ExpiryGrace
 	return Status{
-		Away:     stalled && h.lastFailed != nil && now.Sub(h.lastFailed.Ended) < failedCallMaxAge,
+		Outage:   stalled && h.lastFailed != nil && now.Sub(h.lastFailed.Ended) < failedCallMaxAge,
 		Back:     h.afterOutage && !stable,
 		Answered: !stalled,
 		Served:   !stalled && stable,
@@ -143,10 +143,10 @@
 func ConfirmedOutage(statuses ...Status) bool {
 	var all Status
 	for _, s := range statuses {
-		all.Away = all.Away || s.Away
+		all.Outage = all.Outage || s.Outage
 		all.Back = all.Back || s.Back
 		all.Answered = all.Answered || s.Answered
 		all.Served = all.Served || s.Served
 	}
-	return !all.Served && (all.Back || all.Away && !all.Answered)
+	return !all.Served && (all.Back || all.Outage && !all.Answered)
 }
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -275,7 +275,7 @@
 func (c *control) logStoreStatus(ctx context.Context, now time.Time, statuses []citronhealth.Status) {
 	unanswered, back, answered, served := 0, 0, 0, 0
 	for _, s := range statuses {
-		unanswered += boolToInt(s.Away)
+		unanswered += boolToInt(s.Outage)
 		back += boolToInt(s.Back)
 		answered += boolToInt(s.Answered)
 		served += boolToInt(s.Served)
--- a/citronnode/outage_test.go
+++ b/citronnode/outage_test.go
@@ -21,7 +21,7 @@
 	r.n.health.Note(citronhealth.Call{Begun: now, Ended: now, Err: citronkv.ErrUnavailable})
 	r.take(context.Background(), memberUpdate{told: citronpeer.Diff{Members: []citronpeer.Member{{Name: "n2", Store: citronhealth.Status{Answered: true, Served: true}}}}})
 	r.tick(context.Background())
-	is.True(r.self.Store.Away)
+	is.True(r.self.Store.Outage)
 	is.True(!r.storeAway)
 	for age := time.Duration(0); age <= 2*time.Second+tickInterval; age += tickInterval {
 		r.members.Age(now.Add(age))
