--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -105,8 +105,8 @@
 	// Outage is true while the store has been unreachable for this node for long enough
 	// that entries expire.
 	Outage bool `json:"away,omitempty"`
-	// Back is true for ExpiryGrace after such an outage has ended.
-	Back bool `json:"back,omitempty"`
+	// Recovered is true for ExpiryGrace after such an outage has ended.
+	Recovered bool `json:"back,omitempty"`
 	// Answered is true if the store has answered this node recently.
 	Answered bool `json:"answered,omitempty"`
 	// Served is true if the store has been answering this node for at least ExpiryGrace
@@ -121,10 +121,10 @@
 	stalled := now.Sub(h.lastAnswer) >= h.expireAfter
 	stable := now.Sub(h.servedSince) >= ExpiryGrace
 	return Status{
-		Outage:   stalled && h.lastFailed != nil && now.Sub(h.lastFailed.Ended) < failedCallMaxAge,
-		Back:     h.afterOutage && !stable,
-		Answered: !stalled,
-		Served:   !stalled && stable,
+		Outage:    stalled && h.lastFailed != nil && now.Sub(h.lastFailed.Ended) < failedCallMaxAge,
+		Recovered: h.afterOutage && !stable,
+		Answered:  !stalled,
+		Served:    !stalled && stable,
 	}
 }
 
@@ -144,9 +144,9 @@
 	var all Status
 	for _, s := range statuses {
 		all.Outage = all.Outage || s.Outage
-		all.Back = all.Back || s.Back
+		all.Recovered = all.Recovered || s.Recovered
 		all.Answered = all.Answered || s.Answered
 		all.Served = all.Served || s.Served
 	}
-	return !all.Served && (all.Back || all.Outage && !all.Answered)
+	return !all.Served && (all.Recovered || all.Outage && !all.Answered)
 }
--- a/citronhealth/health_test.go
+++ b/citronhealth/health_test.go
@@ -66,7 +66,7 @@
 					}
 				}
 				got := h.Status(at(w.at))
-				if (got.Outage || got.Back) != w.outage || got.Served != w.served {
+				if (got.Outage || got.Recovered) != w.outage || got.Served != w.served {
 					t.Errorf("at %v s: got %+v, want outage %t, served %t", w.at, got, w.outage, w.served)
 				}
 			}
@@ -77,7 +77,7 @@
 // Tests that one node that was served disproves an outage, that one answered node is
 // enough while others get no answer, and that a node without calls makes no difference.
 func TestOutageNeedsAgreementOfAllNodes(t *testing.T) {
-	away, back := Status{Outage: true}, Status{Back: true, Answered: true}
+	away, back := Status{Outage: true}, Status{Recovered: true, Answered: true}
 	served, restarted, idle := Status{Answered: true, Served: true}, Status{Answered: true}, Status{}
 	cases := []struct {
 		name  string
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -276,7 +276,7 @@
 	unanswered, back, answered, served := 0, 0, 0, 0
 	for _, s := range statuses {
 		unanswered += boolToInt(s.Outage)
-		back += boolToInt(s.Back)
+		back += boolToInt(s.Recovered)
 		answered += boolToInt(s.Answered)
 		served += boolToInt(s.Served)
 	}
