--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -43,9 +43,9 @@
 	defaultHeartbeat = 1200 * time.Millisecond
 )
 
-// Record keeps what the results of a node's own calls show about the store. It is safe
+// StoreMonitor keeps what the results of a node's own calls show about the store. It is safe
 // for concurrent use.
-type Record struct {
+type StoreMonitor struct {
 	mu sync.Mutex
 	// expireAfter is the duration of the shortest outage in which entries expire.
 	expireAfter time.Duration
@@ -62,15 +62,15 @@
 
 // NewRecord returns a record for engines that renew their entries once per heartbeat. If
 // heartbeat is not positive, defaultHeartbeat applies.
-func NewRecord(heartbeat time.Duration) *Record {
+func NewRecord(heartbeat time.Duration) *StoreMonitor {
 	if heartbeat <= 0 {
 		heartbeat = defaultHeartbeat
 	}
-	return &Record{expireAfter: expiryHeartbeats * heartbeat}
+	return &StoreMonitor{expireAfter: expiryHeartbeats * heartbeat}
 }
 
 // Note adds a call that has ended to the record.
-func (h *Record) Note(c Call) {
+func (h *StoreMonitor) Note(c Call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
@@ -88,7 +88,7 @@
 
 // noteAnswer adds an answered call to the record. It starts a new period of service if
 // the store had been unreachable, or the node had made no calls, for expireAfter.
-func (h *Record) noteAnswer(c Call) {
+func (h *StoreMonitor) noteAnswer(c Call) {
 	stalled := c.Ended.Sub(h.lastAnswer) >= h.expireAfter
 	unasked := c.Begun.Sub(h.lastAnswer) >= h.expireAfter
 	if stalled && (h.lastFailed != nil || unasked) {
@@ -115,7 +115,7 @@
 }
 
 // Status returns what the calls recorded so far show at the given time.
-func (h *Record) Status(now time.Time) Status {
+func (h *StoreMonitor) Status(now time.Time) Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	stalled := now.Sub(h.lastAnswer) >= h.expireAfter
@@ -130,7 +130,7 @@
 
 // Failed returns the newest unanswered call since the store last answered, or nil if
 // there is none.
-func (h *Record) Failed() *Call {
+func (h *StoreMonitor) Failed() *Call {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lastFailed
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -126,7 +126,7 @@
 	// readablePrefixes is the number of followed prefixes for which the store answers.
 	readablePrefixes atomic.Int64
 	// health records the results of this node's calls to the store.
-	health *citronhealth.Record
+	health *citronhealth.StoreMonitor
 	// leads is set while this node holds the lease or is the acting leader. places is set
 	// while it places layers.
 	leads, places atomic.Bool
