--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -60,9 +60,9 @@
 	afterOutage bool
 }
 
-// NewRecord returns a record for engines that renew their entries once per heartbeat. If
+// NewStoreMonitor returns a record for engines that renew their entries once per heartbeat. If
 // heartbeat is not positive, defaultHeartbeat applies.
-func NewRecord(heartbeat time.Duration) *StoreMonitor {
+func NewStoreMonitor(heartbeat time.Duration) *StoreMonitor {
 	if heartbeat <= 0 {
 		heartbeat = defaultHeartbeat
 	}
--- a/citronhealth/health_test.go
+++ b/citronhealth/health_test.go
@@ -59,7 +59,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for _, w := range c.want {
-				h := NewRecord(1200 * time.Millisecond)
+				h := NewStoreMonitor(1200 * time.Millisecond)
 				for _, k := range c.calls {
 					if !k.Ended.After(at(w.at)) {
 						h.Note(k)
