--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -69,8 +69,8 @@
 	return &StoreMonitor{expireAfter: expiryHeartbeats * heartbeat}
 }
 
-// Note adds a call that has ended to the record.
-func (h *StoreMonitor) Note(c Call) {
+// RecordCall adds a call that has ended to the record.
+func (h *StoreMonitor) RecordCall(c Call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
--- a/citronhealth/health_test.go
+++ b/citronhealth/health_test.go
@@ -62,7 +62,7 @@
 				h := NewStoreMonitor(1200 * time.Millisecond)
 				for _, k := range c.calls {
 					if !k.Ended.After(at(w.at)) {
-						h.Note(k)
+						h.RecordCall(k)
 					}
 				}
 				got := h.Status(at(w.at))
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -176,7 +176,7 @@
 // New returns a node. hc is used to talk to other nodes.
 func New(set Settings, src Sources, clock citronclock.Clock, log *slog.Logger, budget *citronbudget.Budget, loads *citronpool.Loads, hc *http.Client) *Node {
 	health := citronhealth.NewStoreMonitor(set.Heartbeat)
-	src.Store = citronhealth.Observe(src.Store, clock, health.Note)
+	src.Store = citronhealth.Observe(src.Store, clock, health.RecordCall)
 	n := &Node{
 		set: set, src: src, health: health, clock: clock, log: log, budget: budget, loads: loads,
 		peers:         &citronpeer.Client{HC: hc, Timeout: exchangeTimeout},
