--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// Failed returns the newest unanswered call since the store last answered, or nil if
+// LastFailed returns the newest unanswered call since the store last answered, or nil if
 // there is none.
-func (h *StoreMonitor) Failed() *Call {
+func (h *StoreMonitor) LastFailed() *Call {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lastFailed
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -281,7 +281,7 @@
 		served += boolToInt(s.Served)
 	}
 	args := []any{"away", c.storeAway, "nodes", len(statuses), "unanswered", unanswered, "back", back, "answered", answered, "served", served}
-	if f := c.n.health.Failed(); f != nil {
+	if f := c.n.health.LastFailed(); f != nil {
 		args = append(args, "step", f.Name, "key", f.Key, "age", now.Sub(f.Ended), "err", f.Err)
 	}
 	citronevent.Log(ctx, c.n.log, citronevent.StoreAway, args...)
