--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -74,7 +74,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case c.GivenUp():
+	case c.Canceled():
 	case c.Answered():
 		h.noteAnswer(c)
 	case c.Begun.Before(h.lastAnswer):
--- a/citronhealth/observe.go
+++ b/citronhealth/observe.go
@@ -27,9 +27,9 @@
 	return c.Err == nil || errors.IsAny(c.Err, citronkv.ErrNotFound, citronkv.ErrConflict, citronkv.ErrLeaseExpired, citronkv.ErrCompacted)
 }
 
-// GivenUp reports whether the caller canceled the call. Such a call shows nothing about
+// Canceled reports whether the caller canceled the call. Such a call shows nothing about
 // the store.
-func (c Call) GivenUp() bool { return !c.Answered() && errors.Is(c.Err, context.Canceled) }
+func (c Call) Canceled() bool { return !c.Answered() && errors.Is(c.Err, context.Canceled) }
 
 // Observe returns a store that forwards each call to s and passes its outcome to report
 // when the call has ended.
--- a/citronhealth/observe_test.go
+++ b/citronhealth/observe_test.go
@@ -36,7 +36,7 @@
 			is := is.New(t)
 			call := citronhealth.Call{Err: c.err}
 			is.Equal(call.Answered(), c.answered)
-			is.Equal(call.GivenUp(), c.givenUp)
+			is.Equal(call.Canceled(), c.givenUp)
 		})
 	}
 }
