--- a/citronlist/era_test.go
+++ b/citronlist/era_test.go
@@ -55,7 +55,7 @@
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	l := listWithEngines(t, clock, 10, 2*time.Second)
 	items := inEra(1, entryItem(0, 1, nil), entryItem(1, 2, leaving))
-	is.True(l.TakeWhole(t.Context(), items, citronkv.RevisionOf(1, 4), true))
+	is.True(l.ApplyFull(t.Context(), items, citronkv.RevisionOf(1, 4), true))
 	is.True(!l.usedIDs()["1"])
 	// Changes of the earlier era are ignored in the new one.
 	is.True(!l.TakeChanges(t.Context(), []citronkv.Item{entryItem(0, 11, leaving)}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 11), false))
@@ -78,7 +78,7 @@
 	is.True(l.TakeChanges(t.Context(), []citronkv.Item{entryItem(0, 11, leaving), {Key: key(1), Revision: citronkv.RevisionOf(0, 12), Deleted: true}}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 12), true))
 	clock.Advance(3 * time.Second)
 	l.Tick(t.Context(), false)
-	is.True(l.TakeWhole(t.Context(), inEra(1, copied...), citronkv.RevisionOf(1, 10), true))
+	is.True(l.ApplyFull(t.Context(), inEra(1, copied...), citronkv.RevisionOf(1, 10), true))
 	is.True(!l.usedIDs()["0"])
 	is.True(!l.usedIDs()["1"])
 	is.Equal(len(l.usedIDs()), 8)
@@ -94,7 +94,7 @@
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	l := listWithEngines(t, clock, 3, 2*time.Second)
 	is.True(l.TakeChanges(t.Context(), []citronkv.Item{entryItem(3, 11, nil), entryItem(4, 12, nil)}, citronkv.RevisionOf(0, 3), citronkv.RevisionOf(0, 12), true))
-	is.True(l.TakeWhole(t.Context(), inEra(1, entryItem(0, 1, nil), entryItem(1, 2, nil), entryItem(2, 3, nil)), citronkv.RevisionOf(1, 3), true))
+	is.True(l.ApplyFull(t.Context(), inEra(1, entryItem(0, 1, nil), entryItem(1, 2, nil), entryItem(2, 3, nil)), citronkv.RevisionOf(1, 3), true))
 	is.Equal(len(l.usedIDs()), 5)
 	clock.Advance(citronhealth.ExpiryGrace / 2)
 	is.True(l.TakeChanges(t.Context(), inEra(1, entryItem(3, 4, nil)), citronkv.RevisionOf(1, 3), citronkv.RevisionOf(1, 4), true))
@@ -110,7 +110,7 @@
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	l := listWithEngines(t, clock, 3, 2*time.Second)
-	is.True(l.TakeWhole(t.Context(), inEra(1, entryItem(0, 1, nil)), citronkv.RevisionOf(1, 1), true))
+	is.True(l.ApplyFull(t.Context(), inEra(1, entryItem(0, 1, nil)), citronkv.RevisionOf(1, 1), true))
 	doc, err := l.Passed().After(citronkv.RevisionOf(0, 3))
 	is.NoErr(err)
 	is.True(doc.Base.IsZero())
@@ -138,7 +138,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.TakeWhole(t.Context(), items, rev, true)
+			l.ApplyFull(t.Context(), items, rev, true)
 		}
 		const engines = 100 // only five of them change, so that no mass removal is detected
 		engine := rapid.IntRange(0, 4)
--- a/citronlist/index_test.go
+++ b/citronlist/index_test.go
@@ -48,7 +48,7 @@
 				for i := range rapid.IntRange(0, 30).Draw(t, "n") {
 					items = append(items, citronkv.Item{Key: fmt.Sprintf("e/i%02d", i), Value: []byte(value.Draw(t, "v")), Revision: next})
 				}
-				l.TakeWhole(ctx, items, next, true)
+				l.ApplyFull(ctx, items, next, true)
 			case 1:
 				l.TakeChanges(ctx, []citronkv.Item{{Key: key.Draw(t, "k"), Deleted: true, Revision: next}}, base, next, true)
 			case 2:
@@ -120,7 +120,7 @@
 		items = append(items, citronkv.Item{Key: fmt.Sprintf("e/%02d", i), Value: []byte("x"), Revision: citronkv.RevisionOf(0, 1)})
 	}
 	ctx := context.Background()
-	l.TakeWhole(ctx, items, citronkv.RevisionOf(0, 1), true)
+	l.ApplyFull(ctx, items, citronkv.RevisionOf(0, 1), true)
 	before := l.Engines(nil)
 	two := citronkv.RevisionOf(0, 2)
 	l.TakeChanges(ctx, []citronkv.Item{{Key: "e/07", Value: []byte("xyz"), Revision: two}}, citronkv.RevisionOf(0, 1), two, true)
--- a/citronlist/lapse_test.go
+++ b/citronlist/lapse_test.go
@@ -39,7 +39,7 @@
 		}
 		items[i] = citronkv.Item{Key: key(i), Value: text, Revision: citronkv.RevisionOf(0, int64(i+1))}
 	}
-	is.New(t).True(l.TakeWhole(t.Context(), items, citronkv.RevisionOf(0, int64(n)), true))
+	is.New(t).True(l.ApplyFull(t.Context(), items, citronkv.RevisionOf(0, int64(n)), true))
 	return l
 }
 
--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -124,10 +124,10 @@
 // missing.
 func (l *List) Kept() int { return l.retained }
 
-// TakeWhole applies the full list at the given revision and reports whether it was newer
+// ApplyFull applies the full list at the given revision and reports whether it was newer
 // than the current list. fromStore tells whether it comes from the store rather than
 // from another node.
-func (l *List) TakeWhole(ctx context.Context, items []citronkv.Item, revision citronkv.Revision, fromStore bool) bool {
+func (l *List) ApplyFull(ctx context.Context, items []citronkv.Item, revision citronkv.Revision, fromStore bool) bool {
 	if !revision.After(l.revision) && !l.revision.IsZero() {
 		return false
 	}
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -138,7 +138,7 @@
 func (c *control) take(ctx context.Context, m message) {
 	switch m := m.(type) {
 	case listSnapshot:
-		if c.list.TakeWhole(ctx, m.items, m.revision, m.source == sourceStore) {
+		if c.list.ApplyFull(ctx, m.items, m.revision, m.source == sourceStore) {
 			c.onListChanged(ctx, m.source)
 		}
 	case listDelta:
