--- a/citronlist/era_test.go
+++ b/citronlist/era_test.go
@@ -58,10 +58,10 @@
 	is.True(l.ApplyFull(t.Context(), items, citronkv.RevisionOf(1, 4), true))
 	is.True(!l.usedIDs()["1"])
 	// Changes of the earlier era are ignored in the new one.
-	is.True(!l.TakeChanges(t.Context(), []citronkv.Item{entryItem(0, 11, leaving)}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 11), false))
+	is.True(!l.ApplyChanges(t.Context(), []citronkv.Item{entryItem(0, 11, leaving)}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 11), false))
 	is.True(l.usedIDs()["0"])
 	// Numbers that are assigned again in the new era stand for other writes.
-	is.True(l.TakeChanges(t.Context(), inEra(1, entryItem(0, 5, leaving)), citronkv.RevisionOf(1, 4), citronkv.RevisionOf(1, 5), true))
+	is.True(l.ApplyChanges(t.Context(), inEra(1, entryItem(0, 5, leaving)), citronkv.RevisionOf(1, 4), citronkv.RevisionOf(1, 5), true))
 	is.True(!l.usedIDs()["0"])
 }
 
@@ -75,7 +75,7 @@
 	for i := range copied {
 		copied[i] = entryItem(i, int64(i+1), nil)
 	}
-	is.True(l.TakeChanges(t.Context(), []citronkv.Item{entryItem(0, 11, leaving), {Key: key(1), Revision: citronkv.RevisionOf(0, 12), Deleted: true}}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 12), true))
+	is.True(l.ApplyChanges(t.Context(), []citronkv.Item{entryItem(0, 11, leaving), {Key: key(1), Revision: citronkv.RevisionOf(0, 12), Deleted: true}}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 12), true))
 	clock.Advance(3 * time.Second)
 	l.Tick(t.Context(), false)
 	is.True(l.ApplyFull(t.Context(), inEra(1, copied...), citronkv.RevisionOf(1, 10), true))
@@ -83,7 +83,7 @@
 	is.True(!l.usedIDs()["1"])
 	is.Equal(len(l.usedIDs()), 8)
 	// Engine 1 writes its entry again, so it is present after all.
-	is.True(l.TakeChanges(t.Context(), inEra(1, entryItem(1, 11, nil)), citronkv.RevisionOf(1, 10), citronkv.RevisionOf(1, 11), true))
+	is.True(l.ApplyChanges(t.Context(), inEra(1, entryItem(1, 11, nil)), citronkv.RevisionOf(1, 10), citronkv.RevisionOf(1, 11), true))
 	is.True(l.usedIDs()["1"])
 }
 
@@ -93,11 +93,11 @@
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	l := listWithEngines(t, clock, 3, 2*time.Second)
-	is.True(l.TakeChanges(t.Context(), []citronkv.Item{entryItem(3, 11, nil), entryItem(4, 12, nil)}, citronkv.RevisionOf(0, 3), citronkv.RevisionOf(0, 12), true))
+	is.True(l.ApplyChanges(t.Context(), []citronkv.Item{entryItem(3, 11, nil), entryItem(4, 12, nil)}, citronkv.RevisionOf(0, 3), citronkv.RevisionOf(0, 12), true))
 	is.True(l.ApplyFull(t.Context(), inEra(1, entryItem(0, 1, nil), entryItem(1, 2, nil), entryItem(2, 3, nil)), citronkv.RevisionOf(1, 3), true))
 	is.Equal(len(l.usedIDs()), 5)
 	clock.Advance(citronhealth.ExpiryGrace / 2)
-	is.True(l.TakeChanges(t.Context(), inEra(1, entryItem(3, 4, nil)), citronkv.RevisionOf(1, 3), citronkv.RevisionOf(1, 4), true))
+	is.True(l.ApplyChanges(t.Context(), inEra(1, entryItem(3, 4, nil)), citronkv.RevisionOf(1, 3), citronkv.RevisionOf(1, 4), true))
 	clock.Advance(citronhealth.ExpiryGrace)
 	l.Tick(t.Context(), false)
 	is.True(l.usedIDs()["3"])
--- a/citronlist/index_test.go
+++ b/citronlist/index_test.go
@@ -50,7 +50,7 @@
 				}
 				l.ApplyFull(ctx, items, next, true)
 			case 1:
-				l.TakeChanges(ctx, []citronkv.Item{{Key: key.Draw(t, "k"), Deleted: true, Revision: next}}, base, next, true)
+				l.ApplyChanges(ctx, []citronkv.Item{{Key: key.Draw(t, "k"), Deleted: true, Revision: next}}, base, next, true)
 			case 2:
 				l.StartedAnew(ctx, key.Draw(t, "k")[2:], 9)
 			case 3:
@@ -59,7 +59,7 @@
 			case 4:
 				used = rapid.SampledFrom(services).Draw(t, "services")
 			default:
-				l.TakeChanges(ctx, []citronkv.Item{{Key: key.Draw(t, "k"), Value: []byte(value.Draw(t, "v")), Revision: next}}, base, next, true)
+				l.ApplyChanges(ctx, []citronkv.Item{{Key: key.Draw(t, "k"), Value: []byte(value.Draw(t, "v")), Revision: next}}, base, next, true)
 			}
 			got := l.Engines(used)
 			fresh := *l
@@ -123,7 +123,7 @@
 	l.ApplyFull(ctx, items, citronkv.RevisionOf(0, 1), true)
 	before := l.Engines(nil)
 	two := citronkv.RevisionOf(0, 2)
-	l.TakeChanges(ctx, []citronkv.Item{{Key: "e/07", Value: []byte("xyz"), Revision: two}}, citronkv.RevisionOf(0, 1), two, true)
+	l.ApplyChanges(ctx, []citronkv.Item{{Key: "e/07", Value: []byte("xyz"), Revision: two}}, citronkv.RevisionOf(0, 1), two, true)
 	is.Equal(l.Engines(nil)[7].Slots, 3)
 	is.Equal(before[7].Slots, 1)
 }
--- a/citronlist/lapse_test.go
+++ b/citronlist/lapse_test.go
@@ -52,7 +52,7 @@
 	for i := range items {
 		items[i] = citronkv.Item{Key: key(i), Revision: citronkv.RevisionOf(0, l.Revision().Number()+int64(i)+1), Deleted: true}
 	}
-	return l.TakeChanges(ctx, items, l.Revision(), citronkv.RevisionOf(0, l.Revision().Number()+int64(n)), true)
+	return l.ApplyChanges(ctx, items, l.Revision(), citronkv.RevisionOf(0, l.Revision().Number()+int64(n)), true)
 }
 
 // countInUse returns the number of engines that get new work.
--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -152,10 +152,10 @@
 	return true
 }
 
-// TakeChanges applies the changes between the revisions base and revision, and reports
+// ApplyChanges applies the changes between the revisions base and revision, and reports
 // whether the list was updated. It ignores changes that are already known, and changes
 // that build on a list which this node does not have.
-func (l *List) TakeChanges(ctx context.Context, items []citronkv.Item, base, revision citronkv.Revision, fromStore bool) bool {
+func (l *List) ApplyChanges(ctx context.Context, items []citronkv.Item, base, revision citronkv.Revision, fromStore bool) bool {
 	if !revision.After(l.revision) || base.After(l.revision) || l.revision.IsZero() {
 		return false // already known, or based on a list that this node does not have
 	}
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -142,7 +142,7 @@
 			c.onListChanged(ctx, m.source)
 		}
 	case listDelta:
-		if c.list.TakeChanges(ctx, m.items, m.base, m.revision, m.source == sourceStore) {
+		if c.list.ApplyChanges(ctx, m.items, m.base, m.revision, m.source == sourceStore) {
 			c.onListChanged(ctx, m.source)
 		}
 	case memberUpdate:
