--- a/citronlist/lapse_test.go
+++ b/citronlist/lapse_test.go
@@ -104,7 +104,7 @@
 				if got := l.countInUse(); got != want {
 					t.Fatalf("%v after the removal, %d engines are in use, want %d", since, got, want)
 				}
-				is.Equal(l.Kept(), want-12+c.gone)
+				is.Equal(l.Retained(), want-12+c.gone)
 				clock.Advance(step)
 				l.Tick(t.Context(), since+step < c.away)
 			}
--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -120,9 +120,9 @@
 // from another writer.
 func (l *List) Unreadable() int { return len(l.rejected) }
 
-// Kept returns the number of retained engines: those in use although their entries are
+// Retained returns the number of retained engines: those in use although their entries are
 // missing.
-func (l *List) Kept() int { return l.retained }
+func (l *List) Retained() int { return l.retained }
 
 // ApplyFull applies the full list at the given revision and reports whether it was newer
 // than the current list. fromStore tells whether it comes from the store rather than
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -325,7 +325,7 @@
 	s.listComplete = !c.listSince.IsZero() && c.n.clock.Now().Sub(c.listSince) > listCompleteAfter
 	s.listStable = !c.listSince.IsZero() && c.n.clock.Now().Sub(c.listSince) > listStableDelay
 	s.unreadable = c.list.Unreadable()
-	s.retained = c.list.Kept()
+	s.retained = c.list.Retained()
 	if c.collectDue {
 		c.collectDue = false
 		c.collectMembers(s)
