--- a/citronlist/index_test.go
+++ b/citronlist/index_test.go
@@ -24,7 +24,7 @@
 		clock := citronclock.NewManual(time.Unix(1000, 0))
 		services := []map[string]citrontable.Service{nil, {"a": {}}, {"a": {}, "b": {}}}
 		l := New(Settings{
-			Prefix: "e/", Clock: clock, Log: slog.New(slog.DiscardHandler), Ended: func(citronmodel.Engine) {},
+			Prefix: "e/", Clock: clock, Log: slog.New(slog.DiscardHandler), OnEnded: func(citronmodel.Engine) {},
 			Decode: func(key string, text []byte) (citronmodel.Engine, error) {
 				if text[0] == '!' {
 					return citronmodel.Engine{}, errors.New("entry of another writer")
@@ -110,7 +110,7 @@
 func TestPatchLeavesReturnedSliceUnchanged(t *testing.T) {
 	is := is.New(t)
 	l := New(Settings{
-		Prefix: "e/", Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Ended: func(citronmodel.Engine) {},
+		Prefix: "e/", Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), OnEnded: func(citronmodel.Engine) {},
 		Decode: func(key string, text []byte) (citronmodel.Engine, error) {
 			return citronmodel.Engine{ID: key, Addr: key, Slots: len(text)}, nil
 		},
--- a/citronlist/lapse_test.go
+++ b/citronlist/lapse_test.go
@@ -19,7 +19,7 @@
 // newList returns an empty list of JSON entries.
 func newList(clock citronclock.Clock, drain time.Duration) *List {
 	return New(Settings{
-		Prefix: "engines/", DrainWithin: drain, Clock: clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Ended: func(citronmodel.Engine) {},
+		Prefix: "engines/", DrainWithin: drain, Clock: clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), OnEnded: func(citronmodel.Engine) {},
 		Decode: func(_ string, text []byte) (citronmodel.Engine, error) {
 			var e citronmodel.Engine
 			return e, json.Unmarshal(text, &e)
--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -35,9 +35,9 @@
 	DrainWithin time.Duration
 	Clock       citronclock.Clock
 	Log         *slog.Logger
-	// Ended is called with each engine that is known to have ended, so that the requests
+	// OnEnded is called with each engine that is known to have ended, so that the requests
 	// running on it are moved at once.
-	Ended func(citronmodel.Engine)
+	OnEnded func(citronmodel.Engine)
 }
 
 // List is a node's view of the engines.
@@ -264,11 +264,11 @@
 	return false
 }
 
-// reportEnded logs that an engine is known to have ended, and calls Settings.Ended.
+// reportEnded logs that an engine is known to have ended, and calls Settings.OnEnded.
 // laterID is the ID of the engine that took its place.
 func (l *List) reportEnded(ctx context.Context, e citronmodel.Engine, laterID string) {
 	citronevent.Log(ctx, l.set.Log, citronevent.EngineReborn, "engine", e.ID, "peer", e.Addr, "later", laterID)
-	l.set.Ended(e)
+	l.set.OnEnded(e)
 }
 
 // markMissing records that the entry of an engine is missing. It does not determine
