--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -50,7 +50,7 @@
 	// version counts the changes to the result of Engines.
 	version int
 	// snapshot is the list as sent to other nodes, or nil if it has to be rebuilt.
-	snapshot *Passed
+	snapshot *Snapshot
 	// removed holds the latest removals. It is complete for all revisions after
 	// removedSince.
 	removed      []citronkv.Item
--- a/citronlist/passed.go
+++ b/citronlist/passed.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Passed is an immutable snapshot of the list, as sent to other nodes.
-type Passed struct {
+// Snapshot is an immutable snapshot of the list, as sent to other nodes.
+type Snapshot struct {
 	// Revision is the revision of the list.
 	Revision citronkv.Revision
 	items    []citronkv.Item
@@ -22,7 +22,7 @@
 // After returns what a node with the list of the given revision lacks. It returns only
 // the changes where possible: engines join and leave one at a time, and the full list is
 // a hundred times as long as one change.
-func (p Passed) After(revision citronkv.Revision) (citronpeer.ListDocument, error) {
+func (p Snapshot) After(revision citronkv.Revision) (citronpeer.ListDocument, error) {
 	doc := citronpeer.ListDocument{Revision: p.Revision}
 	if !p.Revision.After(revision) {
 		return doc, nil
@@ -52,9 +52,9 @@
 }
 
 // Passed returns the current snapshot of the list.
-func (l *List) Passed() Passed {
+func (l *List) Passed() Snapshot {
 	if l.snapshot == nil {
-		l.snapshot = &Passed{Revision: l.revision, items: l.snapshotItems(), removed: l.removed, removedSince: l.removedSince}
+		l.snapshot = &Snapshot{Revision: l.revision, items: l.snapshotItems(), removed: l.removed, removedSince: l.removedSince}
 	}
 	return *l.snapshot
 }
--- a/citronlist/passed_test.go
+++ b/citronlist/passed_test.go
@@ -19,7 +19,7 @@
 	gone := func(key string, revision int64) citronkv.Item {
 		return citronkv.Item{Key: key, Revision: citronkv.RevisionOf(0, revision), Deleted: true}
 	}
-	list := Passed{
+	list := Snapshot{
 		Revision: citronkv.RevisionOf(0, 20), items: []citronkv.Item{put("a", 3), put("b", 18), put("c", 12)},
 		removed: []citronkv.Item{gone("x", 11), gone("b", 16)}, removedSince: citronkv.RevisionOf(0, 10),
 	}
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -149,7 +149,7 @@
 	stale map[string]bool
 	// config and list are passed on to other nodes.
 	config citronpeer.ConfigDocument
-	list   citronlist.Passed
+	list   citronlist.Snapshot
 	self   citronpeer.Member
 	// roster describes this node and the members, as sent to other nodes.
 	roster citronroster.Roster
