--- a/citronlist/index_test.go
+++ b/citronlist/index_test.go
@@ -87,7 +87,7 @@
 // sharedItemsOf formats the entries that are sent to other nodes.
 func sharedItemsOf(l *List) string {
 	var out []string
-	for _, it := range l.Passed().items {
+	for _, it := range l.Snapshot().items {
 		out = append(out, fmt.Sprint(it))
 	}
 	slices.Sort(out)
--- a/citronlist/passed.go
+++ b/citronlist/passed.go
@@ -51,8 +51,8 @@
 	return later
 }
 
-// Passed returns the current snapshot of the list.
-func (l *List) Passed() Snapshot {
+// Snapshot returns the current snapshot of the list.
+func (l *List) Snapshot() Snapshot {
 	if l.snapshot == nil {
 		l.snapshot = &Snapshot{Revision: l.revision, items: l.snapshotItems(), removed: l.removed, removedSince: l.removedSince}
 	}
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -343,7 +343,7 @@
 	if c.table != nil {
 		s.traffic = &citronforward.State{Table: c.table, View: c.view, ListRevision: c.list.Revision(), OtherNodesCache: s.others}
 	}
-	s.list = c.list.Passed()
+	s.list = c.list.Snapshot()
 	c.n.snap.Store(s)
 }
 
