--- a/citronlist/era_test.go
+++ b/citronlist/era_test.go
@@ -111,7 +111,7 @@
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	l := listWithEngines(t, clock, 3, 2*time.Second)
 	is.True(l.ApplyFull(t.Context(), inEra(1, entryItem(0, 1, nil)), citronkv.RevisionOf(1, 1), true))
-	doc, err := l.Snapshot().After(citronkv.RevisionOf(0, 3))
+	doc, err := l.Snapshot().ChangesSince(citronkv.RevisionOf(0, 3))
 	is.NoErr(err)
 	is.True(doc.Base.IsZero())
 	is.Equal(doc.Revision, citronkv.RevisionOf(1, 1))
--- a/citronlist/passed.go
+++ b/citronlist/passed.go
@@ -19,10 +19,10 @@
 	removedSince citronkv.Revision
 }
 
-// After returns what a node with the list of the given revision lacks. It returns only
+// ChangesSince returns what a node with the list of the given revision lacks. It returns only
 // the changes where possible: engines join and leave one at a time, and the full list is
 // a hundred times as long as one change.
-func (p Snapshot) After(revision citronkv.Revision) (citronpeer.ListDocument, error) {
+func (p Snapshot) ChangesSince(revision citronkv.Revision) (citronpeer.ListDocument, error) {
 	doc := citronpeer.ListDocument{Revision: p.Revision}
 	if !p.Revision.After(revision) {
 		return doc, nil
--- a/citronlist/passed_test.go
+++ b/citronlist/passed_test.go
@@ -39,7 +39,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			doc, err := list.After(citronkv.RevisionOf(0, c.asked))
+			doc, err := list.ChangesSince(citronkv.RevisionOf(0, c.asked))
 			is.NoErr(err)
 			is.Equal(doc.Revision, citronkv.RevisionOf(0, 20))
 			is.Equal(doc.Base, citronkv.RevisionOf(0, c.base))
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -207,7 +207,7 @@
 		k.Config = s.config
 	}
 	var err error
-	k.Engines, err = s.list.After(other.Engines.Revision)
+	k.Engines, err = s.list.ChangesSince(other.Engines.Revision)
 	return k, err
 }
 
