--- a/citronlist/index_test.go
+++ b/citronlist/index_test.go
@@ -52,7 +52,7 @@
 			case 1:
 				l.ApplyChanges(ctx, []citronkv.Item{{Key: key.Draw(t, "k"), Deleted: true, Revision: next}}, base, next, true)
 			case 2:
-				l.StartedAnew(ctx, key.Draw(t, "k")[2:], 9)
+				l.RecordRestart(ctx, key.Draw(t, "k")[2:], 9)
 			case 3:
 				clock.Advance(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 				l.Tick(ctx, rapid.Bool().Draw(t, "away"))
--- a/citronlist/starts.go
+++ b/citronlist/starts.go
@@ -4,9 +4,9 @@
 	"context"
 )
 
-// StartedAnew records that the engine with the given instance name has reported a start
+// RecordRestart records that the engine with the given instance name has reported a start
 // at born, later than its entry says. It ignores engines whose entry gives no start time.
-func (l *List) StartedAnew(ctx context.Context, instance string, born int64) {
+func (l *List) RecordRestart(ctx context.Context, instance string, born int64) {
 	key := l.set.Prefix + instance
 	e, ok := l.entries[key]
 	if !ok || e.engine.StartMS == 0 || e.engine.StartMS >= born {
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -191,7 +191,7 @@
 func (c *control) recordRestarts(ctx context.Context) {
 	if c.view != nil {
 		for _, e := range c.view.Restarted() {
-			c.list.StartedAnew(ctx, e.Instance, e.RestartedAt())
+			c.list.RecordRestart(ctx, e.Instance, e.RestartedAt())
 		}
 	}
 	starts := c.list.Starts()
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -23,7 +23,7 @@
 		}
 		c.avoidDead(m.Dead)
 		for instance, startedAt := range m.Starts {
-			c.list.StartedAnew(context.Background(), instance, startedAt)
+			c.list.RecordRestart(context.Background(), instance, startedAt)
 		}
 		if !changed {
 			continue
