--- a/citronlist/starts.go
+++ b/citronlist/starts.go
@@ -19,9 +19,9 @@
 	l.reportEnded(ctx, old, e.engine.ID)
 }
 
-// Starts returns the start times of the engines that are known to have started later
+// RestartTimes returns the start times of the engines that are known to have started later
 // than their entries say, by instance name.
-func (l *List) Starts() map[string]int64 {
+func (l *List) RestartTimes() map[string]int64 {
 	starts := map[string]int64{}
 	for key := range l.index.restarted {
 		e := l.entries[key].engine
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -194,7 +194,7 @@
 			c.list.RecordRestart(ctx, e.Instance, e.RestartedAt())
 		}
 	}
-	starts := c.list.Starts()
+	starts := c.list.RestartTimes()
 	if len(starts) > len(c.self.Starts) {
 		c.n.notifyLeader()
 	}
