--- a/citroncli/explain.go
+++ b/citroncli/explain.go
@@ -51,6 +51,6 @@
 		}
 		return citronexplain.Losses(g.Out, citronexplain.LossOptions{Window: c.Window}, logs...)
 	}
-	subject := citronexplain.Subject{Request: c.Request, Engine: c.Engine, Print: c.Print, Version: c.Version}
+	subject := citronexplain.Subject{Request: c.Request, Engine: c.Engine, Fingerprint: c.Print, Version: c.Version}
 	return citronexplain.Explain(g.Out, subject, logs...)
 }
--- a/citronexplain/explain.go
+++ b/citronexplain/explain.go
@@ -26,8 +26,8 @@
 type Subject struct {
 	// Request is a request id, and Engine an engine id.
 	Request, Engine string
-	// Print is the fingerprint of a request that was sent under several ids.
-	Print string
+	// Fingerprint is the fingerprint of a request that was sent under several ids.
+	Fingerprint string
 	// Version is a configuration version. It selects the lines in which nodes
 	// report that they activated it.
 	Version int64
@@ -200,8 +200,8 @@
 		return str(l.fields["request"]) == s.Request
 	case s.Engine != "":
 		return slices.Contains(l.engines(), s.Engine)
-	case s.Print != "":
-		return str(l.fields["print"]) == s.Print
+	case s.Fingerprint != "":
+		return str(l.fields["print"]) == s.Fingerprint
 	}
 	return l.name == "table.applied" && str(l.fields["version"]) == strconv.FormatInt(s.Version, 10)
 }
