--- a/citronevent/event.go
+++ b/citronevent/event.go
@@ -87,7 +87,7 @@
 	LogDropped     Event = 614
 	SettingsReload Event = 615
 	EngineDead     Event = 616
-	LeaderStandsIn Event = 617
+	ActingLeader   Event = 617
 	EngineReborn   Event = 618
 	EntriesKept    Event = 619
 	StoreAway      Event = 620
@@ -172,7 +172,7 @@
 	PlaceFailed:    {slog.LevelWarn, "place.failed", "an engine rejected or did not answer a placement order; the next decision is based on the state that the engine reports"},
 	GossipFailed:   {slog.LevelDebug, "gossip.failed", "another node did not answer a gossip exchange"},
 	LogDropped:     {slog.LevelWarn, "log.dropped", "log lines were dropped because the log reader was too slow or an event exceeded its rate; gives how many"},
-	LeaderStandsIn: {slog.LevelWarn, "leader.stands_in", "no node leads and the store does not answer; this node is acting leader and places layers until either changes"},
+	ActingLeader:   {slog.LevelWarn, "leader.stands_in", "no node leads and the store does not answer; this node is acting leader and places layers until either changes"},
 	EngineDead:     {slog.LevelWarn, "engine.dead", "an engine that other nodes reported dead (reports gives how many) did not answer the leader either; its layers are placed elsewhere"},
 	EngineReborn:   {slog.LevelWarn, "engine.reborn", "an engine restarted at its address; its previous incarnation and the requests running there have ended"},
 	EntriesKept:    {slog.LevelInfo, "entries.kept", "the set of engines retained although their entries are missing changed; gives how many are retained (kept), some of those that changed, and the reason"},
--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -104,7 +104,7 @@
 func (n *Node) actAsLeader(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	citronevent.Log(ctx, n.log, citronevent.LeaderStandsIn, "members", len(n.snap.Load().members))
+	citronevent.Log(ctx, n.log, citronevent.ActingLeader, "members", len(n.snap.Load().members))
 	n.leads.Store(true)
 	defer n.leads.Store(false)
 	wait := n.startPlacing(ctx)
