--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -267,7 +267,7 @@
 // reportEnded logs that an engine is known to have ended, and calls Settings.OnEnded.
 // laterID is the ID of the engine that took its place.
 func (l *List) reportEnded(ctx context.Context, e citronmodel.Engine, laterID string) {
-	citronevent.Log(ctx, l.set.Log, citronevent.EngineReborn, "engine", e.ID, "peer", e.Addr, "later", laterID)
+	citronevent.Log(ctx, l.set.Log, citronevent.EngineRestarted, "engine", e.ID, "peer", e.Addr, "later", laterID)
 	l.set.OnEnded(e)
 }
 
