--- a/citronevent/event.go
+++ b/citronevent/event.go
@@ -89,7 +89,7 @@
 	EngineDead      Event = 616
 	ActingLeader    Event = 617
 	EngineRestarted Event = 618
-	EntriesKept     Event = 619
+	EntriesRetained Event = 619
 	StoreAway       Event = 620
 	EnginesHeard    Event = 621
 
@@ -175,7 +175,7 @@
 	ActingLeader:    {slog.LevelWarn, "leader.stands_in", "no node leads and the store does not answer; this node is acting leader and places layers until either changes"},
 	EngineDead:      {slog.LevelWarn, "engine.dead", "an engine that other nodes reported dead (reports gives how many) did not answer the leader either; its layers are placed elsewhere"},
 	EngineRestarted: {slog.LevelWarn, "engine.reborn", "an engine restarted at its address; its previous incarnation and the requests running there have ended"},
-	EntriesKept:     {slog.LevelInfo, "entries.kept", "the set of engines retained although their entries are missing changed; gives how many are retained (kept), some of those that changed, and the reason"},
+	EntriesRetained: {slog.LevelInfo, "entries.kept", "the set of engines retained although their entries are missing changed; gives how many are retained (kept), some of those that changed, and the reason"},
 	StoreAway:       {slog.LevelWarn, "store.away", "this node began (away=true) or ceased (away=false) to treat the store as unavailable to all nodes that it hears: an outage long enough for entries to expire, and a grace time after it; gives how many of these nodes have no answer (unanswered), have the store back after such an outage (back), were answered recently (answered) and had no such outage (served), and this node's last failed call"},
 	SettingsReload:  {slog.LevelInfo, "settings.reload", "a reload was requested; the bounds in the settings file are in effect"},
 
--- a/citronlist/lapse.go
+++ b/citronlist/lapse.go
@@ -112,6 +112,6 @@
 		}
 	}
 	if len(changedIDs) > 0 {
-		citronevent.Log(ctx, l.set.Log, citronevent.EntriesKept, "kept", l.retained, "changed", len(changedIDs), "engines", firstIDs(changedIDs), "reason", string(l.reason), "vanished", len(l.removalTimes))
+		citronevent.Log(ctx, l.set.Log, citronevent.EntriesRetained, "kept", l.retained, "changed", len(changedIDs), "engines", firstIDs(changedIDs), "reason", string(l.reason), "vanished", len(l.removalTimes))
 	}
 }
