--- a/citronevent/event.go
+++ b/citronevent/event.go
@@ -56,19 +56,19 @@
 	StageMoved          Event = 316
 	LedgerRetry         Event = 317
 
-	ForwardRefused Event = 500
-	AttemptFailed  Event = 501
-	StreamBroken   Event = 502
-	PartReplaced   Event = 503
-	RepathFailed   Event = 504
-	AnswerSampled  Event = 505
-	StreamLate     Event = 506
-	StreamAsked    Event = 507
-	RunCrashed     Event = 508
-	RequestBarred  Event = 509
-	LimitNamed     Event = 510
-	LimitInvalid   Event = 511
-	LimitHeld      Event = 512
+	ForwardRefused     Event = 500
+	AttemptFailed      Event = 501
+	StreamBroken       Event = 502
+	PartReplaced       Event = 503
+	RepathFailed       Event = 504
+	AnswerSampled      Event = 505
+	StreamLate         Event = 506
+	StreamAsked        Event = 507
+	RunCrashed         Event = 508
+	RequestQuarantined Event = 509
+	LimitNamed         Event = 510
+	LimitInvalid       Event = 511
+	LimitHeld          Event = 512
 
 	TableApplied    Event = 600
 	TableRejected   Event = 601
@@ -150,7 +150,7 @@
 	StreamLate:          {slog.LevelInfo, "stream.late", "a stream completed late: its first event or a pause between events took longer than its route's target; gives how often its path changed (moves)"},
 	StreamAsked:         {slog.LevelInfo, "stream.asked", "the first engine of a stalled stream reported which requests wait for another engine"},
 	RunCrashed:          {slog.LevelWarn, "run.crashed", "an engine ended during a run that had just begun; gives the request's fingerprint and the number of such engines counted for it (crashes)"},
-	RequestBarred:       {slog.LevelWarn, "request.barred", "a request during which several engines crashed is quarantined: no engine gets it for a while; gives its fingerprint, the number of crashes and whether this node or another one saw the last crash (source)"},
+	RequestQuarantined:  {slog.LevelWarn, "request.barred", "a request during which several engines crashed is quarantined: no engine gets it for a while; gives its fingerprint, the number of crashes and whether this node or another one saw the last crash (source)"},
 	LimitNamed:          {slog.LevelInfo, "limit.named", "an engine's response changed or removed (limited=false) its rate limit; gives the requests per second that it accepts from all nodes together"},
 	LimitInvalid:        {slog.LevelWarn, "limit.invalid", "an engine's response carried a malformed rate limit, which was ignored; only the first one from each engine is logged"},
 	LimitHeld:           {slog.LevelInfo, "limit.held", "an engine's rate limit kept a request from being sent to it at once: the request waits for that engine or tries another one (outcome=denied); only the first denial of each request is logged"},
--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -97,7 +97,7 @@
 	citronevent.Log(ctx, j.f.Log, citronevent.RunCrashed, args...)
 	j.f.Metrics.Crashes.Inc()
 	if j.isQuarantined() {
-		citronevent.Log(ctx, j.f.Log, citronevent.RequestBarred, append(args, "source", "own")...)
+		citronevent.Log(ctx, j.f.Log, citronevent.RequestQuarantined, append(args, "source", "own")...)
 	}
 }
 
--- a/citronnode/suspects.go
+++ b/citronnode/suspects.go
@@ -90,7 +90,7 @@
 			return
 		}
 		for _, e := range barred {
-			citronevent.Log(ctx, n.log, citronevent.RequestBarred, "print", e.Fingerprint, "crashes", e.ActiveCrashes(), "source", from)
+			citronevent.Log(ctx, n.log, citronevent.RequestQuarantined, "print", e.Fingerprint, "crashes", e.ActiveCrashes(), "source", from)
 		}
 	}
 }
