--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -49,7 +49,7 @@
 		}
 		for _, e := range n.quarantine.Unsaved() {
 			if err := n.saveQuarantined(ctx, e); err != nil {
-				citronevent.Log(ctx, n.log, citronevent.BarredUnsaved, "print", e.Fingerprint, "err", err)
+				citronevent.Log(ctx, n.log, citronevent.QuarantineUnsaved, "print", e.Fingerprint, "err", err)
 				time.AfterFunc(maxRetryWait, func() { wake(n.quarantineChanged) })
 				break
 			}
