--- a/citronevent/event.go
+++ b/citronevent/event.go
@@ -95,7 +95,7 @@
 
 	SuspectsRejected  Event = 622
 	QuarantineUnsaved Event = 623
-	StoreReturned     Event = 624
+	StoreRestored     Event = 624
 	LimitsRejected    Event = 625
 	PermitFailed      Event = 626
 
@@ -179,7 +179,7 @@
 	StoreAway:       {slog.LevelWarn, "store.away", "this node began (away=true) or ceased (away=false) to treat the store as unavailable to all nodes that it hears: an outage long enough for entries to expire, and a grace time after it; gives how many of these nodes have no answer (unanswered), have the store back after such an outage (back), were answered recently (answered) and had no such outage (served), and this node's last failed call"},
 	SettingsReload:  {slog.LevelInfo, "settings.reload", "a reload was requested; the bounds in the settings file are in effect"},
 
-	StoreReturned:     {slog.LevelWarn, "store.returned", "the store was restored from an older copy; gives the new revision of its list of engines (era.count), the last one known before (was), and how many restored entries this node knows to be outdated (overtaken)"},
+	StoreRestored:     {slog.LevelWarn, "store.returned", "the store was restored from an older copy; gives the new revision of its list of engines (era.count), the last one known before (was), and how many restored entries this node knows to be outdated (overtaken)"},
 	QuarantineUnsaved: {slog.LevelWarn, "barred.unsaved", "the record of a quarantined request could not be written to the store; the write is retried"},
 	LimitsRejected:    {slog.LevelWarn, "limits.rejected", "another node sent an invalid message about engines' rate limits; the whole message was ignored, and only the first one from each node is logged"},
 	PermitFailed:      {slog.LevelDebug, "permit.failed", "the permit issuer of a rate-limited engine did not answer; the request goes to another engine"},
--- a/citronlist/era.go
+++ b/citronlist/era.go
@@ -90,6 +90,6 @@
 	// Removals of an earlier era are meaningless in this one. Nodes that have a list of
 	// an earlier era get the full list.
 	l.removed, l.removedSince = nil, revision
-	citronevent.Log(ctx, l.set.Log, citronevent.StoreReturned, "revision", revision.String(), "was", l.revision.String(), "entries", len(items), "engines", len(l.entries), "overtaken", old)
+	citronevent.Log(ctx, l.set.Log, citronevent.StoreRestored, "revision", revision.String(), "was", l.revision.String(), "entries", len(items), "engines", len(l.entries), "overtaken", old)
 	return true
 }
