--- a/citronevent/event.go
+++ b/citronevent/event.go
@@ -70,28 +70,28 @@
 	LimitInvalid       Event = 511
 	LimitHeld          Event = 512
 
-	TableApplied    Event = 600
-	TableRejected   Event = 601
-	EnginesChanged  Event = 602
-	EngineRejected  Event = 603
-	StoreLost       Event = 604
-	StoreBack       Event = 605
-	MemberJoined    Event = 606
-	MemberLost      Event = 607
-	LeaderElected   Event = 608
-	LeaderResigned  Event = 609
-	PlacePlanned    Event = 610
-	PlaceOrdered    Event = 611
-	PlaceFailed     Event = 612
-	GossipFailed    Event = 613
-	LogDropped      Event = 614
-	SettingsReload  Event = 615
-	EngineDead      Event = 616
-	ActingLeader    Event = 617
-	EngineRestarted Event = 618
-	EntriesRetained Event = 619
-	StoreAway       Event = 620
-	EnginesHeard    Event = 621
+	TableApplied     Event = 600
+	TableRejected    Event = 601
+	EnginesChanged   Event = 602
+	EngineRejected   Event = 603
+	StoreLost        Event = 604
+	StoreBack        Event = 605
+	MemberJoined     Event = 606
+	MemberLost       Event = 607
+	LeaderElected    Event = 608
+	LeaderResigned   Event = 609
+	PlacePlanned     Event = 610
+	PlaceOrdered     Event = 611
+	PlaceFailed      Event = 612
+	GossipFailed     Event = 613
+	LogDropped       Event = 614
+	SettingsReload   Event = 615
+	EngineDead       Event = 616
+	ActingLeader     Event = 617
+	EngineRestarted  Event = 618
+	EntriesRetained  Event = 619
+	StoreUnavailable Event = 620
+	EnginesHeard     Event = 621
 
 	SuspectsRejected  Event = 622
 	QuarantineUnsaved Event = 623
@@ -156,28 +156,28 @@
 	LimitHeld:           {slog.LevelInfo, "limit.held", "an engine's rate limit kept a request from being sent to it at once: the request waits for that engine or tries another one (outcome=denied); only the first denial of each request is logged"},
 	AnswerSampled:       {slog.LevelInfo, "answer.sampled", "a request was answered in full; only a sample of these is logged"},
 
-	TableApplied:    {slog.LevelInfo, "table.applied", "a node activated a new version of the configuration"},
-	TableRejected:   {slog.LevelError, "table.rejected", "a configuration could not be read; the active one is kept"},
-	EnginesChanged:  {slog.LevelInfo, "engines.changed", "the list of engines changed; gives its revision and what changed"},
-	EnginesHeard:    {slog.LevelDebug, "engines.heard", "another node sent a newer list of engines; gives its revision"},
-	EngineRejected:  {slog.LevelError, "engine.rejected", "an entry in the list of engines could not be read and is skipped"},
-	StoreLost:       {slog.LevelWarn, "store.lost", "the store does not answer this node; the last known state stays in effect"},
-	StoreBack:       {slog.LevelInfo, "store.back", "the store answers this node again"},
-	MemberJoined:    {slog.LevelInfo, "member.joined", "other nodes appeared, changed their state or came back since the last tick; names a few, and counts the nodes that accept callers (ready) and those that are leaving"},
-	MemberLost:      {slog.LevelWarn, "member.lost", "other nodes sent no update for too long and did not answer a call; gives how many, names a few, and gives the age of the first one's last update"},
-	LeaderElected:   {slog.LevelInfo, "leader.elected", "this node holds the lease that allows it to place layers"},
-	LeaderResigned:  {slog.LevelWarn, "leader.resigned", "this node lost the leader lease or could not renew it in time; it sends no more placement orders"},
-	PlacePlanned:    {slog.LevelInfo, "place.planned", "the leader assigned an engine a different layer range; gives the old and the new range"},
-	PlaceOrdered:    {slog.LevelInfo, "place.ordered", "an engine accepted an order to hold a range of layers"},
-	PlaceFailed:     {slog.LevelWarn, "place.failed", "an engine rejected or did not answer a placement order; the next decision is based on the state that the engine reports"},
-	GossipFailed:    {slog.LevelDebug, "gossip.failed", "another node did not answer a gossip exchange"},
-	LogDropped:      {slog.LevelWarn, "log.dropped", "log lines were dropped because the log reader was too slow or an event exceeded its rate; gives how many"},
-	ActingLeader:    {slog.LevelWarn, "leader.stands_in", "no node leads and the store does not answer; this node is acting leader and places layers until either changes"},
-	EngineDead:      {slog.LevelWarn, "engine.dead", "an engine that other nodes reported dead (reports gives how many) did not answer the leader either; its layers are placed elsewhere"},
-	EngineRestarted: {slog.LevelWarn, "engine.reborn", "an engine restarted at its address; its previous incarnation and the requests running there have ended"},
-	EntriesRetained: {slog.LevelInfo, "entries.kept", "the set of engines retained although their entries are missing changed; gives how many are retained (kept), some of those that changed, and the reason"},
-	StoreAway:       {slog.LevelWarn, "store.away", "this node began (away=true) or ceased (away=false) to treat the store as unavailable to all nodes that it hears: an outage long enough for entries to expire, and a grace time after it; gives how many of these nodes have no answer (unanswered), have the store back after such an outage (back), were answered recently (answered) and had no such outage (served), and this node's last failed call"},
-	SettingsReload:  {slog.LevelInfo, "settings.reload", "a reload was requested; the bounds in the settings file are in effect"},
+	TableApplied:     {slog.LevelInfo, "table.applied", "a node activated a new version of the configuration"},
+	TableRejected:    {slog.LevelError, "table.rejected", "a configuration could not be read; the active one is kept"},
+	EnginesChanged:   {slog.LevelInfo, "engines.changed", "the list of engines changed; gives its revision and what changed"},
+	EnginesHeard:     {slog.LevelDebug, "engines.heard", "another node sent a newer list of engines; gives its revision"},
+	EngineRejected:   {slog.LevelError, "engine.rejected", "an entry in the list of engines could not be read and is skipped"},
+	StoreLost:        {slog.LevelWarn, "store.lost", "the store does not answer this node; the last known state stays in effect"},
+	StoreBack:        {slog.LevelInfo, "store.back", "the store answers this node again"},
+	MemberJoined:     {slog.LevelInfo, "member.joined", "other nodes appeared, changed their state or came back since the last tick; names a few, and counts the nodes that accept callers (ready) and those that are leaving"},
+	MemberLost:       {slog.LevelWarn, "member.lost", "other nodes sent no update for too long and did not answer a call; gives how many, names a few, and gives the age of the first one's last update"},
+	LeaderElected:    {slog.LevelInfo, "leader.elected", "this node holds the lease that allows it to place layers"},
+	LeaderResigned:   {slog.LevelWarn, "leader.resigned", "this node lost the leader lease or could not renew it in time; it sends no more placement orders"},
+	PlacePlanned:     {slog.LevelInfo, "place.planned", "the leader assigned an engine a different layer range; gives the old and the new range"},
+	PlaceOrdered:     {slog.LevelInfo, "place.ordered", "an engine accepted an order to hold a range of layers"},
+	PlaceFailed:      {slog.LevelWarn, "place.failed", "an engine rejected or did not answer a placement order; the next decision is based on the state that the engine reports"},
+	GossipFailed:     {slog.LevelDebug, "gossip.failed", "another node did not answer a gossip exchange"},
+	LogDropped:       {slog.LevelWarn, "log.dropped", "log lines were dropped because the log reader was too slow or an event exceeded its rate; gives how many"},
+	ActingLeader:     {slog.LevelWarn, "leader.stands_in", "no node leads and the store does not answer; this node is acting leader and places layers until either changes"},
+	EngineDead:       {slog.LevelWarn, "engine.dead", "an engine that other nodes reported dead (reports gives how many) did not answer the leader either; its layers are placed elsewhere"},
+	EngineRestarted:  {slog.LevelWarn, "engine.reborn", "an engine restarted at its address; its previous incarnation and the requests running there have ended"},
+	EntriesRetained:  {slog.LevelInfo, "entries.kept", "the set of engines retained although their entries are missing changed; gives how many are retained (kept), some of those that changed, and the reason"},
+	StoreUnavailable: {slog.LevelWarn, "store.away", "this node began (away=true) or ceased (away=false) to treat the store as unavailable to all nodes that it hears: an outage long enough for entries to expire, and a grace time after it; gives how many of these nodes have no answer (unanswered), have the store back after such an outage (back), were answered recently (answered) and had no such outage (served), and this node's last failed call"},
+	SettingsReload:   {slog.LevelInfo, "settings.reload", "a reload was requested; the bounds in the settings file are in effect"},
 
 	StoreRestored:     {slog.LevelWarn, "store.returned", "the store was restored from an older copy; gives the new revision of its list of engines (era.count), the last one known before (was), and how many restored entries this node knows to be outdated (overtaken)"},
 	QuarantineUnsaved: {slog.LevelWarn, "barred.unsaved", "the record of a quarantined request could not be written to the store; the write is retried"},
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -284,7 +284,7 @@
 	if f := c.n.health.LastFailed(); f != nil {
 		args = append(args, "step", f.Name, "key", f.Key, "age", now.Sub(f.Ended), "err", f.Err)
 	}
-	citronevent.Log(ctx, c.n.log, citronevent.StoreAway, args...)
+	citronevent.Log(ctx, c.n.log, citronevent.StoreUnavailable, args...)
 }
 
 func boolToInt(b bool) int {
