--- a/citronevent/event.go
+++ b/citronevent/event.go
@@ -59,7 +59,7 @@
 	ForwardRefused     Event = 500
 	AttemptFailed      Event = 501
 	StreamBroken       Event = 502
-	PartReplaced       Event = 503
+	HopReplaced        Event = 503
 	RepathFailed       Event = 504
 	AnswerSampled      Event = 505
 	StreamLate         Event = 506
@@ -145,7 +145,7 @@
 	ForwardRefused:      {slog.LevelWarn, "forward.refused", "the node itself answered a request with an error; gives the reason and how long the request was held"},
 	AttemptFailed:       {slog.LevelWarn, "attempt.failed", "an engine gave no usable response to a call; gives what is known about the failure"},
 	StreamBroken:        {slog.LevelWarn, "stream.broken", "a stream ended before its last event and could not be resumed"},
-	PartReplaced:        {slog.LevelWarn, "part.replaced", "an engine on a running stream's path died, stalled or is leaving; the stream moves to another path"},
+	HopReplaced:         {slog.LevelWarn, "part.replaced", "an engine on a running stream's path died, stalled or is leaving; the stream moves to another path"},
 	RepathFailed:        {slog.LevelWarn, "repath.failed", "an engine did not move a running request to another path"},
 	StreamLate:          {slog.LevelInfo, "stream.late", "a stream completed late: its first event or a pause between events took longer than its route's target; gives how often its path changed (moves)"},
 	StreamAsked:         {slog.LevelInfo, "stream.asked", "the first engine of a stalled stream reported which requests wait for another engine"},
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -387,7 +387,7 @@
 // logReplacement logs the replacement of the bad hop by a repath or a resume.
 func (w *watch) logReplacement(way string) {
 	s := w.s
-	citronevent.Log(w.ctx, s.f.Log, citronevent.PartReplaced, "request", s.ID, "engine", w.badHop.Engine.ID, "peer", w.badHop.Engine.Addr, "from", w.badHop.Span.From, "to", w.badHop.Span.To, "reason", w.reason, "way", way, "lastEvent", s.lastEventID, "list", s.list.String(), "silent", s.f.Clock.Now().Sub(s.lastEventAt), "runs", s.runs+1)
+	citronevent.Log(w.ctx, s.f.Log, citronevent.HopReplaced, "request", s.ID, "engine", w.badHop.Engine.ID, "peer", w.badHop.Engine.Addr, "from", w.badHop.Span.From, "to", w.badHop.Span.To, "reason", w.reason, "way", way, "lastEvent", s.lastEventID, "list", s.list.String(), "silent", s.f.Clock.Now().Sub(s.lastEventAt), "runs", s.runs+1)
 }
 
 // handleRepath handles the result of a repath.
