--- a/citronevent/event.go
+++ b/citronevent/event.go
@@ -66,7 +66,7 @@
 	StreamAsked        Event = 507
 	RunCrashed         Event = 508
 	RequestQuarantined Event = 509
-	LimitNamed         Event = 510
+	LimitChanged       Event = 510
 	LimitInvalid       Event = 511
 	LimitHeld          Event = 512
 
@@ -151,7 +151,7 @@
 	StreamAsked:         {slog.LevelInfo, "stream.asked", "the first engine of a stalled stream reported which requests wait for another engine"},
 	RunCrashed:          {slog.LevelWarn, "run.crashed", "an engine ended during a run that had just begun; gives the request's fingerprint and the number of such engines counted for it (crashes)"},
 	RequestQuarantined:  {slog.LevelWarn, "request.barred", "a request during which several engines crashed is quarantined: no engine gets it for a while; gives its fingerprint, the number of crashes and whether this node or another one saw the last crash (source)"},
-	LimitNamed:          {slog.LevelInfo, "limit.named", "an engine's response changed or removed (limited=false) its rate limit; gives the requests per second that it accepts from all nodes together"},
+	LimitChanged:        {slog.LevelInfo, "limit.named", "an engine's response changed or removed (limited=false) its rate limit; gives the requests per second that it accepts from all nodes together"},
 	LimitInvalid:        {slog.LevelWarn, "limit.invalid", "an engine's response carried a malformed rate limit, which was ignored; only the first one from each engine is logged"},
 	LimitHeld:           {slog.LevelInfo, "limit.held", "an engine's rate limit kept a request from being sent to it at once: the request waits for that engine or tries another one (outcome=denied); only the first denial of each request is logged"},
 	AnswerSampled:       {slog.LevelInfo, "answer.sampled", "a request was answered in full; only a sample of these is logged"},
--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -234,6 +234,6 @@
 		return
 	}
 	if r, changed := f.Limits.Observe(c.Engine.ID, before, reply.RateLimit); changed {
-		citronevent.Log(ctx, f.Log, citronevent.LimitNamed, "engine", c.Engine.ID, "peer", c.Engine.Addr, "request", c.ID, "limited", r.Limited, "perSecond", r.PerSecond, "version", r.Version)
+		citronevent.Log(ctx, f.Log, citronevent.LimitChanged, "engine", c.Engine.ID, "peer", c.Engine.Addr, "request", c.ID, "limited", r.Limited, "perSecond", r.PerSecond, "version", r.Version)
 	}
 }
