--- a/citronevent/event.go
+++ b/citronevent/event.go
@@ -91,7 +91,7 @@
 	EngineRestarted  Event = 618
 	EntriesRetained  Event = 619
 	StoreUnavailable Event = 620
-	EnginesHeard     Event = 621
+	EnginesLearned   Event = 621
 
 	SuspectsRejected  Event = 622
 	QuarantineUnsaved Event = 623
@@ -159,7 +159,7 @@
 	TableApplied:     {slog.LevelInfo, "table.applied", "a node activated a new version of the configuration"},
 	TableRejected:    {slog.LevelError, "table.rejected", "a configuration could not be read; the active one is kept"},
 	EnginesChanged:   {slog.LevelInfo, "engines.changed", "the list of engines changed; gives its revision and what changed"},
-	EnginesHeard:     {slog.LevelDebug, "engines.heard", "another node sent a newer list of engines; gives its revision"},
+	EnginesLearned:   {slog.LevelDebug, "engines.heard", "another node sent a newer list of engines; gives its revision"},
 	EngineRejected:   {slog.LevelError, "engine.rejected", "an entry in the list of engines could not be read and is skipped"},
 	StoreLost:        {slog.LevelWarn, "store.lost", "the store does not answer this node; the last known state stays in effect"},
 	StoreBack:        {slog.LevelInfo, "store.back", "the store answers this node again"},
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -171,7 +171,7 @@
 	c.n.notifyPeers()
 	e := citronevent.EnginesChanged
 	if source != sourceStore {
-		e = citronevent.EnginesHeard // one line of each node for each change would hide everything else
+		e = citronevent.EnginesLearned // one line of each node for each change would hide everything else
 	}
 	citronevent.Log(ctx, c.n.log, e, "revision", c.list.Revision().String(), "engines", c.list.Len(), "source", source)
 }
