--- a/citronwire/wire.go
+++ b/citronwire/wire.go
@@ -36,8 +36,8 @@
 	return json.Unmarshal(b, v)
 }
 
-// Option returns the connect option that makes a handler or client use JSON.
-func Option() connect.Option { return connect.WithCodec(jsonCodec{}) }
+// JSON returns the connect option that makes a handler or client use JSON.
+func JSON() connect.Option { return connect.WithCodec(jsonCodec{}) }
 
 // cborCodec encodes wire types as CBOR. It is meant for messages with many
 // numbers, which are long and slow to decode as JSON.
@@ -76,7 +76,7 @@
 			return nil, err
 		}
 		return connect.NewResponse(res), nil
-	}, append([]connect.HandlerOption{Option()}, opts...)...)
+	}, append([]connect.HandlerOption{JSON()}, opts...)...)
 	mux.Handle(procedure, h)
 }
 
@@ -91,7 +91,7 @@
 // http://127.0.0.1:7000.
 func NewUnary[Req, Res any](hc connect.HTTPClient, base, procedure string, opts ...connect.ClientOption) *Unary[Req, Res] {
 	return &Unary[Req, Res]{
-		client: connect.NewClient[Req, Res](hc, base+procedure, append([]connect.ClientOption{Option()}, opts...)...),
+		client: connect.NewClient[Req, Res](hc, base+procedure, append([]connect.ClientOption{JSON()}, opts...)...),
 		peer:   base,
 		step:   procedure,
 	}
