--- a/citronpeer/lend.go
+++ b/citronpeer/lend.go
@@ -39,7 +39,7 @@
 	citronwire.Handle(inner, procedureLend, func(_ context.Context, m *lendRequest) (*Loan, error) {
 		loan := l.Lend(m.Service, m.Want)
 		return &loan, nil
-	}, citronwire.Compact())
+	}, citronwire.CBOR())
 	mux.Handle(procedureLend, limitConcurrency(inner, maxConcurrentLoans))
 }
 
@@ -48,7 +48,7 @@
 func (c *Client) Borrow(ctx context.Context, addr, service string, want int, timeout time.Duration) (Loan, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	loan, err := citronwire.NewUnary[lendRequest, Loan](c.HC, "http://"+addr, procedureLend, citronwire.Compact()).Call(ctx, &lendRequest{Service: service, Want: want})
+	loan, err := citronwire.NewUnary[lendRequest, Loan](c.HC, "http://"+addr, procedureLend, citronwire.CBOR()).Call(ctx, &lendRequest{Service: service, Want: want})
 	if err != nil {
 		return Loan{}, err
 	}
--- a/citronpeer/limit.go
+++ b/citronpeer/limit.go
@@ -61,7 +61,7 @@
 	citronwire.Handle(inner, procedurePermit, func(_ context.Context, r *PermitRequest) (*Permit, error) {
 		p := d.Permit(*r)
 		return &p, nil
-	}, citronwire.Compact())
+	}, citronwire.CBOR())
 	mux.Handle(procedurePermit, limitConcurrency(inner, maxConcurrentPermits))
 }
 
@@ -70,7 +70,7 @@
 func (c *Client) AskPermit(ctx context.Context, addr string, r PermitRequest, timeout time.Duration) (Permit, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	p, err := citronwire.NewUnary[PermitRequest, Permit](c.HC, "http://"+addr, procedurePermit, citronwire.Compact()).Call(ctx, &r)
+	p, err := citronwire.NewUnary[PermitRequest, Permit](c.HC, "http://"+addr, procedurePermit, citronwire.CBOR()).Call(ctx, &r)
 	if err != nil {
 		return Permit{}, err
 	}
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -277,7 +277,7 @@
 	citronwire.Handle(inner, procedure, func(_ context.Context, m *exchangeMessage) (*exchangeMessage, error) {
 		a := exchangeMessage(answer(GossipState(*m)))
 		return &a, nil
-	}, citronwire.Compact(), citronwire.FastGzipHandler, connect.WithCompressMinBytes(minCompressedBytes))
+	}, citronwire.CBOR(), citronwire.FastGzipHandler, connect.WithCompressMinBytes(minCompressedBytes))
 	mux.Handle(procedure, limitConcurrency(inner, maxConcurrent))
 }
 
@@ -321,7 +321,7 @@
 	m := exchangeMessage(k)
 	// The members in a message contain the same names many times. Compression
 	// shrinks a message to a quarter, and traffic between zones is expensive.
-	res, err := citronwire.NewUnary[exchangeMessage, exchangeMessage](c.HC, "http://"+addr, procedure, citronwire.Compact(), citronwire.FastGzipClient, connect.WithSendGzip(), connect.WithCompressMinBytes(minCompressedBytes)).Call(ctx, &m)
+	res, err := citronwire.NewUnary[exchangeMessage, exchangeMessage](c.HC, "http://"+addr, procedure, citronwire.CBOR(), citronwire.FastGzipClient, connect.WithSendGzip(), connect.WithCompressMinBytes(minCompressedBytes)).Call(ctx, &m)
 	if err != nil {
 		return GossipState{}, err
 	}
--- a/citronwire/wire.go
+++ b/citronwire/wire.go
@@ -47,8 +47,8 @@
 func (cborCodec) Marshal(v any) ([]byte, error)   { return cbor.Marshal(v) }
 func (cborCodec) Unmarshal(b []byte, v any) error { return cbor.Unmarshal(b, v) }
 
-// Compact returns the connect option that makes a handler or client use CBOR.
-func Compact() connect.Option { return connect.WithCodec(cborCodec{}) }
+// CBOR returns the connect option that makes a handler or client use CBOR.
+func CBOR() connect.Option { return connect.WithCodec(cborCodec{}) }
 
 // FastGzipClient and FastGzipHandler are options for small, frequent messages.
 // They use gzip at its fastest level because a writer of the default level
