--- a/citronengine/engine.go
+++ b/citronengine/engine.go
@@ -129,7 +129,7 @@
 		return 0, citronwire.Errorf(connect.CodeAborted, "engine %s: attempt %d of %s is older than %d", e.settings.Name, r.Attempt, r.Request, held.attempt)
 	case e.leaving.Load() && !ok:
 		e.Rejected.Add(1)
-		return 0, citronwire.Leaving(e.settings.Name)
+		return 0, citronwire.LeavingError(e.settings.Name)
 	case r.Pos > 0 && r.Prefill == 0 && (!ok || held.next != r.Pos):
 		return 0, citronwire.Errorf(connect.CodeFailedPrecondition, "engine %s: kv cache lacks %s before position %d", e.settings.Name, r.Request, r.Pos)
 	}
@@ -193,7 +193,7 @@
 		return nil, citronwire.Errorf(connect.CodeInvalidArgument, "engine %s holds [%d,%d), the kv cache is of [%d,%d)", e.settings.Name, e.settings.From, e.settings.To, r.From, r.To)
 	}
 	if e.leaving.Load() {
-		return nil, citronwire.Leaving(e.settings.Name)
+		return nil, citronwire.LeavingError(e.settings.Name)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/citronplain/plain.go
+++ b/citronplain/plain.go
@@ -86,7 +86,7 @@
 // call counts the execution, blocks on Hold and returns the result.
 func (s *Server) call(_ context.Context, r *callRequest) (*callResponse, error) {
 	if s.leaving.Load() {
-		return nil, citronwire.Leaving(s.name)
+		return nil, citronwire.LeavingError(s.name)
 	}
 	key := r.Key
 	if key == "" {
--- a/citronwire/wire.go
+++ b/citronwire/wire.go
@@ -135,9 +135,9 @@
 // not run there.
 const LeavingHeader = "Citron-Leaving"
 
-// Leaving returns the error with which a back end that is leaving rejects new
+// LeavingError returns the error with which a back end that is leaving rejects new
 // work. name is the name of the back end.
-func Leaving(name string) error {
+func LeavingError(name string) error {
 	err := connect.NewError(connect.CodeUnavailable, errors.Newf("%s is leaving", name))
 	err.Meta().Set(LeavingHeader, name)
 	return err
