--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -85,7 +85,7 @@
 		Store: citronstat.CountStore(platform.NewStore(set.Store), registry), ConfigKey: platform.ConfigKey, EnginePrefix: platform.EnginePrefix,
 		DecodeConfig: platform.DecodeConfig, DecodeEngine: platform.DecodeEngine, Orders: engines,
 	}, clock, log, budget, loads, httpClient())
-	citronstat.Node(node.Status, registry)
+	citronstat.RegisterNode(node.Status, registry)
 	forwarder := &citronforward.Forwarder{
 		Zone: set.Zone, Clock: clock, Log: log, Upstream: engines, Budget: budget, Loads: loads,
 		Current: node.Traffic, Metrics: citronforward.NewMetrics(registry), Stopping: node.Stopping, Accuse: node.Accuse, Borrow: node.Borrow, Quarantine: node.Quarantine(), Limits: node.Limits(), Permit: node.Permit, DrainWithin: set.DrainWithin,
--- a/citronstat/node.go
+++ b/citronstat/node.go
@@ -5,9 +5,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Node registers gauges of a node's state with r. Each gauge calls status when it
+// RegisterNode registers gauges of a node's state with r. Each gauge calls status when it
 // is collected.
-func Node(status func() citronnode.Status, r prometheus.Registerer) {
+func RegisterNode(status func() citronnode.Status, r prometheus.Registerer) {
 	gauge := func(name, help string, value func(citronnode.Status) float64) {
 		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "citrondeck_" + name, Help: help}, func() float64 { return value(status()) }))
 	}
--- a/citronstat/stat_test.go
+++ b/citronstat/stat_test.go
@@ -48,7 +48,7 @@
 func TestNodeGauges(t *testing.T) {
 	is := is.New(t)
 	r := prometheus.NewRegistry()
-	citronstat.Node(func() citronnode.Status {
+	citronstat.RegisterNode(func() citronnode.Status {
 		return citronnode.Status{ConfigVersion: 7, ConfigAge: 1500 * time.Millisecond, Ready: 40, Leaving: 1, Nodes: 8, Watching: true}
 	}, r)
 	is.NoErr(testutil.GatherAndCompare(r, strings.NewReader(`
