--- a/citronbudget/budget.go
+++ b/citronbudget/budget.go
@@ -94,7 +94,7 @@
 	allocated time.Time
 }
 
-// New returns the budget of the only node of a fleet. Learn sets the number of
+// New returns the budget of the only node of a fleet. UpdateOthers sets the number of
 // nodes.
 func New(l Limits) *Budget {
 	return &Budget{limits: l, nodes: 1, windows: map[string]*serviceWindow{}}
--- a/citronconfig/config.go
+++ b/citronconfig/config.go
@@ -67,7 +67,7 @@
 	ErrOutcomeUnknown = errors.New("it is unknown whether the change was written")
 )
 
-// changeRecord returns the change record in a value of Key. A bare fleet text
+// changeRecord returns the change record in a value of HeadKey. A bare fleet text
 // (see parseHead) has no change record, so only its revision is returned.
 func changeRecord(it citronkv.Item) Change {
 	h, ok := parseHead(it)
--- a/citronconfig/section.go
+++ b/citronconfig/section.go
@@ -31,7 +31,7 @@
 	textPrefix    = "config/text/"
 )
 
-// head is the value of Key: the active change and the hashes of its sections.
+// head is the value of HeadKey: the active change and the hashes of its sections.
 type head struct {
 	Change Change   `json:"change"`
 	Zones  []string `json:"zones"`
@@ -79,7 +79,7 @@
 	return h, out, nil
 }
 
-// parseHead decodes a value of Key. It returns false if the value is not a
+// parseHead decodes a value of HeadKey. It returns false if the value is not a
 // head but a bare fleet text, which an operator may have written by hand.
 func parseHead(it citronkv.Item) (head, bool) {
 	var h head
@@ -90,7 +90,7 @@
 	return h, true
 }
 
-// Loader loads the fleet that a value of Key refers to. It caches the
+// Loader loads the fleet that a value of HeadKey refers to. It caches the
 // sections of the last fleet it loaded, so that after a change it reads only
 // the changed sections. A Loader must not be used concurrently.
 type Loader struct {
@@ -99,7 +99,7 @@
 	services  map[string]citronfleet.Service
 }
 
-// Load returns the fleet that a value of Key refers to, at its revision.
+// Load returns the fleet that a value of HeadKey refers to, at its revision.
 func (l *Loader) Load(ctx context.Context, it citronkv.Item) (citronfleet.Fleet, error) {
 	h, ok := parseHead(it)
 	if !ok {
--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -8,9 +8,9 @@
 // remains the best choice. The missing entry looks the same in both cases, so an outage
 // has to be proved separately. Without proof, the engine is assumed to be leaving:
 //
-//	calls of this node -> Record -> Status --+
-//	                                         +-> Away
-//	other nodes, by gossip --------> Status -+
+//	calls of this node -> StoreMonitor -> Status --+
+//	                                               +-> ConfirmedOutage
+//	other nodes, by gossip --------------> Status -+
 //
 // A failed call of one node does not prove an outage. The store may reject only this
 // node, a connection may have hung, or the node itself may have been paused. Meanwhile
@@ -35,7 +35,7 @@
 	expiryHeartbeats = 2
 	// failedCallMaxAge is how long a failed call counts as a sign of an outage. A node
 	// that gets no answer retries within 2.7 s (storeTimeout of the platform's client
-	// plus 1.5 x retryMost). A node that no longer calls the store, because other nodes
+	// plus 1.5 x maxRetryWait). A node that no longer calls the store, because other nodes
 	// do, gets no newer results of its own; without this limit it would report an outage
 	// forever.
 	failedCallMaxAge = 3 * time.Second
@@ -60,7 +60,7 @@
 	afterOutage bool
 }
 
-// NewStoreMonitor returns a record for engines that renew their entries once per heartbeat. If
+// NewStoreMonitor returns a monitor for engines that renew their entries once per heartbeat. If
 // heartbeat is not positive, defaultHeartbeat applies.
 func NewStoreMonitor(heartbeat time.Duration) *StoreMonitor {
 	if heartbeat <= 0 {
--- a/citronlimit/book.go
+++ b/citronlimit/book.go
@@ -4,7 +4,7 @@
 // together. The limit is in effect for as long as its responses state it. A node that
 // learns of a limit shares it with the other nodes:
 //
-//	response --Heard--> book --Recent, All--> other nodes --Learn--> their books
+//	response --Observe--> registry --Recent, All--> other nodes --Merge--> their registries
 //
 // The permits of citronpermit decide which requests are sent under a limit.
 package citronlimit
@@ -70,7 +70,7 @@
 	pending map[string]Record
 }
 
-// NewRegistry returns a Book in which no upstream is limited.
+// NewRegistry returns a Registry in which no upstream is limited.
 func NewRegistry(clock citronclock.Clock) *Registry {
 	b := &Registry{clock: clock, onChange: func([]string) {}, isListed: func(string) bool { return false }, changedAt: map[string]time.Time{}, limitedAt: map[string]time.Time{}, pending: map[string]Record{}}
 	b.records.Store(&map[string]Record{})
@@ -97,7 +97,7 @@
 }
 
 // Observe processes the rate limit in a response of an engine. before is the engine's record
-// at the time when the request was sent. Heard returns the current record and whether it
+// at the time when the request was sent. Observe returns the current record and whether it
 // has changed.
 //
 // Responses may arrive out of order. A stricter limit takes effect at once. A less strict
--- a/citronlimit/gossip.go
+++ b/citronlimit/gossip.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// Retain drops the records of engines that are not in the engine list. Learn uses the same
+// Retain drops the records of engines that are not in the engine list. Merge uses the same
 // function to ignore such engines.
 func (b *Registry) Retain(isListed func(engine string) bool) {
 	b.mu.Lock()
--- a/citronlist/era.go
+++ b/citronlist/era.go
@@ -8,7 +8,7 @@
 // entries of an engine than the restored copy holds, the restored entry is outdated: an
 // engine that is known to be leaving stays leaving, and an engine that is known to be
 // gone is not used, until it writes its entry again. Engines that are missing in the
-// restored copy get LapseGrace to write their entries again, as after an outage in which
+// restored copy get ExpiryGrace to write their entries again, as after an outage in which
 // entries expire.
 
 import (
--- a/citronlist/lapse.go
+++ b/citronlist/lapse.go
@@ -16,7 +16,7 @@
 const (
 	// massRemovalMin and massRemovalDivisor define a mass removal: if at least
 	// massRemovalMin entries and at least 1/massRemovalDivisor of the list disappear
-	// within LapseGrace, that is too many for a coincidence.
+	// within ExpiryGrace, that is too many for a coincidence.
 	massRemovalMin     = 4
 	massRemovalDivisor = 6
 	// defaultDrain applies if the settings give no DrainWithin.
@@ -40,9 +40,9 @@
 )
 
 // Tick performs the work that is due at the current time: it deletes engines whose
-// entries have been missing for longer than LapseGrace and reviews the others. outage
+// entries have been missing for longer than ExpiryGrace and reviews the others. outage
 // reports whether the store is unreachable for all nodes, or was within the last
-// LapseGrace.
+// ExpiryGrace.
 func (l *List) Tick(ctx context.Context, outage bool) {
 	l.outage = outage
 	now := l.set.Clock.Now()
--- a/citronlist/lapse_test.go
+++ b/citronlist/lapse_test.go
@@ -68,7 +68,7 @@
 
 // Tests how long engines with missing entries stay in use: not at all if a single entry
 // disappears; three fifths of DrainWithin if many disappear without proof of an outage;
-// during an outage as long as it lasts, but at most for LapseGrace, within which live
+// during an outage as long as it lasts, but at most for ExpiryGrace, within which live
 // entries come back.
 func TestMissingEnginesAreRetainedForLimitedTime(t *testing.T) {
 	const always = time.Hour
--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -4,7 +4,7 @@
 //
 //	full list, changes -> applyEntry, markMissing -> Engines -> traffic, placement
 //	engine reports     -> starts.go --^       |
-//	store outages      -> lapse.go  ----------+-> Passed -> other nodes
+//	store outages      -> lapse.go  ----------+-> Snapshot -> other nodes
 //
 // The higher revision wins, whichever source it comes from. A List must be used by one
 // goroutine only.
@@ -187,7 +187,7 @@
 	l.reviewMissing(ctx)
 }
 
-// invalidate marks the results of Engines and Passed as outdated.
+// invalidate marks the results of Engines and Snapshot as outdated.
 func (l *List) invalidate() {
 	l.version++
 	l.snapshot = nil
--- a/citronmodel/model.go
+++ b/citronmodel/model.go
@@ -110,7 +110,7 @@
 	// incarnation and become invalid when the engine restarts.
 	ID string
 	// Instance is the engine's name in the list and on the wire. It stays the
-	// same after a restart. Born is the start time in Unix milliseconds, or
+	// same after a restart. StartMS is the start time in Unix milliseconds, or
 	// zero if the engine does not report it.
 	Instance string
 	StartMS  int64
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -89,7 +89,7 @@
 	startedAt time.Time
 	// leftAt is when the node began to stop.
 	leftAt atomic.Pointer[time.Time]
-	// updates wakes the gossip loop after a document has changed on this node. alarms does
+	// updates wakes the gossip loop after a document has changed on this node. urgentUpdates does
 	// the same if the leader must be informed too.
 	updates, urgentUpdates chan struct{}
 	// accused is when this node last reported an accused engine: an engine that another
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -187,7 +187,7 @@
 		corrupt := rapid.OneOf(
 			rapid.SliceOf(rapid.Byte()),
 			rapid.Map(rapid.IntRange(0, len(text)-1), func(cut int) []byte { return text[:cut] }),
-			rapid.Map(rapid.SampledFrom([]string{"Addr", "Layers", "Born", "Service"}), func(field string) []byte {
+			rapid.Map(rapid.SampledFrom([]string{"Addr", "Layers", "StartMS", "Service"}), func(field string) []byte {
 				return []byte(fmt.Sprintf(`{"Instance":%q,"Addr":"a0:1","Service":"unknown",%q:{"x":[1]}}`, key, field))
 			}),
 		).Draw(t, "bad")
--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -63,7 +63,7 @@
 	// it would first have to process all of the request's tokens so far.
 	CurrentPath Path
 	// OthersTokens is the cache, in tokens, that requests of other nodes use in each
-	// zone. Own is the same for the requests of this node.
+	// zone. OwnTokens is the same for the requests of this node.
 	OthersTokens, OwnTokens map[string]int64
 	// ZoneCost is the additional cost of starting in each zone other than
 	// Zone. Nodes that all see the same best zone would send all requests there
@@ -72,7 +72,7 @@
 	ZoneCost map[string]float64
 }
 
-// Costs are in milliseconds per token step, like the result of StepTime.
+// Costs are in milliseconds per token step, like the result of StepTimeMS.
 const (
 	// hopCost is the fixed delay of a hop: network latency, and the wait until the
 	// engine ends its current pass, which is half a pass on average.
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -198,7 +198,7 @@
 	// Diff is what the receiver is missing according to the digest that it has
 	// sent, or what it has requested. It is empty in other messages.
 	Diff
-	// Digest lists the members that the sender knows. Sums are the zone totals.
+	// Digest lists the members that the sender knows. ZoneTotals are the zone totals.
 	// Both are empty in updates.
 	Digest     Digest
 	ZoneTotals []ZoneTotals
@@ -219,7 +219,7 @@
 	LimitChecksum uint64
 }
 
-// exchangeMessage is Knowledge as it is encoded. Both have the same fields, so
+// exchangeMessage is GossipState as it is encoded. Both have the same fields, so
 // that one converts to the other.
 type exchangeMessage struct {
 	From Member `json:"from"`
--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -37,7 +37,7 @@
 type Denied struct {
 	// AvailableIn is the time after which a permit becomes available.
 	AvailableIn time.Duration
-	// RetryAfter is the time after which the node should ask again. It may differ from Free
+	// RetryAfter is the time after which the node should ask again. It may differ from AvailableIn
 	// because other nodes request the same permits.
 	RetryAfter time.Duration
 }
@@ -90,7 +90,7 @@
 	pause time.Duration
 }
 
-// NewIssuer returns a Dealer without buckets.
+// NewIssuer returns an Issuer without buckets.
 func NewIssuer() *Issuer { return &Issuer{buckets: map[string]*bucket{}} }
 
 // Issue decides whether a request may be sent to an engine that accepts perSecond requests
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -90,7 +90,7 @@
 }
 
 // startTerm sets the initial state of a term. It holds the lock because the leading
-// node calls Goals from another goroutine as soon as it leads.
+// node calls Targets from another goroutine as soon as it leads.
 func (p *Placer) startTerm(targets targetSet) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -156,7 +156,7 @@
 // MarkEnded marks an engine whose process is known to have ended.
 func (s *State) MarkEnded() { s.ended.Store(true) }
 
-// Restarted marks an engine that has restarted: the requests it ran and the
+// MarkRestarted marks an engine that has restarted: the requests it ran and the
 // layers it held are lost. The parameter born is the time of the restart in
 // milliseconds since 1970.
 func (s *State) MarkRestarted(born int64, now time.Time) {
@@ -194,7 +194,7 @@
 	s.misplacedUntil.Store(sinceEpoch(now.Add(misplacedPause)))
 }
 
-// ClearMisplaced clears the effect of Misplaced.
+// ClearMisplaced clears the effect of MarkMisplaced.
 func (s *State) ClearMisplaced() { s.misplacedUntil.Store(0) }
 
 // Ended reports whether the engine's process is known to have ended. An engine
--- a/citronpool/view.go
+++ b/citronpool/view.go
@@ -125,7 +125,7 @@
 	return true
 }
 
-// countReplicas sets Copies of each engine. It copies an Engine before it changes it,
+// countReplicas sets Replicas of each engine. It copies an Engine before it changes it,
 // as earlier views may share it.
 func countReplicas(engines []*Engine) {
 	held := map[string][]int{}
--- a/citronquarantine/doc.go
+++ b/citronquarantine/doc.go
@@ -2,11 +2,11 @@
 //
 // A request may crash every engine that starts to run it, and its caller may retry
 // it with another ID and at another node. Crashes are therefore counted by the
-// fingerprint of the request (Print), and all nodes share the counts (Ledger):
+// fingerprint of the request (Fingerprint), and all nodes share the counts (Ledger):
 //
-//	run starts -> engine ends -> Crashed ----> record ----> Admit: Barred
+//	run starts -> engine ends -> RecordCrash --> record ----> Admit: Quarantined
 //	     |                                       ^
-//	     +-> run succeeds -----> Succeeded ------+
+//	     +-> run succeeds -----> RecordSuccess --+
 //
 // An engine that ends takes all its requests with it, and at most one of them caused
 // the crash. A crash therefore counts only against requests whose run had just
--- a/citronquarantine/print.go
+++ b/citronquarantine/print.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// fingerprintSize is the length of a Print in bytes. It is long enough that two
+// fingerprintSize is the length of a Fingerprint in bytes. It is long enough that two
 // requests with the same fingerprint cannot be constructed, and short enough to gossip.
 const fingerprintSize = 16
 
--- a/citronquarantine/verdict.go
+++ b/citronquarantine/verdict.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Verdict says whether a request may run. It is one of Free, Trial and Barred.
+// Verdict says whether a request may run. It is one of Admitted, TrialRun and Quarantined.
 type Verdict interface{ verdict() }
 
 // Admitted admits a request that has too few crashes to restrict it.
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -16,7 +16,7 @@
 // other zones a node knows the zone totals, computed by some node of that zone,
 // with their ages. There are few of these, however many nodes the fleet has.
 //
-// The package does no input or output. A Roster is a value, a Table and Sums
+// The package does no input or output. A Roster is a value, a Table and ZoneTotals
 // hold the state of one node, and each message is a function of these.
 package citronroster
 
--- a/citrontable/table.go
+++ b/citrontable/table.go
@@ -40,7 +40,7 @@
 type Route struct {
 	Name, Host, Prefix string
 	Kind               Kind
-	// Timeout is the maximum time that a caller waits. Target is the target
+	// Timeout is the maximum time that a caller waits. TargetLatency is the target
 	// latency: a later response, or a later first event of a stream, counts as
 	// late. MaxEventGap is the maximum time between two events of a stream before it
 	// counts as late.
