--- a/citronplace/orders.go
+++ b/citronplace/orders.go
@@ -17,9 +17,9 @@
 	Accepted int64
 	// Slowdown is greater than 1 when the engine is slower than declared.
 	Slowdown float64
-	// Born is the start time of the engine in Unix milliseconds, or zero if
+	// StartMS is the start time of the engine in Unix milliseconds, or zero if
 	// the engine does not report it.
-	Born int64
+	StartMS int64
 }
 
 // ErrRefused means that the engine did not accept an order.
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -360,7 +360,7 @@
 // if it is idle, holds no layers and has accepted no order although the list says that it
 // holds layers.
 func (p *Placer) detectRestart(e citronmodel.Engine, st citronplace.EngineState, now time.Time) bool {
-	startedLater := e.StartMS != 0 && st.Born > e.StartMS
+	startedLater := e.StartMS != 0 && st.StartMS > e.StartMS
 	lostLayers := !e.Layers.Empty() && st.Layers.Empty() && st.Accepted == 0 && !st.Busy
 	if !startedLater && !lostLayers {
 		return false
@@ -369,7 +369,7 @@
 	switch {
 	case !ok:
 	case startedLater:
-		seen.MarkRestarted(st.Born, now)
+		seen.MarkRestarted(st.StartMS, now)
 	default:
 		seen.MarkReplaced(now)
 	}
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -242,7 +242,7 @@
 // the view of the node must mark it as restarted.
 func TestRestartedEngineGetsNoOutdatedOrder(t *testing.T) {
 	is := is.New(t)
-	e := &fakeEngines{state: citronplace.EngineState{Born: 200}}
+	e := &fakeEngines{state: citronplace.EngineState{StartMS: 200}}
 	listed := engine("e1", 0, 0)
 	listed.StartMS = 100
 	s := state(listed)
