--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -132,7 +132,7 @@
 	if addr == o.dead {
 		return citronplace.EngineState{}, errors.New("the fake engine does not answer")
 	}
-	return citronplace.EngineState{Accepted: 1}, nil // it holds the layers that it was ordered to hold
+	return citronplace.EngineState{AcceptedOrders: 1}, nil // it holds the layers that it was ordered to hold
 }
 
 func (o *orders) markDead(addr string) {
--- a/citronplace/orders.go
+++ b/citronplace/orders.go
@@ -12,9 +12,9 @@
 	Layers citronmodel.Span
 	// Busy is true while the engine carries out an order.
 	Busy bool
-	// Accepted counts the orders that the engine has accepted since it
+	// AcceptedOrders counts the orders that the engine has accepted since it
 	// started.
-	Accepted int64
+	AcceptedOrders int64
 	// Slowdown is greater than 1 when the engine is slower than declared.
 	Slowdown float64
 	// StartMS is the start time of the engine in Unix milliseconds, or zero if
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -361,7 +361,7 @@
 // holds layers.
 func (p *Placer) detectRestart(e citronmodel.Engine, st citronplace.EngineState, now time.Time) bool {
 	startedLater := e.StartMS != 0 && st.StartMS > e.StartMS
-	lostLayers := !e.Layers.Empty() && st.Layers.Empty() && st.Accepted == 0 && !st.Busy
+	lostLayers := !e.Layers.Empty() && st.Layers.Empty() && st.AcceptedOrders == 0 && !st.Busy
 	if !startedLater && !lostLayers {
 		return false
 	}
@@ -439,9 +439,9 @@
 	if st.Layers == o.Span {
 		return nil
 	}
-	if err := p.Orders.Place(ctx, e, o, st.Accepted); err != nil {
+	if err := p.Orders.Place(ctx, e, o, st.AcceptedOrders); err != nil {
 		return err
 	}
-	citronevent.Log(ctx, p.Log, citronevent.PlaceOrdered, "engine", e.ID, "peer", e.Addr, "from", o.From, "to", o.To, "accepted", st.Accepted)
+	citronevent.Log(ctx, p.Log, citronevent.PlaceOrdered, "engine", e.ID, "peer", e.Addr, "from", o.From, "to", o.To, "accepted", st.AcceptedOrders)
 	return nil
 }
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -62,7 +62,7 @@
 	}
 	st := e.state
 	if addr != e.restarted {
-		st.Accepted = max(st.Accepted, 1) // the engine has accepted the order for the layers it holds
+		st.AcceptedOrders = max(st.AcceptedOrders, 1) // the engine has accepted the order for the layers it holds
 	}
 	return st, nil
 }
@@ -125,7 +125,7 @@
 // executes both late holds the same layers.
 func TestUnansweredOrderIsRetriedForSameState(t *testing.T) {
 	is := is.New(t)
-	e := &fakeEngines{state: citronplace.EngineState{Accepted: 3}, place: func(n int) error {
+	e := &fakeEngines{state: citronplace.EngineState{AcceptedOrders: 3}, place: func(n int) error {
 		if n == 1 {
 			return errors.New("no answer")
 		}
