--- a/citronplace/improve.go
+++ b/citronplace/improve.go
@@ -67,7 +67,7 @@
 // afterPlan returns the engines with the layers they hold after the plan is
 // carried out.
 func afterPlan(engines []Engine, plan Plan) []Engine {
-	out := withGoals(engines, plan)
+	out := withTargets(engines, plan)
 	for i := range out {
 		out[i].Layers = out[i].Target
 	}
--- a/citronplace/repair.go
+++ b/citronplace/repair.go
@@ -46,7 +46,7 @@
 func repair(spec citronmodel.Spec, engines []Engine, gaps, served []citronmodel.Span, even float64, b bounds) Plan {
 	cut := !allServed(gaps, served)
 	plan := fillWithIdle(spec, engines, gaps, max(b.minCache, even*idleFillShare))
-	engines = withGoals(engines, plan)
+	engines = withTargets(engines, plan)
 	if unfilled := Gaps(spec, engines); len(unfilled) > 0 {
 		maps.Copy(plan, fillFromHolders(spec, engines, unfilled, even, cut, b))
 	}
@@ -139,7 +139,7 @@
 func shiftWindows(spec citronmodel.Spec, engines []Engine, gaps []citronmodel.Span, minCache float64, cut bool) (Plan, bool) {
 	plan := Plan{}
 	for range gaps {
-		after := withGoals(engines, plan)
+		after := withTargets(engines, plan)
 		unfilled := Gaps(spec, after)
 		if len(unfilled) == 0 {
 			break
@@ -150,12 +150,12 @@
 		}
 		maps.Copy(plan, gapPlan)
 	}
-	return plan, len(Gaps(spec, withGoals(engines, plan))) == 0
+	return plan, len(Gaps(spec, withTargets(engines, plan))) == 0
 }
 
-// withGoals returns the engines with the plan's orders as their target layer
+// withTargets returns the engines with the plan's orders as their target layer
 // ranges. The layers they hold stay unchanged.
-func withGoals(engines []Engine, plan Plan) []Engine {
+func withTargets(engines []Engine, plan Plan) []Engine {
 	out := slices.Clone(engines)
 	for i, e := range out {
 		out[i].Target = plannedSpan(plan, e)
