--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -49,9 +49,9 @@
 
 // Placer places the layers of all models during one term of a leader.
 type Placer struct {
-	Orders citronplace.EngineClient
-	Clock  citronclock.Clock
-	Log    *slog.Logger
+	EngineClient citronplace.EngineClient
+	Clock        citronclock.Clock
+	Log          *slog.Logger
 	// Current returns the latest state, or nil before there is one.
 	Current func() *State
 
@@ -333,7 +333,7 @@
 	start := p.Clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	st, err := p.Orders.State(callCtx, e.Addr)
+	st, err := p.EngineClient.State(callCtx, e.Addr)
 	now := p.Clock.Now()
 	if ctx.Err() != nil {
 		return
@@ -426,7 +426,7 @@
 // sendOrder asks the engine for its state and sends the order unless the engine has
 // restarted, is busy or already holds the layers.
 func (p *Placer) sendOrder(ctx context.Context, e citronmodel.Engine, o citronplace.Order) error {
-	st, err := p.Orders.State(ctx, e.Addr)
+	st, err := p.EngineClient.State(ctx, e.Addr)
 	if err != nil {
 		return err
 	}
@@ -439,7 +439,7 @@
 	if st.Layers == o.Span {
 		return nil
 	}
-	if err := p.Orders.Place(ctx, e, o, st.AcceptedOrders); err != nil {
+	if err := p.EngineClient.Place(ctx, e, o, st.AcceptedOrders); err != nil {
 		return err
 	}
 	citronevent.Log(ctx, p.Log, citronevent.PlaceOrdered, "engine", e.ID, "peer", e.Addr, "from", o.From, "to", o.To, "accepted", st.AcceptedOrders)
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -103,7 +103,7 @@
 func run(t *testing.T, e *fakeEngines, s *citronplacer.State) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &citronplacer.Placer{Orders: e, Clock: citronclock.Real{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Current: func() *citronplacer.State { return s }}
+	p := &citronplacer.Placer{EngineClient: e, Clock: citronclock.Real{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Current: func() *citronplacer.State { return s }}
 	done := make(chan struct{})
 	go func() { defer close(done); p.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
