--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -296,11 +296,11 @@
 	})
 }
 
-// TestGoalsDuringTermStart reads the targets while a term starts: a newly elected node
+// TestTargetsDuringTermStart reads the targets while a term starts: a newly elected node
 // publishes them from another goroutine at that moment. It must read the targets from
 // before or after the start, never a map being written. The race detector finds a
 // violation.
-func TestGoalsDuringTermStart(_ *testing.T) {
+func TestTargetsDuringTermStart(_ *testing.T) {
 	for range 20 {
 		p := &citronplacer.Placer{Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Current: func() *citronplacer.State { return nil }}
 		ctx, cancel := context.WithCancel(context.Background())
