--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -83,7 +83,7 @@
 		LeaseTTL: max(leaderLease, set.MinLeaseTTL), Grace: set.Grace, Heartbeat: set.Heartbeat, DrainWithin: set.DrainWithin,
 	}, citronnode.Sources{
 		Store: citronstat.CountStore(platform.NewStore(set.Store), registry), ConfigKey: platform.ConfigKey, EnginePrefix: platform.EnginePrefix,
-		DecodeConfig: platform.DecodeConfig, DecodeEngine: platform.DecodeEngine, Orders: engines,
+		DecodeConfig: platform.DecodeConfig, DecodeEngine: platform.DecodeEngine, EngineClient: engines,
 	}, clock, log, budget, loads, httpClient())
 	citronstat.RegisterNode(node.Status, registry)
 	forwarder := &citronforward.Forwarder{
--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -226,7 +226,7 @@
 // has stopped.
 func (n *Node) startPlacing(ctx context.Context) (wait func()) {
 	n.places.Store(true)
-	p := &citronplacer.Placer{EngineClient: n.src.Orders, Clock: n.clock, Log: n.log, Current: n.placement}
+	p := &citronplacer.Placer{EngineClient: n.src.EngineClient, Clock: n.clock, Log: n.log, Current: n.placement}
 	goals := p.Targets
 	n.targets.Store(&goals)
 	done := make(chan struct{})
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -68,7 +68,7 @@
 	EnginePrefix string
 	DecodeConfig func([]byte) (*citrontable.Table, error)
 	DecodeEngine func(key string, text []byte) (citronmodel.Engine, error)
-	Orders       citronplace.EngineClient
+	EngineClient citronplace.EngineClient
 }
 
 // Node is one node of the fleet. New creates it, and Run keeps it up to date.
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -301,7 +301,7 @@
 		Name: name, Zone: zone, Front: "front-" + name, Peer: addr, Seeds: seeds, LeaseTTL: 600 * time.Millisecond, Grace: time.Second, DrainWithin: f.drainWithin,
 	}, citronnode.Sources{
 		Store: m.gate, ConfigKey: "config", EnginePrefix: "engines/",
-		DecodeConfig: decodeConfig, DecodeEngine: decodeEngine, Orders: nodeOrders{f.orders, name},
+		DecodeConfig: decodeConfig, DecodeEngine: decodeEngine, EngineClient: nodeOrders{f.orders, name},
 	}, citronclock.Real{}, slog.New(f.log), m.budget, &citronpool.Loads{}, hc)
 	m.Handle(mux)
 	ctx, cancel := context.WithCancel(context.Background())
