--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -59,10 +59,10 @@
 // heartbeat counters in a digest, together with the zone totals.
 type memberUpdate struct {
 	// from is the node that sent the update. told is what it knows about others.
-	from   citronpeer.Member
-	told   citronpeer.Diff
-	digest citronpeer.Digest
-	sums   []citronpeer.ZoneTotals
+	from       citronpeer.Member
+	told       citronpeer.Diff
+	digest     citronpeer.Digest
+	zoneTotals []citronpeer.ZoneTotals
 }
 
 func (listSnapshot) isMessage() {}
@@ -150,7 +150,7 @@
 		c.mergeMembers(m.told)
 		c.mergeGauges(m.told.Gauges)
 		c.mergeDigest(m.digest)
-		c.mergeZoneTotals(m.sums)
+		c.mergeZoneTotals(m.zoneTotals)
 	}
 }
 
