--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -81,12 +81,12 @@
 	// era is the store era of the list: the number of times the store has been restored
 	// from an older copy, which is the high part of a revision. eraAt is when the era
 	// began, or zero if this node did not observe its start.
-	era     int64
-	eraAt   time.Time
-	members *citronroster.Table
-	sums    *citronroster.ZoneTotals
-	self    citronpeer.Member
-	view    *citronpool.View
+	era        int64
+	eraAt      time.Time
+	members    *citronroster.Table
+	zoneTotals *citronroster.ZoneTotals
+	self       citronpeer.Member
+	view       *citronpool.View
 	// listSince is when the first list arrived. listAt and configAt are when the list
 	// and the configuration last changed.
 	listSince, listAt, configAt time.Time
@@ -102,7 +102,7 @@
 }
 
 func newControl(n *Node) *control {
-	c := &control{n: n, members: citronroster.NewTable(n.set.Name, n.set.Zone), sums: citronroster.NewZoneTotals(n.set.Zone), self: n.snap.Load().self}
+	c := &control{n: n, members: citronroster.NewTable(n.set.Name, n.set.Zone), zoneTotals: citronroster.NewZoneTotals(n.set.Zone), self: n.snap.Load().self}
 	c.list = citronlist.New(citronlist.Settings{
 		Prefix: n.src.EnginePrefix, Decode: n.src.DecodeEngine, DrainWithin: n.set.DrainWithin, Clock: n.clock, Log: n.log, OnEnded: c.ended,
 	})
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -63,7 +63,7 @@
 func (c *control) mergeZoneTotals(sums []citronpeer.ZoneTotals) {
 	now := c.n.clock.Now()
 	for _, s := range sums {
-		c.sums.Merge(s, now)
+		c.zoneTotals.Merge(s, now)
 	}
 }
 
@@ -148,8 +148,8 @@
 	}
 	own := others.Clone()
 	own.Add(c.self.Load, c.self.Sent)
-	c.sums.Set(citronpeer.ZoneTotals{Load: own.Load, Sent: own.Sent}, now)
-	s.zoneTotals = c.sums.Current(now)
+	c.zoneTotals.Set(citronpeer.ZoneTotals{Load: own.Load, Sent: own.Sent}, now)
+	s.zoneTotals = c.zoneTotals.Current(now)
 	for _, sum := range s.zoneTotals {
 		if sum.Zone != c.self.Zone {
 			others.Add(sum.Load, sum.Sent)
