--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -90,9 +90,9 @@
 	// listSince is when the first list arrived. listAt and configAt are when the list
 	// and the configuration last changed.
 	listSince, listAt, configAt time.Time
-	// storeAway reports that the store is unavailable to all nodes, or was within the
+	// storeUnavailable reports that the store is unavailable to all nodes, or was within the
 	// last citronhealth.ExpiryGrace.
-	storeAway bool
+	storeUnavailable bool
 	// configChanged means that the view must be rebuilt for a new configuration.
 	// collectDue means that the state of the other nodes must be collected for the next
 	// snapshot.
@@ -264,11 +264,11 @@
 			statuses = append(statuses, k.Store)
 		}
 	}
-	if away := citronhealth.ConfirmedOutage(statuses...); away != c.storeAway {
-		c.storeAway = away
+	if away := citronhealth.ConfirmedOutage(statuses...); away != c.storeUnavailable {
+		c.storeUnavailable = away
 		c.logStoreStatus(ctx, now, statuses)
 	}
-	c.list.Tick(ctx, c.storeAway)
+	c.list.Tick(ctx, c.storeUnavailable)
 }
 
 // logStoreStatus logs whether the store is considered unavailable, with the evidence.
@@ -280,7 +280,7 @@
 		answered += boolToInt(s.Answered)
 		served += boolToInt(s.Served)
 	}
-	args := []any{"away", c.storeAway, "nodes", len(statuses), "unanswered", unanswered, "back", back, "answered", answered, "served", served}
+	args := []any{"away", c.storeUnavailable, "nodes", len(statuses), "unanswered", unanswered, "back", back, "answered", answered, "served", served}
 	if f := c.n.health.LastFailed(); f != nil {
 		args = append(args, "step", f.Name, "key", f.Key, "age", now.Sub(f.Ended), "err", f.Err)
 	}
--- a/citronnode/outage_test.go
+++ b/citronnode/outage_test.go
@@ -22,10 +22,10 @@
 	r.take(context.Background(), memberUpdate{told: citronpeer.Diff{Members: []citronpeer.Member{{Name: "n2", Store: citronhealth.Status{Answered: true, Served: true}}}}})
 	r.tick(context.Background())
 	is.True(r.self.Store.Outage)
-	is.True(!r.storeAway)
+	is.True(!r.storeUnavailable)
 	for age := time.Duration(0); age <= 2*time.Second+tickInterval; age += tickInterval {
 		r.members.Age(now.Add(age))
 	}
 	r.tick(context.Background())
-	is.True(r.storeAway)
+	is.True(r.storeUnavailable)
 }
