--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -32,8 +32,8 @@
 	*citronkv.Server
 	// rejecting makes the store reject this node.
 	rejecting atomic.Bool
-	// away makes the store reject all nodes.
-	away *atomic.Bool
+	// unavailable makes the store reject all nodes.
+	unavailable *atomic.Bool
 	// stalled makes watches report nothing until they end.
 	stalled atomic.Bool
 	// watches counts the pending watches.
@@ -44,7 +44,7 @@
 }
 
 func (d *gatedStore) rejects() bool {
-	return d.rejecting.Load() || d.away != nil && d.away.Load()
+	return d.rejecting.Load() || d.unavailable != nil && d.unavailable.Load()
 }
 
 var errRejected = errors.Mark(errors.New("the fake store rejects this node"), citronkv.ErrUnavailable)
@@ -296,7 +296,7 @@
 			seeds = append(seeds, m.addr)
 		}
 	}
-	m := &member{name: name, gate: &gatedStore{Server: f.store, away: &f.away}, addr: addr, zone: zone, budget: citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second})}
+	m := &member{name: name, gate: &gatedStore{Server: f.store, unavailable: &f.away}, addr: addr, zone: zone, budget: citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second})}
 	m.Node = citronnode.New(citronnode.Settings{
 		Name: name, Zone: zone, Front: "front-" + name, Peer: addr, Seeds: seeds, LeaseTTL: 600 * time.Millisecond, Grace: time.Second, DrainWithin: f.drainWithin,
 	}, citronnode.Sources{
