--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -165,13 +165,13 @@
 		f.net = newMesh()
 		f.config("1")
 		f.engine(appEngine("e0"))
-		f.away.Store(true)
+		f.storeUnavailable.Store(true)
 		const size = 20
 		for i := range size {
 			f.add(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
 		}
 		time.Sleep(100 * time.Millisecond)
-		f.away.Store(false)
+		f.storeUnavailable.Store(false)
 		from := time.Now()
 		eventually(t, "all nodes can serve", func() bool { return f.usableAt("e0") == size })
 		took := time.Since(from)
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -255,8 +255,8 @@
 	// log handles the log records of all nodes.
 	log   slog.Handler
 	nodes []*member
-	// away makes the store reject all nodes.
-	away atomic.Bool
+	// storeUnavailable makes the store reject all nodes.
+	storeUnavailable atomic.Bool
 	// drainWithin is the DrainWithin setting of the nodes.
 	drainWithin time.Duration
 }
@@ -296,7 +296,7 @@
 			seeds = append(seeds, m.addr)
 		}
 	}
-	m := &member{name: name, gate: &gatedStore{Server: f.store, unavailable: &f.away}, addr: addr, zone: zone, budget: citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second})}
+	m := &member{name: name, gate: &gatedStore{Server: f.store, unavailable: &f.storeUnavailable}, addr: addr, zone: zone, budget: citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second})}
 	m.Node = citronnode.New(citronnode.Settings{
 		Name: name, Zone: zone, Front: "front-" + name, Peer: addr, Seeds: seeds, LeaseTTL: 600 * time.Millisecond, Grace: time.Second, DrainWithin: f.drainWithin,
 	}, citronnode.Sources{
