--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -34,9 +34,9 @@
 	return f, m
 }
 
-// BenchmarkBarredRequestSpreads measures the time until all nodes quarantine a request
+// BenchmarkQuarantineSpreads measures the time until all nodes quarantine a request
 // that three of them saw crash one engine each, and the bytes sent meanwhile.
-func BenchmarkBarredRequestSpreads(b *testing.B) {
+func BenchmarkQuarantineSpreads(b *testing.B) {
 	for _, size := range spreadSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f, m := fleetOf(b, size)
