--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -239,7 +239,7 @@
 
 const (
 	procedureExchange = "/citron.peer/Exchange"
-	procedureNews     = "/citron.peer/News"
+	procedureUpdate   = "/citron.peer/News"
 	// maxConcurrentExchanges is the number of exchanges a node serves
 	// concurrently. Each may hold the decoded members of the whole fleet. A node
 	// that had stalled for a moment ran out of memory when all waiting nodes
@@ -269,7 +269,7 @@
 // Handle mounts a node's procedures on mux.
 func Handle(mux *http.ServeMux, a Answerer) {
 	handle(mux, procedureExchange, maxConcurrentExchanges, a.Exchange)
-	handle(mux, procedureNews, maxConcurrentUpdates, a.Update)
+	handle(mux, procedureUpdate, maxConcurrentUpdates, a.Update)
 }
 
 func handle(mux *http.ServeMux, procedure string, maxConcurrent int, answer func(GossipState) GossipState) {
@@ -312,7 +312,7 @@
 // its documents. It returns that node's update, with the documents that this
 // node is missing.
 func (c *Client) Update(ctx context.Context, addr string, k GossipState) (GossipState, error) {
-	return c.call(ctx, addr, procedureNews, k)
+	return c.call(ctx, addr, procedureUpdate, k)
 }
 
 func (c *Client) call(ctx context.Context, addr, procedure string, k GossipState) (GossipState, error) {
