--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -109,10 +109,10 @@
 	is.True(!all[0].Before(all[0]))
 }
 
-// BenchmarkNews reports the bytes on the wire of one update: a node and the
+// BenchmarkUpdate reports the bytes on the wire of one update: a node and the
 // revisions of its documents, without the other members of the fleet. The full
 // gossip state of a hundred nodes, which updates used to carry, is 3.8 KB.
-func BenchmarkNews(b *testing.B) {
+func BenchmarkUpdate(b *testing.B) {
 	k := citronpeer.GossipState{From: member(1), Config: citronpeer.ConfigDocument{Version: 9}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
 	var size int64
 	mux := http.NewServeMux()
