--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -16,7 +16,7 @@
 
 func isListed(engine string) bool { return engine == "i-1" || engine == "i-2" }
 
-func newBook(c citronclock.Clock) *citronlimit.Registry {
+func newRegistry(c citronclock.Clock) *citronlimit.Registry {
 	b := citronlimit.NewRegistry(c)
 	b.Retain(isListed)
 	return b
@@ -27,7 +27,7 @@
 func TestLimitStaysInEffectForAtLeastOneSecond(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
-	b := newBook(clock)
+	b := newRegistry(clock)
 	respond := func(l citronupstream.RateLimit) { b.Observe("i-1", b.Get("i-1"), l) }
 	for range 20 {
 		respond(citronupstream.PerSecond(4))
@@ -48,7 +48,7 @@
 func TestNewerRecordsWinInAnyOrder(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
-	b := newBook(clock)
+	b := newRegistry(clock)
 	limited := citronpeer.Limit{Engine: "i-1", Limited: true, PerSecond: 4, Version: 1}
 	lifted := citronpeer.Limit{Engine: "i-1", Version: 2}
 	is.NoErr(b.Merge([]citronpeer.Limit{lifted}))
@@ -73,7 +73,7 @@
 		{Engine: "i-1", Limited: true, PerSecond: 1, Version: math.MaxInt64},
 	} {
 		is := is.New(t)
-		b := newBook(citronclock.Real{})
+		b := newRegistry(citronclock.Real{})
 		is.True(b.Merge([]citronpeer.Limit{{Engine: "i-2", Limited: true, PerSecond: 3, Version: 1}, l}) != nil)
 		is.Equal(b.CountLimited(), 0)
 	}
@@ -84,7 +84,7 @@
 func TestBooksAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(0, 0))
-		books := []*citronlimit.Registry{newBook(clock), newBook(clock), newBook(clock)}
+		books := []*citronlimit.Registry{newRegistry(clock), newRegistry(clock), newRegistry(clock)}
 		engines := []string{"i-1", "i-2"}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			b := rapid.SampledFrom(books).Draw(t, "book")
@@ -135,7 +135,7 @@
 		if cbor.Unmarshal(text, &received) != nil {
 			return
 		}
-		b := newBook(citronclock.Real{})
+		b := newRegistry(citronclock.Real{})
 		if err := b.Merge(received); err != nil && len(b.All()) > 0 {
 			t.Fatal("records of an invalid message were accepted")
 		}
