--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -81,7 +81,7 @@
 
 // Whatever responses nodes receive, and in whatever order they exchange messages, they
 // must end up with the same records.
-func TestBooksAgree(t *testing.T) {
+func TestRegistriesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(0, 0))
 		books := []*citronlimit.Registry{newRegistry(clock), newRegistry(clock), newRegistry(clock)}
