--- a/citronlist/index.go
+++ b/citronlist/index.go
@@ -46,7 +46,7 @@
 	l.entries[key] = e
 	l.index.staleEngines[key], l.index.staleItems[key] = true, true
 	setMember(l.index.missing, key, !e.missingSince.IsZero())
-	setMember(l.index.restarted, key, e.engine.StartMS > e.listedBorn)
+	setMember(l.index.restarted, key, e.engine.StartMS > e.listedStartMS)
 }
 
 // deleteEntry removes an entry from the list and from the index.
--- a/citronlist/index_test.go
+++ b/citronlist/index_test.go
@@ -69,7 +69,7 @@
 				t.Fatalf("patched:\n%v\nrebuilt:\n%v", got, want)
 			}
 			for key, e := range l.entries {
-				if l.index.missing[key] == e.missingSince.IsZero() || l.index.restarted[key] != (e.engine.StartMS > e.listedBorn) {
+				if l.index.missing[key] == e.missingSince.IsZero() || l.index.restarted[key] != (e.engine.StartMS > e.listedStartMS) {
 					t.Fatalf("entry %s is wrongly indexed: missing %t, restarted %t", key, l.index.missing[key], l.index.restarted[key])
 				}
 			}
--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -85,9 +85,9 @@
 type entry struct {
 	engine citronmodel.Engine
 	item   citronkv.Item
-	// listedBorn is the start time given by the entry. The engine may be known to have
+	// listedStartMS is the start time given by the entry. The engine may be known to have
 	// restarted since.
-	listedBorn int64
+	listedStartMS int64
 	// missingSince is when the entry was found missing; zero while it is present.
 	missingSince time.Time
 	// missingInRestore is true if the entry is missing in the copy from which the store
@@ -207,7 +207,7 @@
 	if l.resolveAddressConflict(ctx, it, e) {
 		return
 	}
-	now := entry{engine: e, item: it, listedBorn: e.StartMS}
+	now := entry{engine: e, item: it, listedStartMS: e.StartMS}
 	if had && old.engine.StartMS > e.StartMS && e.StartMS > 0 {
 		now.engine = old.engine // the entry was written before the engine restarted
 	}
