--- a/citronprobe/heard_test.go
+++ b/citronprobe/heard_test.go
@@ -15,7 +15,7 @@
 // that restarted at the same address refuses all requests that the list sends
 // through it. The start time and the layers in the report must decide whether the
 // engine remains usable.
-func TestHeard(t *testing.T) {
+func TestRecordReport(t *testing.T) {
 	held := citronmodel.Span{From: 2, To: 6}
 	layers := func(from, to int) *citronmodel.Span { return &citronmodel.Span{From: from, To: to} }
 	for _, c := range []struct {
