--- a/citronquarantine/model_test.go
+++ b/citronquarantine/model_test.go
@@ -18,10 +18,10 @@
 	modelStep    = 20 * time.Millisecond
 	modelTime    = 3 * time.Minute
 	// A run sends its first event firstEvent after it starts. It counts as just started
-	// until provenRun after that, and ends after runTime.
-	firstEvent = 300 * time.Millisecond
-	provenRun  = 500 * time.Millisecond
-	runTime    = 5 * time.Second
+	// until minSuccessfulRun after that, and ends after runTime.
+	firstEvent       = 300 * time.Millisecond
+	minSuccessfulRun = 500 * time.Millisecond
+	runTime          = 5 * time.Second
 	// restartTime is how long a crashed engine is unavailable.
 	restartTime = 3 * time.Second
 	// maxRetryDelay is the maximum delay before a caller retries a failed request.
@@ -99,7 +99,7 @@
 	}
 	m.runs = others
 	for _, r := range ended {
-		if now.Sub(r.since) < firstEvent+provenRun {
+		if now.Sub(r.since) < firstEvent+minSuccessfulRun {
 			m.ledger.RecordCrash(r.fingerprint, fmt.Sprintf("%d@%d", engine, m.starts[engine]), r.since)
 		}
 		r.attempts++
@@ -130,7 +130,7 @@
 			continue
 		case r.crashing && age > firstEvent/2:
 			crashes = append(crashes, r.engine)
-		case r.engine >= 0 && age > firstEvent+provenRun:
+		case r.engine >= 0 && age > firstEvent+minSuccessfulRun:
 			m.ledger.RecordSuccess(r.fingerprint)
 		}
 		if r.engine < 0 || age < runTime {
