--- a/citronroster/sums.go
+++ b/citronroster/sums.go
@@ -15,10 +15,10 @@
 // use.
 type ZoneTotals struct {
 	zone   string
-	byZone map[string]timedSum
+	byZone map[string]timedTotals
 }
 
-type timedSum struct {
+type timedTotals struct {
 	citronpeer.ZoneTotals
 	// computed is when the totals were computed, by this node's clock.
 	computed time.Time
@@ -26,13 +26,13 @@
 
 // NewZoneTotals returns empty zone totals for a node of zone.
 func NewZoneTotals(zone string) *ZoneTotals {
-	return &ZoneTotals{zone: zone, byZone: map[string]timedSum{}}
+	return &ZoneTotals{zone: zone, byZone: map[string]timedTotals{}}
 }
 
 // Set stores the totals of the node's own zone, computed by this node.
 func (s *ZoneTotals) Set(sum citronpeer.ZoneTotals, now time.Time) {
 	sum.Zone = s.zone
-	s.byZone[s.zone] = timedSum{ZoneTotals: sum, computed: now}
+	s.byZone[s.zone] = timedTotals{ZoneTotals: sum, computed: now}
 }
 
 // Merge stores the totals of another zone, as received from another node, if
@@ -46,7 +46,7 @@
 	if old, ok := s.byZone[sum.Zone]; ok && !computed.After(old.computed) {
 		return
 	}
-	s.byZone[sum.Zone] = timedSum{ZoneTotals: sum, computed: computed}
+	s.byZone[sum.Zone] = timedTotals{ZoneTotals: sum, computed: computed}
 }
 
 // Current returns the totals of all zones that are at most maxTotalsAge old, with
