--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -54,15 +54,15 @@
 type Roster struct {
 	zone    string
 	entries []Entry
-	// indexByPrint holds indexes into entries.
-	indexByPrint map[citronpeer.Fingerprint]int
+	// indexByFingerprint holds indexes into entries.
+	indexByFingerprint map[citronpeer.Fingerprint]int
 }
 
 // New returns a roster of entries. It takes ownership of entries.
 func New(zone string, entries []Entry) Roster {
-	r := Roster{zone: zone, entries: entries, indexByPrint: make(map[citronpeer.Fingerprint]int, len(entries))}
+	r := Roster{zone: zone, entries: entries, indexByFingerprint: make(map[citronpeer.Fingerprint]int, len(entries))}
 	for i, e := range entries {
-		r.indexByPrint[e.Fingerprint] = i
+		r.indexByFingerprint[e.Fingerprint] = i
 	}
 	return r
 }
@@ -101,7 +101,7 @@
 func (r Roster) Missing(d citronpeer.Digest, sameZone bool) citronpeer.MissingItems {
 	var out citronpeer.MissingItems
 	for i, p := range d.Fingerprints {
-		index, known := r.indexByPrint[p]
+		index, known := r.indexByFingerprint[p]
 		switch {
 		case !known:
 			out.Members = append(out.Members, p)
@@ -117,12 +117,12 @@
 func (r Roster) Requested(w citronpeer.MissingItems) citronpeer.Diff {
 	var out citronpeer.Diff
 	for _, p := range w.Members {
-		if index, ok := r.indexByPrint[p]; ok {
+		if index, ok := r.indexByFingerprint[p]; ok {
 			out = r.entries[index].appendTo(out)
 		}
 	}
 	for _, p := range w.Gauges {
-		if index, ok := r.indexByPrint[p]; ok {
+		if index, ok := r.indexByFingerprint[p]; ok {
 			out.Gauges = append(out.Gauges, r.entries[index].gauge())
 		}
 	}
