--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -73,9 +73,9 @@
 // allocate retries and to choose paths.
 type Table struct {
 	// self is the name of the node that owns the table, and zone is its zone.
-	self, zone string
-	members    map[string]*TrackedMember
-	byPrint    map[citronpeer.Fingerprint]*TrackedMember
+	self, zone    string
+	members       map[string]*TrackedMember
+	byFingerprint map[citronpeer.Fingerprint]*TrackedMember
 	// agedAt is when Age was last called.
 	agedAt time.Time
 	// sameZoneGap is the mean time between two updates about a member of this
@@ -97,7 +97,7 @@
 
 // NewTable returns the empty table of the node self in zone.
 func NewTable(self, zone string) *Table {
-	return &Table{self: self, zone: zone, members: map[string]*TrackedMember{}, byPrint: map[citronpeer.Fingerprint]*TrackedMember{}}
+	return &Table{self: self, zone: zone, members: map[string]*TrackedMember{}, byFingerprint: map[citronpeer.Fingerprint]*TrackedMember{}}
 }
 
 // RecordMember records a full member from a node that last heard of it at heard. It
@@ -119,14 +119,14 @@
 		return false, false
 	}
 	if ok {
-		delete(t.byPrint, old.Fingerprint)
+		delete(t.byFingerprint, old.Fingerprint)
 	}
 	if ok && old.Alive {
 		heard = now // The heartbeat has advanced since this node last heard of the member.
 	}
 	k := &TrackedMember{Entry: Entry{Member: m, Fingerprint: Fingerprint(m)}, latestHeartbeat: m.Heartbeat, LastHeard: heard, Alive: true}
 	t.members[m.Name] = k
-	t.byPrint[k.Fingerprint] = k
+	t.byFingerprint[k.Fingerprint] = k
 	return true, !ok || !old.Alive || old.Leaving != m.Leaving || old.Ready != m.Ready
 }
 
@@ -134,7 +134,7 @@
 // the member, and whether the member thereby came back. It returns nil if the
 // gauges are not new or the member is unknown.
 func (t *Table) RecordGauges(g citronpeer.GaugeUpdate, now time.Time) (of *TrackedMember, back bool) {
-	k := t.byPrint[g.Fingerprint]
+	k := t.byFingerprint[g.Fingerprint]
 	if k == nil || g.Heartbeat <= k.Heartbeat || g.Heartbeat > k.latestHeartbeat+maxHeartbeatLead {
 		return nil, false
 	}
@@ -147,7 +147,7 @@
 // stays unchanged: it belongs to the gauges, which a digest does not carry.
 func (t *Table) RecordDigest(d citronpeer.Digest, now time.Time) (back []*TrackedMember) {
 	for i, p := range d.Fingerprints {
-		k := t.byPrint[p]
+		k := t.byFingerprint[p]
 		heartbeat := d.Heartbeat(i)
 		if k == nil || heartbeat > k.latestHeartbeat+maxHeartbeatLead {
 			continue
@@ -206,7 +206,7 @@
 		switch {
 		case age > forgetAfter:
 			delete(t.members, name)
-			delete(t.byPrint, k.Fingerprint)
+			delete(t.byFingerprint, k.Fingerprint)
 		case k.Alive && (k.probed && age > limit+probeTimeout || age > limit+unprobedTimeout):
 			k.Alive = false
 			lost = append(lost, k)
