--- a/citronexplain/explain.go
+++ b/citronexplain/explain.go
@@ -154,7 +154,7 @@
 	var selected []line
 	for _, l := range all {
 		context := l.fields["request"] == nil && l.namesAny(engines) && l.at.After(first) && l.at.Before(last)
-		if l.name == entriesKept {
+		if l.name == entriesRetained {
 			// Whether a node retains a missing engine affects only the requests
 			// at that node.
 			context = context && nodes[l.node]
@@ -171,9 +171,9 @@
 	return selected
 }
 
-// entriesKept is the event by which a node logs the engines that it retains
+// entriesRetained is the event by which a node logs the engines that it retains
 // although their entries are missing.
-const entriesKept = "entries.kept"
+const entriesRetained = "entries.kept"
 
 // engines returns the ids of the engines that the line names.
 func (l line) engines() []string {
