--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -361,8 +361,8 @@
 	return j.within(crashesUsed, !j.isSuspect()) && j.within(attemptsUsed, j.route.Idempotent() && j.runs < max(1, j.route.MaxAttempts)) && j.takeBudget()
 }
 
-// mayTryNextEngine reports whether the request may be sent to another engine after one refused
-// it without running it. If so, it charges the retry to the budget.
+// mayTryNextEngine reports whether the request may be sent to another engine after one
+// refused it without running it. If so, it charges the retry to the budget.
 func (j *job) mayTryNextEngine() bool {
 	return j.within(refusalsUsed, j.refused <= maxRefused) && j.takeBudget()
 }
--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -189,8 +189,8 @@
 	return out
 }
 
-// takeMovePermit takes a permit to move a running stream to an engine, and reports whether the
-// move is allowed.
+// takeMovePermit takes a permit to move a running stream to an engine, and reports whether
+// the move is allowed.
 func (f *Forwarder) takeMovePermit(ctx context.Context, e *citronpool.Engine) bool {
 	if !f.Limits.Get(e.ID).Limited {
 		return true
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -157,8 +157,8 @@
 	return res
 }
 
-// classifyError classifies a failed call. A call is known not to have run only if no byte of it
-// left this node.
+// classifyError classifies a failed call. A call is known not to have run only if no byte
+// of it left this node.
 func (j *job) classifyError(e *citronpool.Engine, err error) result {
 	switch {
 	case errors.Is(err, citronupstream.ErrNotSent):
--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -43,8 +43,8 @@
 	defaultHeartbeat = 1200 * time.Millisecond
 )
 
-// StoreMonitor keeps what the results of a node's own calls show about the store. It is safe
-// for concurrent use.
+// StoreMonitor keeps what the results of a node's own calls show about the store. It is
+// safe for concurrent use.
 type StoreMonitor struct {
 	mu sync.Mutex
 	// expireAfter is the duration of the shortest outage in which entries expire.
@@ -60,8 +60,8 @@
 	afterOutage bool
 }
 
-// NewStoreMonitor returns a monitor for engines that renew their entries once per heartbeat. If
-// heartbeat is not positive, defaultHeartbeat applies.
+// NewStoreMonitor returns a monitor for engines that renew their entries once per
+// heartbeat. If heartbeat is not positive, defaultHeartbeat applies.
 func NewStoreMonitor(heartbeat time.Duration) *StoreMonitor {
 	if heartbeat <= 0 {
 		heartbeat = defaultHeartbeat
@@ -69,7 +69,7 @@
 	return &StoreMonitor{expireAfter: expiryHeartbeats * heartbeat}
 }
 
-// RecordCall adds a call that has ended to the record.
+// RecordCall records a call that has ended.
 func (h *StoreMonitor) RecordCall(c Call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/citronkv/servercopy.go
+++ b/citronkv/servercopy.go
@@ -2,7 +2,7 @@
 
 import "maps"
 
-// Snapshot is a snapshot of the data of a Server.
+// Snapshot holds the data of a Server at one moment.
 type Snapshot struct {
 	rev   Revision
 	items map[string]Item
--- a/citronledger/ledger.go
+++ b/citronledger/ledger.go
@@ -263,10 +263,10 @@
 }
 
 // RecordAnswer records the answer, so that a retry gets it without running the
-// request again. Settle retries a write that ends with ErrUnavailable until
+// request again. RecordAnswer retries a write that ends with ErrUnavailable until
 // ctx ends: the reply may be lost or the service briefly down. A second write
 // of the same record at the same revision is harmless, because it ends with a
-// conflict. If Settle gives up, the key stays "started": no retry gets the
+// conflict. If RecordAnswer gives up, the key stays "started": no retry gets the
 // answer, but the request still does not run twice.
 func (l *Ledger) RecordAnswer(ctx context.Context, c Claim, rec Record) {
 	val, _ := json.Marshal(rec)
--- a/citronlimit/book.go
+++ b/citronlimit/book.go
@@ -46,8 +46,8 @@
 	return r.Limited == o.Limited && r.PerSecond == o.PerSecond
 }
 
-// Registry holds the limits of all upstreams that this node knows, by engine ID. Each start of
-// an engine has its own ID.
+// Registry holds the limits of all upstreams that this node knows, by engine ID. Each start
+// of an engine has its own ID.
 type Registry struct {
 	clock citronclock.Clock
 	// records is immutable and replaced as a whole, so that every request can read it
@@ -79,7 +79,7 @@
 
 // Notify sets the function that is called when there is an update for other nodes.
 // relaxed holds the engines that accept more requests than before. Notify must be called
-// before the book is used, and f must not block.
+// before the registry is used, and f must not block.
 func (b *Registry) Notify(f func(relaxed []string)) { b.onChange = f }
 
 // Get returns the record of an engine. It is the zero Record if the engine has none.
@@ -96,9 +96,9 @@
 	return n
 }
 
-// Observe processes the rate limit in a response of an engine. before is the engine's record
-// at the time when the request was sent. Observe returns the current record and whether it
-// has changed.
+// Observe processes the rate limit in a response of an engine. before is the engine's
+// record at the time when the request was sent. Observe returns the current record and
+// whether it has changed.
 //
 // Responses may arrive out of order. A stricter limit takes effect at once. A less strict
 // limit, or the end of a limit, takes effect only if the request was sent when the current
--- a/citronlist/passed.go
+++ b/citronlist/passed.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Snapshot is an immutable snapshot of the list, as sent to other nodes.
+// Snapshot is an immutable copy of the list, as sent to other nodes.
 type Snapshot struct {
 	// Revision is the revision of the list.
 	Revision citronkv.Revision
@@ -19,9 +19,9 @@
 	removedSince citronkv.Revision
 }
 
-// ChangesSince returns what a node with the list of the given revision lacks. It returns only
-// the changes where possible: engines join and leave one at a time, and the full list is
-// a hundred times as long as one change.
+// ChangesSince returns what a node with the list of the given revision lacks. It returns
+// only the changes where possible: engines join and leave one at a time, and the full list
+// is a hundred times as long as one change.
 func (p Snapshot) ChangesSince(revision citronkv.Revision) (citronpeer.ListDocument, error) {
 	doc := citronpeer.ListDocument{Revision: p.Revision}
 	if !p.Revision.After(revision) {
--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -38,8 +38,8 @@
 	Refuted bool   `json:"refuted,omitempty"`
 }
 
-// persistQuarantine writes quarantine records to the store when they change, until ctx ends.
-// After a failed write it tries again after maxRetryWait.
+// persistQuarantine writes quarantine records to the store when they change, until ctx
+// ends. After a failed write it tries again after maxRetryWait.
 func (n *Node) persistQuarantine(ctx context.Context) {
 	for {
 		select {
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -313,8 +313,8 @@
 // it is ready. On a cold start, engines are still registering.
 const listStableDelay = 300 * time.Millisecond
 
-// listCompleteAfter is the time that must pass after the first list before a node considers the
-// list complete. Entries that expired before the first list are back by then. Entries
+// listCompleteAfter is the time that must pass after the first list before a node considers
+// the list complete. Entries that expired before the first list are back by then. Entries
 // that expire later are retained in the list meanwhile.
 const listCompleteAfter = 2200 * time.Millisecond
 
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -30,7 +30,7 @@
 	// zones would grow with the number of nodes instead of the number of zones.
 	crossZoneNodes = 6
 	// minUpdateGap is the minimum time between an update and the one before it. When
-	// many engines come or go at once, one update covers them together. Alarms don't
+	// many engines come or go at once, one update covers them together. Urgent updates don't
 	// wait for it.
 	minUpdateGap = 60 * time.Millisecond
 	// exchangeTimeout bounds one exchange. A healthy node answers within milliseconds.
--- a/citronnode/leaving_test.go
+++ b/citronnode/leaving_test.go
@@ -17,8 +17,8 @@
 // just started has no history of the store's health.
 const warmUp = 3 * time.Second
 
-// startFleetWithTwelveEngines starts nodes with the given names before twelve engines, and returns when they
-// have stabilized.
+// startFleetWithTwelveEngines starts nodes with the given names before twelve engines, and
+// returns when they have stabilized.
 func startFleetWithTwelveEngines(t *testing.T, names ...string) *fleet {
 	t.Helper()
 	f := newFleet(t)
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -89,8 +89,8 @@
 	startedAt time.Time
 	// leftAt is when the node began to stop.
 	leftAt atomic.Pointer[time.Time]
-	// updates wakes the gossip loop after a document has changed on this node. urgentUpdates does
-	// the same if the leader must be informed too.
+	// updates wakes the gossip loop after a document has changed on this node. urgentUpdates
+	// does the same if the leader must be informed too.
 	updates, urgentUpdates chan struct{}
 	// accused is when this node last reported an accused engine: an engine that another
 	// engine named as the cause of a failed request.
--- a/citronnode/settle.go
+++ b/citronnode/settle.go
@@ -54,8 +54,8 @@
 	answered, refused, failed int
 }
 
-// recordExchange records the result of an exchange and how many members each side knew before
-// it.
+// recordExchange records the result of an exchange and how many members each side knew
+// before it.
 func (s *stabilizer) recordExchange(ours, theirs citronpeer.Digest, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/citronpeer/limit.go
+++ b/citronpeer/limit.go
@@ -49,7 +49,7 @@
 	Limit Limit `json:"limit"`
 }
 
-// PermitIssuer is a permit issuer: it serves the permit requests of other
+// PermitIssuer is the issuer of permits: it serves the permit requests of other
 // nodes.
 type PermitIssuer interface {
 	Permit(PermitRequest) Permit
--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -37,8 +37,8 @@
 type Denied struct {
 	// AvailableIn is the time after which a permit becomes available.
 	AvailableIn time.Duration
-	// RetryAfter is the time after which the node should ask again. It may differ from AvailableIn
-	// because other nodes request the same permits.
+	// RetryAfter is the time after which the node should ask again. It may differ from
+	// AvailableIn because other nodes request the same permits.
 	RetryAfter time.Duration
 }
 
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -108,8 +108,8 @@
 	return TrialRun{End: func() { l.endTrial(p) }}
 }
 
-// QuarantinedFor reports whether a request that was admitted has been quarantined since, and
-// for how long.
+// QuarantinedFor reports whether a request that was admitted has been quarantined since,
+// and for how long.
 func (l *Ledger) QuarantinedFor(p Fingerprint) (time.Duration, bool) {
 	if l.Empty() {
 		return 0, false
