--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -58,11 +58,11 @@
 	if j.f.Quarantine.Empty() {
 		return false
 	}
-	left, barred := j.f.Quarantine.QuarantinedFor(j.fingerprint())
-	if barred {
+	left, quarantined := j.f.Quarantine.QuarantinedFor(j.fingerprint())
+	if quarantined {
 		j.retryAfter = left
 	}
-	return barred
+	return quarantined
 }
 
 // isSuspect reports whether the request is a suspect: it is quarantined, or one more crash
--- a/citronhealth/health_test.go
+++ b/citronhealth/health_test.go
@@ -77,7 +77,7 @@
 // Tests that one node that was served disproves an outage, that one answered node is
 // enough while others get no answer, and that a node without calls makes no difference.
 func TestOutageNeedsAgreementOfAllNodes(t *testing.T) {
-	away, back := Status{Outage: true}, Status{Recovered: true, Answered: true}
+	outage, recovered := Status{Outage: true}, Status{Recovered: true, Answered: true}
 	served, restarted, idle := Status{Answered: true, Served: true}, Status{Answered: true}, Status{}
 	cases := []struct {
 		name  string
@@ -85,17 +85,17 @@
 		want  bool
 	}{
 		{"one healthy node", []Status{served}, false},
-		{"one node without an answer", []Status{away}, true},
-		{"one node rejected", []Status{away, served, idle}, false},
-		{"another node rejected", []Status{served, away, idle}, false},
-		{"one node rejected, the others have just started", []Status{away, restarted, idle}, false},
-		{"all nodes rejected", []Status{away, away, away}, true},
-		{"the others make no calls", []Status{away, idle, idle}, true},
-		{"makes no calls, hears of an outage only", []Status{idle, away, idle}, true},
-		{"makes no calls, hears of an outage and of a served node", []Status{idle, away, served}, false},
-		{"the store answers one node again", []Status{away, back, away}, true},
-		{"the store answers one node again, and another has just started", []Status{back, restarted}, true},
-		{"one node rejected and answered again, another served throughout", []Status{back, served}, false},
+		{"one node without an answer", []Status{outage}, true},
+		{"one node rejected", []Status{outage, served, idle}, false},
+		{"another node rejected", []Status{served, outage, idle}, false},
+		{"one node rejected, the others have just started", []Status{outage, restarted, idle}, false},
+		{"all nodes rejected", []Status{outage, outage, outage}, true},
+		{"the others make no calls", []Status{outage, idle, idle}, true},
+		{"makes no calls, hears of an outage only", []Status{idle, outage, idle}, true},
+		{"makes no calls, hears of an outage and of a served node", []Status{idle, outage, served}, false},
+		{"the store answers one node again", []Status{outage, recovered, outage}, true},
+		{"the store answers one node again, and another has just started", []Status{recovered, restarted}, true},
+		{"one node rejected and answered again, another served throughout", []Status{recovered, served}, false},
 		{"all nodes have just started", []Status{idle, idle}, false},
 	}
 	for _, c := range cases {
--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -84,10 +84,10 @@
 func TestRegistriesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(0, 0))
-		books := []*citronlimit.Registry{newRegistry(clock), newRegistry(clock), newRegistry(clock)}
+		registries := []*citronlimit.Registry{newRegistry(clock), newRegistry(clock), newRegistry(clock)}
 		engines := []string{"i-1", "i-2"}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			b := rapid.SampledFrom(books).Draw(t, "book")
+			b := rapid.SampledFrom(registries).Draw(t, "book")
 			e := rapid.SampledFrom(engines).Draw(t, "engine")
 			clock.Advance(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
@@ -98,27 +98,27 @@
 			case 1:
 				b.Observe(e, b.Get(e), citronupstream.NoRateLimit{})
 			case 2:
-				if err := rapid.SampledFrom(books).Draw(t, "other").Merge(b.All()); err != nil {
+				if err := rapid.SampledFrom(registries).Draw(t, "other").Merge(b.All()); err != nil {
 					t.Fatal(err)
 				}
 			case 3:
-				if err := rapid.SampledFrom(books).Draw(t, "other").Merge(b.Recent()); err != nil {
+				if err := rapid.SampledFrom(registries).Draw(t, "other").Merge(b.Recent()); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		for range books {
-			for _, b := range books {
-				for _, o := range books {
+		for range registries {
+			for _, b := range registries {
+				for _, o := range registries {
 					if err := o.Merge(b.All()); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 		}
-		for _, b := range books[1:] {
-			if b.Sum() != books[0].Sum() {
-				t.Fatalf("books have different records: %v and %v", books[0].All(), b.All())
+		for _, b := range registries[1:] {
+			if b.Sum() != registries[0].Sum() {
+				t.Fatalf("registries have different records: %v and %v", registries[0].All(), b.All())
 			}
 		}
 	})
--- a/citronlist/lapse_test.go
+++ b/citronlist/lapse_test.go
@@ -75,9 +75,9 @@
 	cases := []struct {
 		name  string
 		drain time.Duration
-		// away is how long the outage lasts after the entries disappeared.
-		away time.Duration
-		gone int
+		// outage is how long the outage lasts after the entries disappeared.
+		outage time.Duration
+		gone   int
 		// until is how long the engines stay in use.
 		until time.Duration
 	}{
@@ -93,7 +93,7 @@
 			is := is.New(t)
 			clock := citronclock.NewManual(time.Unix(1000, 0))
 			l := listWithEngines(t, clock, 12, c.drain)
-			l.Tick(t.Context(), c.away > 0)
+			l.Tick(t.Context(), c.outage > 0)
 			is.True(l.removeEntries(t.Context(), c.gone))
 			const step = 50 * time.Millisecond
 			for since := time.Duration(0); since < 3*time.Second; since += step {
@@ -106,7 +106,7 @@
 				}
 				is.Equal(l.Retained(), want-12+c.gone)
 				clock.Advance(step)
-				l.Tick(t.Context(), since+step < c.away)
+				l.Tick(t.Context(), since+step < c.outage)
 			}
 			is.Equal(l.Len(), 12-c.gone)
 		})
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -264,8 +264,8 @@
 			statuses = append(statuses, k.Store)
 		}
 	}
-	if away := citronhealth.ConfirmedOutage(statuses...); away != c.storeUnavailable {
-		c.storeUnavailable = away
+	if outage := citronhealth.ConfirmedOutage(statuses...); outage != c.storeUnavailable {
+		c.storeUnavailable = outage
 		c.logStoreStatus(ctx, now, statuses)
 	}
 	c.list.Tick(ctx, c.storeUnavailable)
@@ -297,14 +297,14 @@
 // publishTargets publishes the target layer ranges that this node has chosen as the
 // leader. If it dies, the next leader continues with them.
 func (c *control) publishTargets() {
-	goals := map[string][2]int{}
+	targets := map[string][2]int{}
 	if f := c.n.targets.Load(); f != nil {
 		for id, s := range (*f)() {
-			goals[id] = [2]int{s.From, s.To}
+			targets[id] = [2]int{s.From, s.To}
 		}
 	}
-	if !maps.Equal(goals, c.self.TargetLayers) {
-		c.self.TargetLayers = goals
+	if !maps.Equal(targets, c.self.TargetLayers) {
+		c.self.TargetLayers = targets
 		c.n.notifyPeers()
 	}
 }
--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -227,8 +227,8 @@
 func (n *Node) startPlacing(ctx context.Context) (wait func()) {
 	n.places.Store(true)
 	p := &citronplacer.Placer{EngineClient: n.src.EngineClient, Clock: n.clock, Log: n.log, Current: n.placement}
-	goals := p.Targets
-	n.targets.Store(&goals)
+	targets := p.Targets
+	n.targets.Store(&targets)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/citronnode/suspects.go
+++ b/citronnode/suspects.go
@@ -84,12 +84,12 @@
 // quarantined as a result.
 func (n *Node) mergeRecords(ctx context.Context, from string, entries []citronquarantine.Entry) {
 	for chunk := range slices.Chunk(entries, citronquarantine.MaxGossipRecords) {
-		barred, err := n.quarantine.Merge(chunk)
+		quarantined, err := n.quarantine.Merge(chunk)
 		if err != nil {
 			n.rejectSuspects(ctx, from, err)
 			return
 		}
-		for _, e := range barred {
+		for _, e := range quarantined {
 			citronevent.Log(ctx, n.log, citronevent.RequestQuarantined, "print", e.Fingerprint, "crashes", e.ActiveCrashes(), "source", from)
 		}
 	}
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -18,7 +18,7 @@
 func (f *fleet) quarantinedAt(p citronquarantine.Fingerprint) int {
 	n := 0
 	for _, m := range f.nodes {
-		if _, barred := m.Quarantine().QuarantinedFor(p); barred {
+		if _, quarantined := m.Quarantine().QuarantinedFor(p); quarantined {
 			n++
 		}
 	}
