--- a/citronbudget/budget.go
+++ b/citronbudget/budget.go
@@ -50,7 +50,7 @@
 )
 
 // Usage is the number of requests and retries sent for a service in a window.
-type Usage struct{ Requests, Repeats float64 }
+type Usage struct{ Requests, Retries float64 }
 
 // serviceWindow holds the sliding window and the allowance of one service.
 type serviceWindow struct {
@@ -68,7 +68,7 @@
 // Loan is a number of retries that a node may use in place of the lender,
 // until the lender's allocation interval ends.
 type Loan struct {
-	Repeats int
+	Retries int
 	Until   time.Time
 }
 
@@ -76,7 +76,7 @@
 	var total Usage
 	for _, u := range w.buckets {
 		total.Requests += u.Requests
-		total.Repeats += u.Repeats
+		total.Retries += u.Retries
 	}
 	return total
 }
@@ -94,7 +94,7 @@
 	allocated time.Time
 }
 
-// New returns the budget of the only node of a fleet. Learn sets the number of
+// New returns the budget of the only node of a fleet. UpdateOthers sets the number of
 // nodes.
 func New(l Limits) *Budget {
 	return &Budget{limits: l, nodes: 1, windows: map[string]*serviceWindow{}}
@@ -127,7 +127,7 @@
 func (b *Budget) allocate(w *serviceWindow) float64 {
 	own := w.total()
 	limit := b.limits.Ratio*(own.Requests+w.others.Requests) + b.limits.Slack
-	left := max(0, limit-own.Repeats-w.others.Repeats)
+	left := max(0, limit-own.Retries-w.others.Retries)
 	whole, fraction := math.Modf(b.shareForInterval() * left / float64(b.nodes))
 	if rand.Float64() < fraction {
 		whole++
@@ -144,10 +144,10 @@
 	return allocatableShare / (1 + unreported)
 }
 
-// Learn records what the other nodes have sent, the maximum age of this
+// UpdateOthers records what the other nodes have sent, the maximum age of this
 // information and the number of nodes. It computes new allowances if the
 // current interval has ended.
-func (b *Budget) Learn(others map[string]Usage, updateAge time.Duration, nodes int, now time.Time) {
+func (b *Budget) UpdateOthers(others map[string]Usage, updateAge time.Duration, nodes int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for service, u := range others {
@@ -175,16 +175,16 @@
 	return out
 }
 
-// Request counts a caller's request for a service.
-func (b *Budget) Request(service string, now time.Time) {
+// CountRequest counts a caller's request for a service.
+func (b *Budget) CountRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.windowAt(service, now)
 	w.buckets[w.slot%(bucketsPerWindow+1)].Requests++
 }
 
-// Take counts a retry if the budget allows it, and reports whether it does.
-func (b *Budget) Take(service string, now time.Time) bool {
+// TakeRetry counts a retry if the budget allows it, and reports whether it does.
+func (b *Budget) TakeRetry(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.windowAt(service, now)
@@ -193,7 +193,7 @@
 	} else if !w.takeBorrowed(now) {
 		return false
 	}
-	w.buckets[w.slot%(bucketsPerWindow+1)].Repeats++
+	w.buckets[w.slot%(bucketsPerWindow+1)].Retries++
 	return true
 }
 
@@ -201,8 +201,8 @@
 // there was one. If not, it drops all loans.
 func (w *serviceWindow) takeBorrowed(now time.Time) bool {
 	for i := range w.loans {
-		if l := &w.loans[i]; l.Repeats > 0 && now.Before(l.Until) {
-			l.Repeats--
+		if l := &w.loans[i]; l.Retries > 0 && now.Before(l.Until) {
+			l.Retries--
 			return true
 		}
 	}
@@ -222,15 +222,15 @@
 	w := b.windowAt(service, now)
 	n := max(0, min(want, int(w.allowance)))
 	w.allowance -= float64(n)
-	return Loan{Repeats: n, Until: until}
+	return Loan{Retries: n, Until: until}
 }
 
-// Borrowed adds a loan from another node. It ignores a loan of no retries, and
+// AddLoan adds a loan from another node. It ignores a loan of no retries, and
 // one that ends later than any lender's current interval can.
-func (b *Budget) Borrowed(service string, l Loan, now time.Time) {
+func (b *Budget) AddLoan(service string, l Loan, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if l.Repeats <= 0 || l.Until.Sub(now) > allocationInterval {
+	if l.Retries <= 0 || l.Until.Sub(now) > allocationInterval {
 		return
 	}
 	w := b.windowAt(service, now)
--- a/citronbudget/budget_test.go
+++ b/citronbudget/budget_test.go
@@ -31,7 +31,7 @@
 		at := time.Unix(1000, 0)
 		updates := map[int]citronbudget.Usage{}
 		for _, b := range nodes {
-			b.Learn(nil, updateAge, len(nodes), at)
+			b.UpdateOthers(nil, updateAge, len(nodes), at)
 		}
 		type step struct {
 			at      time.Time
@@ -43,17 +43,17 @@
 			at = at.Add(100 * time.Millisecond)
 			got := 0
 			for _, b := range nodes {
-				b.Request("s", at)
+				b.CountRequest("s", at)
 				// A node in need borrows; the answer may be lost.
 				lender := rapid.IntRange(0, len(nodes)-1).Draw(t, "lender")
 				if nodes[lender] != b {
 					l := nodes[lender].Lend("s", rapid.IntRange(0, 20).Draw(t, "want"), at)
 					if rapid.Bool().Draw(t, "heard") {
-						b.Borrowed("s", l, at)
+						b.AddLoan("s", l, at)
 					}
 				}
 				for range rapid.IntRange(0, 40).Draw(t, "wanted") {
-					if b.Take("s", at) {
+					if b.TakeRetry("s", at) {
 						got++
 					}
 				}
@@ -71,10 +71,10 @@
 				for j, u := range updates {
 					if j != i {
 						others.Requests += u.Requests
-						others.Repeats += u.Repeats
+						others.Retries += u.Retries
 					}
 				}
-				b.Learn(map[string]citronbudget.Usage{"s": others}, updateAge, len(nodes), at)
+				b.UpdateOthers(map[string]citronbudget.Usage{"s": others}, updateAge, len(nodes), at)
 			}
 			sum := 0
 			for _, m := range taken {
@@ -100,16 +100,16 @@
 	is := is.New(t)
 	b := citronbudget.New(limits)
 	at := time.Unix(1000, 0)
-	b.Learn(nil, updateAge, 9, at)
-	b.Request("s", at)
-	b.Learn(nil, updateAge, 9, at.Add(time.Second))
+	b.UpdateOthers(nil, updateAge, 9, at)
+	b.CountRequest("s", at)
+	b.UpdateOthers(nil, updateAge, 9, at.Add(time.Second))
 	got := 0
 	for i := range 80 {
 		now := at.Add(time.Second + time.Duration(i)*100*time.Millisecond)
-		for b.Take("s", now) {
+		for b.TakeRetry("s", now) {
 			got++
 		}
-		b.Learn(map[string]citronbudget.Usage{"s": {}}, updateAge, 9, now)
+		b.UpdateOthers(map[string]citronbudget.Usage{"s": {}}, updateAge, 9, now)
 	}
 	is.True(got > 44) // four times the equal share
 }
@@ -119,12 +119,12 @@
 	is := is.New(t)
 	b := citronbudget.New(limits)
 	at := time.Unix(1000, 0)
-	b.Learn(nil, updateAge, 1, at)
-	for b.Take("s", at) {
+	b.UpdateOthers(nil, updateAge, 1, at)
+	for b.TakeRetry("s", at) {
 	}
 	at = at.Add(11 * time.Second)
-	b.Learn(nil, updateAge, 1, at)
-	is.True(b.Take("s", at))
+	b.UpdateOthers(nil, updateAge, 1, at)
+	is.True(b.TakeRetry("s", at))
 }
 
 // A crash at the peak has used half of the budget of eighty nodes, and each
@@ -136,16 +136,16 @@
 	is := is.New(t)
 	const nodes, requests = 80, 2000.0
 	limit := limits.Ratio*requests + limits.Slack
-	used := citronbudget.Usage{Requests: requests, Repeats: limit / 2}
+	used := citronbudget.Usage{Requests: requests, Retries: limit / 2}
 	at := time.Unix(1000, 0)
 	got := 0
 	for range nodes {
 		b := citronbudget.New(limits)
-		b.Learn(nil, updateAge, nodes, at)
-		b.Request("s", at)
-		b.Learn(map[string]citronbudget.Usage{"s": used}, updateAge, nodes, at.Add(time.Second))
+		b.UpdateOthers(nil, updateAge, nodes, at)
+		b.CountRequest("s", at)
+		b.UpdateOthers(map[string]citronbudget.Usage{"s": used}, updateAge, nodes, at.Add(time.Second))
 		for range 2 {
-			if b.Take("s", at.Add(time.Second)) {
+			if b.TakeRetry("s", at.Add(time.Second)) {
 				got++
 			}
 		}
@@ -169,20 +169,20 @@
 		all := make([]*citronbudget.Budget, nodes)
 		for i := range all {
 			all[i] = citronbudget.New(big)
-			all[i].Learn(nil, updateAge, nodes, at)
-			all[i].Request("s", at)
-			all[i].Learn(map[string]citronbudget.Usage{"s": {Requests: requests}}, updateAge, nodes, at.Add(time.Second))
+			all[i].UpdateOthers(nil, updateAge, nodes, at)
+			all[i].CountRequest("s", at)
+			all[i].UpdateOthers(map[string]citronbudget.Usage{"s": {Requests: requests}}, updateAge, nodes, at.Add(time.Second))
 		}
 		at = at.Add(time.Second)
 		random := rand.New(rand.NewPCG(1, 2))
 		for i := range inNeed * refusedEach {
 			b := all[i/refusedEach]
-			if !b.Take("s", at) {
+			if !b.TakeRetry("s", at) {
 				for range lenders {
 					lender := all[inNeed+random.IntN(nodes-inNeed)]
-					b.Borrowed("s", lender.Lend("s", 4, at), at)
+					b.AddLoan("s", lender.Lend("s", 4, at), at)
 				}
-				if !b.Take("s", at) {
+				if !b.TakeRetry("s", at) {
 					continue
 				}
 			}
@@ -202,18 +202,18 @@
 	is := is.New(t)
 	a, b := citronbudget.New(limits), citronbudget.New(limits)
 	at := time.Unix(1000, 0)
-	a.Learn(nil, updateAge, 2, at)
-	a.Request("s", at)
+	a.UpdateOthers(nil, updateAge, 2, at)
+	a.CountRequest("s", at)
 	at = at.Add(time.Second)
-	a.Learn(nil, updateAge, 2, at)
+	a.UpdateOthers(nil, updateAge, 2, at)
 	l := a.Lend("s", 5, at)
-	is.Equal(l.Repeats, 5)
-	for b.Take("s", at) {
+	is.Equal(l.Retries, 5)
+	for b.TakeRetry("s", at) {
 	}
-	b.Borrowed("s", l, at)
-	is.True(b.Take("s", at))
-	is.True(!b.Take("s", at.Add(time.Second)))
-	is.Equal(a.Lend("s", 5, at.Add(time.Second)).Repeats, 0) // nothing was allocated since
-	b.Borrowed("s", citronbudget.Loan{Repeats: 1000, Until: at.Add(time.Hour)}, at)
-	is.True(!b.Take("s", at.Add(time.Second))) // no node can lend for that long
+	b.AddLoan("s", l, at)
+	is.True(b.TakeRetry("s", at))
+	is.True(!b.TakeRetry("s", at.Add(time.Second)))
+	is.Equal(a.Lend("s", 5, at.Add(time.Second)).Retries, 0) // nothing was allocated since
+	b.AddLoan("s", citronbudget.Loan{Retries: 1000, Until: at.Add(time.Hour)}, at)
+	is.True(!b.TakeRetry("s", at.Add(time.Second))) // no node can lend for that long
 }
--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -74,18 +74,18 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	clock := citronclock.Real{}
-	budget := citronbudget.New(citronbudget.Limits{Ratio: set.RepeatRatio, Slack: set.RepeatSlack, Window: set.RepeatWindow})
+	budget := citronbudget.New(citronbudget.Limits{Ratio: set.RetryRatio, Slack: set.RetrySlack, Window: set.RetryWindow})
 	loads := &citronpool.Loads{}
-	engines := platform.NewEngines()
+	engines := platform.NewEngineClient()
 	registry := prometheus.NewRegistry()
 	node := citronnode.New(citronnode.Settings{
 		Name: set.Name, Zone: set.Zone, Front: set.Front, Peer: set.Peer, Seeds: set.Seeds, Cores: set.Cores,
-		LeaseTTL: max(leaderLease, set.LeaseMin), Grace: set.Grace, Heartbeat: set.Heartbeat, DrainWithin: set.DrainWithin,
+		LeaseTTL: max(leaderLease, set.MinLeaseTTL), Grace: set.Grace, Heartbeat: set.Heartbeat, DrainWithin: set.DrainWithin,
 	}, citronnode.Sources{
 		Store: citronstat.CountStore(platform.NewStore(set.Store), registry), ConfigKey: platform.ConfigKey, EnginePrefix: platform.EnginePrefix,
-		DecodeConfig: platform.DecodeConfig, DecodeEngine: platform.DecodeEngine, Orders: engines,
+		DecodeConfig: platform.DecodeConfig, DecodeEngine: platform.DecodeEngine, EngineClient: engines,
 	}, clock, log, budget, loads, httpClient())
-	citronstat.Node(node.Status, registry)
+	citronstat.RegisterNode(node.Status, registry)
 	forwarder := &citronforward.Forwarder{
 		Zone: set.Zone, Clock: clock, Log: log, Upstream: engines, Budget: budget, Loads: loads,
 		Current: node.Traffic, Metrics: citronforward.NewMetrics(registry), Stopping: node.Stopping, Accuse: node.Accuse, Borrow: node.Borrow, Quarantine: node.Quarantine(), Limits: node.Limits(), Permit: node.Permit, DrainWithin: set.DrainWithin,
@@ -111,7 +111,7 @@
 	metrics := http.NewServeMux()
 	metrics.Handle("/metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	serveOn(set.Front, ingress)
-	serveOn(set.Ready, platform.Ready(node.Ready))
+	serveOn(set.Ready, platform.ReadyHandler(node.Ready))
 	serveOn(set.Peer, peers)
 	serveOn(set.Directory, &platform.Directory{Addresses: node.Addresses, TTL: min(directoryTTL, set.MaxTTL)})
 	serveOn(c.Metrics, metrics)
--- a/citronconfig/config.go
+++ b/citronconfig/config.go
@@ -32,9 +32,9 @@
 
 // Keys in the KV service.
 const (
-	// Key is the key of the head: the active configuration and its change
+	// HeadKey is the key of the head: the active configuration and its change
 	// record.
-	Key = "deck/config/fleet"
+	HeadKey = "deck/config/fleet"
 	// AuditPrefix is the key prefix of the change records of replaced
 	// configurations, one per revision.
 	AuditPrefix = "audit/"
@@ -62,12 +62,12 @@
 	// ErrRace reports that another operator's change was written first.
 	// This change was not written.
 	ErrRace = errors.New("the active fleet changed since it was read")
-	// ErrUnknown reports that the KV service did not confirm the write and
+	// ErrOutcomeUnknown reports that the KV service did not confirm the write and
 	// that its outcome could not be determined.
-	ErrUnknown = errors.New("it is unknown whether the change was written")
+	ErrOutcomeUnknown = errors.New("it is unknown whether the change was written")
 )
 
-// changeRecord returns the change record in a value of Key. A bare fleet text
+// changeRecord returns the change record in a value of HeadKey. A bare fleet text
 // (see parseHead) has no change record, so only its revision is returned.
 func changeRecord(it citronkv.Item) Change {
 	h, ok := parseHead(it)
@@ -86,7 +86,7 @@
 // Current returns the item that holds the active configuration. Its revision
 // is zero if there is none.
 func (c Config) Current(ctx context.Context) (citronkv.Item, error) {
-	it, err := c.KV.Get(ctx, Key)
+	it, err := c.KV.Get(ctx, HeadKey)
 	if errors.Is(err, citronkv.ErrNotFound) {
 		return citronkv.Item{}, nil
 	}
@@ -218,7 +218,7 @@
 func (c Config) writeHead(ctx context.Context, val []byte, ch Change) (citronkv.Revision, error) {
 	replyLost := false
 	for attempt := range maxWriteAttempts {
-		rev, err := c.KV.Put(ctx, Key, val, ch.Previous, 0)
+		rev, err := c.KV.Put(ctx, HeadKey, val, ch.Previous, 0)
 		switch {
 		case err == nil:
 			return rev, nil
@@ -240,13 +240,13 @@
 			break
 		}
 	}
-	return citronkv.Revision{}, errors.Wrapf(ErrUnknown, "change %s", ch.ID)
+	return citronkv.Revision{}, errors.Wrapf(ErrOutcomeUnknown, "change %s", ch.ID)
 }
 
 // findRevision returns the revision that the change with this ID created, or
 // zero if the change is not in the audit trail.
 func (c Config) findRevision(ctx context.Context, id string) (citronkv.Revision, error) {
-	trail, err := c.Trail(ctx)
+	trail, err := c.AuditTrail(ctx)
 	if err != nil {
 		return citronkv.Revision{}, err
 	}
@@ -258,9 +258,9 @@
 	return citronkv.Revision{}, nil
 }
 
-// Trail returns the audit trail, oldest change first. The last element is the
+// AuditTrail returns the audit trail, oldest change first. The last element is the
 // active change.
-func (c Config) Trail(ctx context.Context) ([]Change, error) {
+func (c Config) AuditTrail(ctx context.Context) ([]Change, error) {
 	// The active change must be read first. If it is replaced before the
 	// range is read, its record is found under the audit prefix.
 	cur, err := c.Current(ctx)
--- a/citronconfig/config_test.go
+++ b/citronconfig/config_test.go
@@ -40,7 +40,7 @@
 }
 
 func (s *interleavingStore) Put(ctx context.Context, key string, v []byte, expect citronkv.Revision, l citronkv.LeaseID) (citronkv.Revision, error) {
-	if key == citronconfig.Key && s.beforePut != nil {
+	if key == citronconfig.HeadKey && s.beforePut != nil {
 		f := s.beforePut
 		s.beforePut = nil
 		f()
@@ -119,7 +119,7 @@
 			}
 		}
 		kv.SetFaults(citronkv.Faults{})
-		trail, err := ops[0].Trail(ctx)
+		trail, err := ops[0].AuditTrail(ctx)
 		if err != nil {
 			rt.Fatal(err)
 		}
--- a/citronentry/control.go
+++ b/citronentry/control.go
@@ -27,7 +27,7 @@
 	// attached to that entry's lease.
 	EntriesPrefix = "deck/entries/"
 	// watchPrefix covers EntriesPrefix and the configuration
-	// (citronconfig.Key).
+	// (citronconfig.HeadKey).
 	watchPrefix = "deck/"
 )
 
@@ -48,9 +48,9 @@
 	reportCapacity = 1024
 )
 
-// report tells the control loop that a request or the watchdog found a back
+// backendReport tells the control loop that a request or the watchdog found a back
 // end failing, frozen or leaving.
-type report struct {
+type backendReport struct {
 	backend string
 	reason  citronroute.Reason
 }
@@ -63,7 +63,7 @@
 	// leaving holds the names of the instances that the instance list marks
 	// as leaving.
 	leaving  map[string]bool
-	trouble  troubles
+	failures failureRecords
 	kvUp     bool
 	watchRev citronkv.Revision
 	// loader is used only by the watch goroutine once that has started.
@@ -78,7 +78,7 @@
 
 func newControl(e *Entry) *control {
 	return &control{
-		e: e, loader: &citronconfig.Loader{KV: e.kv}, members: members{}, leaving: map[string]bool{}, trouble: troubles{},
+		e: e, loader: &citronconfig.Loader{KV: e.kv}, members: members{}, leaving: map[string]bool{}, failures: failureRecords{},
 		watchResults: make(chan watchResult, 1), instances: make(chan []citronkv.Instance, 1), probed: make(chan probeResult, 16),
 	}
 }
@@ -115,13 +115,13 @@
 		case list := <-c.instances:
 			c.handleInstances(ctx, list)
 		case r := <-c.e.reports:
-			c.takeReport(ctx, r)
+			c.handleReport(ctx, r)
 		case p := <-c.probed:
-			c.takeProbe(ctx, p)
+			c.handleProbe(ctx, p)
 		case <-tick.C:
 			now := c.e.clock.Now()
 			c.dirty = c.members.removeExpired(now) || c.dirty
-			c.probeDue(ctx, now)
+			c.startDueProbes(ctx, now)
 		}
 		if c.dirty {
 			c.publish()
@@ -133,7 +133,7 @@
 // request handling and resizes the admission gates to match it.
 func (c *control) publish() {
 	c.dirty = false
-	avoid := c.trouble.avoid()
+	avoid := c.failures.avoid()
 	for name := range c.leaving {
 		avoid[name] = citronroute.Leaving
 	}
--- a/citronentry/once.go
+++ b/citronentry/once.go
@@ -54,7 +54,7 @@
 		return a.duplicate(ctx, r, claim)
 	}
 	call := newOnceCall()
-	go a.completeOnce(context.WithoutCancel(ctx), r, claim, call, e.work.acquire())
+	go a.completeOnce(context.WithoutCancel(ctx), r, claim, call, e.inflight.acquire())
 	select {
 	case <-call.answered:
 		return call.res, call.err
@@ -108,7 +108,7 @@
 
 // ledgerRecord returns the ledger record of r in the given state.
 func (a *api) ledgerRecord(r *request, state citronledger.State) citronledger.Record {
-	return citronledger.Record{State: state, Entry: a.e.set.Name, Incarnation: a.e.incarnation, Request: r.id}
+	return citronledger.Record{State: state, Entry: a.e.settings.Name, Incarnation: a.e.incarnation, Request: r.id}
 }
 
 // recordOutcome records the answer of a call in the ledger, or releases the key
@@ -121,7 +121,7 @@
 	case err == nil:
 		rec := a.ledgerRecord(r, citronledger.Done)
 		rec.Tokens, rec.Result = res.Tokens, deref(res.Result)
-		a.e.ledger.Settle(ctx, claim, rec)
+		a.e.ledger.RecordAnswer(ctx, claim, rec)
 	case errors.As(err, &ref) && ref.Code == codeNotRun:
 		a.e.ledger.Release(ctx, claim)
 	}
@@ -140,7 +140,7 @@
 		return res, nil
 	}
 	ref := refusal("in_progress", "a request with this idempotency key was started and has no recorded answer yet; it will not run again", retryAfterBusy)
-	if own := rec.Incarnation == e.incarnation; !own && !e.snap.Load().Lives(rec.Entry, rec.Incarnation) {
+	if own := rec.Incarnation == e.incarnation; !own && !e.snap.Load().HasEntry(rec.Entry, rec.Incarnation) {
 		// The process that ran the request is gone and cannot record an
 		// answer. If it got "in progress", the caller would retry forever.
 		e.metrics.unknown.Add(1)
--- a/citronentry/serve.go
+++ b/citronentry/serve.go
@@ -58,7 +58,7 @@
 // result returns a result with the given outcome and without an answer.
 func (r *request) result(outcome string, e *Entry) *deck.SubmitResult {
 	rev := r.snap.Fleet.Revision.Number()
-	return &deck.SubmitResult{RequestID: r.id, Outcome: outcome, Entry: e.set.Name, Revision: &rev}
+	return &deck.SubmitResult{RequestID: r.id, Outcome: outcome, Entry: e.settings.Name, Revision: &rev}
 }
 
 func deref(s *string) string {
@@ -76,11 +76,11 @@
 func (a *api) Entries(_ context.Context, p *deck.EntriesPayload) (*deck.EntriesResult, error) {
 	s := a.e.snap.Load()
 	var out []*deck.EntryAddr
-	for _, en := range choose(a.e.listed(s), deref(p.Zone)) {
+	for _, en := range chooseEntries(a.e.discoverableEntries(s), deref(p.Zone)) {
 		out = append(out, &deck.EntryAddr{Name: en.Name, Addr: en.Addr, Zone: en.Zone})
 	}
 	rev := s.Fleet.Revision.Number()
-	return &deck.EntriesResult{Entries: out, TTLSeconds: int(a.e.set.DiscoveryTTL / time.Second), Revision: &rev}, nil
+	return &deck.EntriesResult{Entries: out, TTLSeconds: int(a.e.settings.DiscoveryTTL / time.Second), Revision: &rev}, nil
 }
 
 // Submit implements deck.Service.
@@ -115,13 +115,13 @@
 // is not nil, emit(id) returns the function that sends the request's tokens.
 func (a *api) serve(ctx context.Context, p *deck.SubmitPayload, emit func(id string) func(int, string) error) (*deck.SubmitResult, error) {
 	e := a.e
-	if !e.work.enter() {
+	if !e.inflight.enter() {
 		e.metrics.notRun.Add(1)
 		return nil, refusal("draining", "this entry is stopping; ask discovery for another", retryAfterNow)
 	}
-	defer e.work.leave()
+	defer e.inflight.leave()
 
-	r := &request{SubmitPayload: p, id: fmt.Sprintf("%s-%s-%d", e.set.Name, e.incarnation, e.seq.Add(1)), snap: e.snap.Load()}
+	r := &request{SubmitPayload: p, id: fmt.Sprintf("%s-%s-%d", e.settings.Name, e.incarnation, e.seq.Add(1)), snap: e.snap.Load()}
 	if emit != nil {
 		r.emit = emit(r.id)
 	}
@@ -207,7 +207,7 @@
 
 // newPicker returns a Picker of back ends for r.
 func (a *api) newPicker(r *request) citronroute.Picker {
-	return citronroute.Picker{Snapshot: r.snap, Zone: a.e.set.Zone, Now: a.e.clock.Now()}
+	return citronroute.Picker{Snapshot: r.snap, Zone: a.e.settings.Zone, Now: a.e.clock.Now()}
 }
 
 // callFailure classifies a failed call.
@@ -241,10 +241,10 @@
 // reportBackend reports a back end that failed to the control goroutine.
 func (a *api) reportBackend(b *citronroute.Backend, reason citronroute.Reason) {
 	if reason == citronroute.Leaving {
-		b.SaidLeaving(a.e.clock.Now())
+		b.MarkLeaving(a.e.clock.Now())
 	}
 	select {
-	case a.e.reports <- report{backend: b.Spec.Name, reason: reason}:
+	case a.e.reports <- backendReport{backend: b.Spec.Name, reason: reason}:
 	default: // the reports channel is full; the next failure is reported again
 	}
 }
--- a/citronentry/trouble.go
+++ b/citronentry/trouble.go
@@ -41,12 +41,12 @@
 	recoveredAt time.Time
 }
 
-// troubles maps back end names to their failure records. The control goroutine
+// failureRecords maps back end names to their failure records. The control goroutine
 // owns it.
-type troubles map[string]*failureRecord
+type failureRecords map[string]*failureRecord
 
 // avoid returns the back ends that get no new work, with the reasons.
-func (ts troubles) avoid() map[string]citronroute.Reason {
+func (ts failureRecords) avoid() map[string]citronroute.Reason {
 	out := map[string]citronroute.Reason{}
 	for name, t := range ts {
 		if t.recoveredAt.IsZero() {
@@ -58,7 +58,7 @@
 
 // report records a failure of the back end name. It returns true if the back
 // end was considered healthy until then.
-func (ts troubles) report(name string, reason citronroute.Reason, now time.Time) bool {
+func (ts failureRecords) report(name string, reason citronroute.Reason, now time.Time) bool {
 	t := ts[name]
 	if t == nil {
 		ts[name] = &failureRecord{reason: reason, probeDelay: probeInitialDelay, nextProbe: now.Add(probeInitialDelay)}
@@ -80,10 +80,10 @@
 	err     error
 }
 
-// takeReport records a report from traffic or the watchdog. The event is
+// handleReport records a report from traffic or the watchdog. The event is
 // logged only if the back end was considered healthy until then.
-func (c *control) takeReport(ctx context.Context, r report) {
-	if !c.trouble.report(r.backend, r.reason, c.e.clock.Now()) {
+func (c *control) handleReport(ctx context.Context, r backendReport) {
+	if !c.failures.report(r.backend, r.reason, c.e.clock.Now()) {
 		return
 	}
 	c.dirty = true
@@ -94,15 +94,15 @@
 	citronevent.Log(ctx, c.e.log, event, "backend", r.backend, "reason", string(r.reason))
 }
 
-// probeDue starts the probes that are due. It deletes the records of back ends
+// startDueProbes starts the probes that are due. It deletes the records of back ends
 // that recovered more than relapseWindow ago or are no longer configured.
-func (c *control) probeDue(ctx context.Context, now time.Time) {
+func (c *control) startDueProbes(ctx context.Context, now time.Time) {
 	s := c.e.snap.Load()
-	for name, t := range c.trouble {
+	for name, t := range c.failures {
 		b, known := s.Backends[name]
 		switch {
 		case !known, !t.recoveredAt.IsZero() && now.Sub(t.recoveredAt) > relapseWindow:
-			delete(c.trouble, name)
+			delete(c.failures, name)
 		case t.recoveredAt.IsZero() && !t.probing && now.After(t.nextProbe):
 			t.probing = true
 			go c.probe(ctx, b)
@@ -113,7 +113,7 @@
 // probe probes b and hands the result to the control loop.
 func (c *control) probe(ctx context.Context, b *citronroute.Backend) {
 	c.e.metrics.probes.Add(1)
-	pctx, cancel := context.WithTimeout(ctx, c.e.set.ProbeTimeout)
+	pctx, cancel := context.WithTimeout(ctx, c.e.settings.ProbeTimeout)
 	defer cancel()
 	h, err := b.Probe(pctx)
 	select {
@@ -122,10 +122,10 @@
 	}
 }
 
-// takeProbe records the result of a probe: the back end has recovered, or the
+// handleProbe records the result of a probe: the back end has recovered, or the
 // next probe is postponed and the reason updated.
-func (c *control) takeProbe(ctx context.Context, p probeResult) {
-	t := c.trouble[p.backend]
+func (c *control) handleProbe(ctx context.Context, p probeResult) {
+	t := c.failures[p.backend]
 	if t == nil {
 		return
 	}
--- a/citronevent/event.go
+++ b/citronevent/event.go
@@ -56,48 +56,48 @@
 	StageMoved          Event = 316
 	LedgerRetry         Event = 317
 
-	ForwardRefused Event = 500
-	AttemptFailed  Event = 501
-	StreamBroken   Event = 502
-	PartReplaced   Event = 503
-	RepathFailed   Event = 504
-	AnswerSampled  Event = 505
-	StreamLate     Event = 506
-	StreamAsked    Event = 507
-	RunCrashed     Event = 508
-	RequestBarred  Event = 509
-	LimitNamed     Event = 510
-	LimitInvalid   Event = 511
-	LimitHeld      Event = 512
-
-	TableApplied   Event = 600
-	TableRejected  Event = 601
-	EnginesChanged Event = 602
-	EngineRejected Event = 603
-	StoreLost      Event = 604
-	StoreBack      Event = 605
-	MemberJoined   Event = 606
-	MemberLost     Event = 607
-	LeaderElected  Event = 608
-	LeaderResigned Event = 609
-	PlacePlanned   Event = 610
-	PlaceOrdered   Event = 611
-	PlaceFailed    Event = 612
-	GossipFailed   Event = 613
-	LogDropped     Event = 614
-	SettingsReload Event = 615
-	EngineDead     Event = 616
-	LeaderStandsIn Event = 617
-	EngineReborn   Event = 618
-	EntriesKept    Event = 619
-	StoreAway      Event = 620
-	EnginesHeard   Event = 621
-
-	SuspectsRejected Event = 622
-	BarredUnsaved    Event = 623
-	StoreReturned    Event = 624
-	LimitsRejected   Event = 625
-	PermitFailed     Event = 626
+	ForwardRefused     Event = 500
+	AttemptFailed      Event = 501
+	StreamBroken       Event = 502
+	HopReplaced        Event = 503
+	RepathFailed       Event = 504
+	AnswerSampled      Event = 505
+	StreamLate         Event = 506
+	StreamAsked        Event = 507
+	RunCrashed         Event = 508
+	RequestQuarantined Event = 509
+	LimitChanged       Event = 510
+	LimitInvalid       Event = 511
+	LimitHeld          Event = 512
+
+	TableApplied     Event = 600
+	TableRejected    Event = 601
+	EnginesChanged   Event = 602
+	EngineRejected   Event = 603
+	StoreLost        Event = 604
+	StoreBack        Event = 605
+	MemberJoined     Event = 606
+	MemberLost       Event = 607
+	LeaderElected    Event = 608
+	LeaderResigned   Event = 609
+	PlacePlanned     Event = 610
+	PlaceOrdered     Event = 611
+	PlaceFailed      Event = 612
+	GossipFailed     Event = 613
+	LogDropped       Event = 614
+	SettingsReload   Event = 615
+	EngineDead       Event = 616
+	ActingLeader     Event = 617
+	EngineRestarted  Event = 618
+	EntriesRetained  Event = 619
+	StoreUnavailable Event = 620
+	EnginesLearned   Event = 621
+
+	SuspectsRejected  Event = 622
+	QuarantineUnsaved Event = 623
+	StoreRestored     Event = 624
+	LimitsRejected    Event = 625
+	PermitFailed      Event = 626
 
 	// 400 to 403 are reserved.
 )
@@ -145,45 +145,45 @@
 	ForwardRefused:      {slog.LevelWarn, "forward.refused", "the node itself answered a request with an error; gives the reason and how long the request was held"},
 	AttemptFailed:       {slog.LevelWarn, "attempt.failed", "an engine gave no usable response to a call; gives what is known about the failure"},
 	StreamBroken:        {slog.LevelWarn, "stream.broken", "a stream ended before its last event and could not be resumed"},
-	PartReplaced:        {slog.LevelWarn, "part.replaced", "an engine on a running stream's path died, stalled or is leaving; the stream moves to another path"},
+	HopReplaced:         {slog.LevelWarn, "part.replaced", "an engine on a running stream's path died, stalled or is leaving; the stream moves to another path"},
 	RepathFailed:        {slog.LevelWarn, "repath.failed", "an engine did not move a running request to another path"},
 	StreamLate:          {slog.LevelInfo, "stream.late", "a stream completed late: its first event or a pause between events took longer than its route's target; gives how often its path changed (moves)"},
 	StreamAsked:         {slog.LevelInfo, "stream.asked", "the first engine of a stalled stream reported which requests wait for another engine"},
 	RunCrashed:          {slog.LevelWarn, "run.crashed", "an engine ended during a run that had just begun; gives the request's fingerprint and the number of such engines counted for it (crashes)"},
-	RequestBarred:       {slog.LevelWarn, "request.barred", "a request during which several engines crashed is quarantined: no engine gets it for a while; gives its fingerprint, the number of crashes and whether this node or another one saw the last crash (source)"},
-	LimitNamed:          {slog.LevelInfo, "limit.named", "an engine's response changed or removed (limited=false) its rate limit; gives the requests per second that it accepts from all nodes together"},
+	RequestQuarantined:  {slog.LevelWarn, "request.barred", "a request during which several engines crashed is quarantined: no engine gets it for a while; gives its fingerprint, the number of crashes and whether this node or another one saw the last crash (source)"},
+	LimitChanged:        {slog.LevelInfo, "limit.named", "an engine's response changed or removed (limited=false) its rate limit; gives the requests per second that it accepts from all nodes together"},
 	LimitInvalid:        {slog.LevelWarn, "limit.invalid", "an engine's response carried a malformed rate limit, which was ignored; only the first one from each engine is logged"},
 	LimitHeld:           {slog.LevelInfo, "limit.held", "an engine's rate limit kept a request from being sent to it at once: the request waits for that engine or tries another one (outcome=denied); only the first denial of each request is logged"},
 	AnswerSampled:       {slog.LevelInfo, "answer.sampled", "a request was answered in full; only a sample of these is logged"},
 
-	TableApplied:   {slog.LevelInfo, "table.applied", "a node activated a new version of the configuration"},
-	TableRejected:  {slog.LevelError, "table.rejected", "a configuration could not be read; the active one is kept"},
-	EnginesChanged: {slog.LevelInfo, "engines.changed", "the list of engines changed; gives its revision and what changed"},
-	EnginesHeard:   {slog.LevelDebug, "engines.heard", "another node sent a newer list of engines; gives its revision"},
-	EngineRejected: {slog.LevelError, "engine.rejected", "an entry in the list of engines could not be read and is skipped"},
-	StoreLost:      {slog.LevelWarn, "store.lost", "the store does not answer this node; the last known state stays in effect"},
-	StoreBack:      {slog.LevelInfo, "store.back", "the store answers this node again"},
-	MemberJoined:   {slog.LevelInfo, "member.joined", "other nodes appeared, changed their state or came back since the last tick; names a few, and counts the nodes that accept callers (ready) and those that are leaving"},
-	MemberLost:     {slog.LevelWarn, "member.lost", "other nodes sent no update for too long and did not answer a call; gives how many, names a few, and gives the age of the first one's last update"},
-	LeaderElected:  {slog.LevelInfo, "leader.elected", "this node holds the lease that allows it to place layers"},
-	LeaderResigned: {slog.LevelWarn, "leader.resigned", "this node lost the leader lease or could not renew it in time; it sends no more placement orders"},
-	PlacePlanned:   {slog.LevelInfo, "place.planned", "the leader assigned an engine a different layer range; gives the old and the new range"},
-	PlaceOrdered:   {slog.LevelInfo, "place.ordered", "an engine accepted an order to hold a range of layers"},
-	PlaceFailed:    {slog.LevelWarn, "place.failed", "an engine rejected or did not answer a placement order; the next decision is based on the state that the engine reports"},
-	GossipFailed:   {slog.LevelDebug, "gossip.failed", "another node did not answer a gossip exchange"},
-	LogDropped:     {slog.LevelWarn, "log.dropped", "log lines were dropped because the log reader was too slow or an event exceeded its rate; gives how many"},
-	LeaderStandsIn: {slog.LevelWarn, "leader.stands_in", "no node leads and the store does not answer; this node is acting leader and places layers until either changes"},
-	EngineDead:     {slog.LevelWarn, "engine.dead", "an engine that other nodes reported dead (reports gives how many) did not answer the leader either; its layers are placed elsewhere"},
-	EngineReborn:   {slog.LevelWarn, "engine.reborn", "an engine restarted at its address; its previous incarnation and the requests running there have ended"},
-	EntriesKept:    {slog.LevelInfo, "entries.kept", "the set of engines retained although their entries are missing changed; gives how many are retained (kept), some of those that changed, and the reason"},
-	StoreAway:      {slog.LevelWarn, "store.away", "this node began (away=true) or ceased (away=false) to treat the store as unavailable to all nodes that it hears: an outage long enough for entries to expire, and a grace time after it; gives how many of these nodes have no answer (unanswered), have the store back after such an outage (back), were answered recently (answered) and had no such outage (served), and this node's last failed call"},
-	SettingsReload: {slog.LevelInfo, "settings.reload", "a reload was requested; the bounds in the settings file are in effect"},
-
-	StoreReturned:    {slog.LevelWarn, "store.returned", "the store was restored from an older copy; gives the new revision of its list of engines (era.count), the last one known before (was), and how many restored entries this node knows to be outdated (overtaken)"},
-	BarredUnsaved:    {slog.LevelWarn, "barred.unsaved", "the record of a quarantined request could not be written to the store; the write is retried"},
-	LimitsRejected:   {slog.LevelWarn, "limits.rejected", "another node sent an invalid message about engines' rate limits; the whole message was ignored, and only the first one from each node is logged"},
-	PermitFailed:     {slog.LevelDebug, "permit.failed", "the permit issuer of a rate-limited engine did not answer; the request goes to another engine"},
-	SuspectsRejected: {slog.LevelWarn, "suspects.rejected", "another node sent an invalid message about requests that crash engines; the whole message was ignored, and only the first one from each node is logged"},
+	TableApplied:     {slog.LevelInfo, "table.applied", "a node activated a new version of the configuration"},
+	TableRejected:    {slog.LevelError, "table.rejected", "a configuration could not be read; the active one is kept"},
+	EnginesChanged:   {slog.LevelInfo, "engines.changed", "the list of engines changed; gives its revision and what changed"},
+	EnginesLearned:   {slog.LevelDebug, "engines.heard", "another node sent a newer list of engines; gives its revision"},
+	EngineRejected:   {slog.LevelError, "engine.rejected", "an entry in the list of engines could not be read and is skipped"},
+	StoreLost:        {slog.LevelWarn, "store.lost", "the store does not answer this node; the last known state stays in effect"},
+	StoreBack:        {slog.LevelInfo, "store.back", "the store answers this node again"},
+	MemberJoined:     {slog.LevelInfo, "member.joined", "other nodes appeared, changed their state or came back since the last tick; names a few, and counts the nodes that accept callers (ready) and those that are leaving"},
+	MemberLost:       {slog.LevelWarn, "member.lost", "other nodes sent no update for too long and did not answer a call; gives how many, names a few, and gives the age of the first one's last update"},
+	LeaderElected:    {slog.LevelInfo, "leader.elected", "this node holds the lease that allows it to place layers"},
+	LeaderResigned:   {slog.LevelWarn, "leader.resigned", "this node lost the leader lease or could not renew it in time; it sends no more placement orders"},
+	PlacePlanned:     {slog.LevelInfo, "place.planned", "the leader assigned an engine a different layer range; gives the old and the new range"},
+	PlaceOrdered:     {slog.LevelInfo, "place.ordered", "an engine accepted an order to hold a range of layers"},
+	PlaceFailed:      {slog.LevelWarn, "place.failed", "an engine rejected or did not answer a placement order; the next decision is based on the state that the engine reports"},
+	GossipFailed:     {slog.LevelDebug, "gossip.failed", "another node did not answer a gossip exchange"},
+	LogDropped:       {slog.LevelWarn, "log.dropped", "log lines were dropped because the log reader was too slow or an event exceeded its rate; gives how many"},
+	ActingLeader:     {slog.LevelWarn, "leader.stands_in", "no node leads and the store does not answer; this node is acting leader and places layers until either changes"},
+	EngineDead:       {slog.LevelWarn, "engine.dead", "an engine that other nodes reported dead (reports gives how many) did not answer the leader either; its layers are placed elsewhere"},
+	EngineRestarted:  {slog.LevelWarn, "engine.reborn", "an engine restarted at its address; its previous incarnation and the requests running there have ended"},
+	EntriesRetained:  {slog.LevelInfo, "entries.kept", "the set of engines retained although their entries are missing changed; gives how many are retained (kept), some of those that changed, and the reason"},
+	StoreUnavailable: {slog.LevelWarn, "store.away", "this node began (away=true) or ceased (away=false) to treat the store as unavailable to all nodes that it hears: an outage long enough for entries to expire, and a grace time after it; gives how many of these nodes have no answer (unanswered), have the store back after such an outage (back), were answered recently (answered) and had no such outage (served), and this node's last failed call"},
+	SettingsReload:   {slog.LevelInfo, "settings.reload", "a reload was requested; the bounds in the settings file are in effect"},
+
+	StoreRestored:     {slog.LevelWarn, "store.returned", "the store was restored from an older copy; gives the new revision of its list of engines (era.count), the last one known before (was), and how many restored entries this node knows to be outdated (overtaken)"},
+	QuarantineUnsaved: {slog.LevelWarn, "barred.unsaved", "the record of a quarantined request could not be written to the store; the write is retried"},
+	LimitsRejected:    {slog.LevelWarn, "limits.rejected", "another node sent an invalid message about engines' rate limits; the whole message was ignored, and only the first one from each node is logged"},
+	PermitFailed:      {slog.LevelDebug, "permit.failed", "the permit issuer of a rate-limited engine did not answer; the request goes to another engine"},
+	SuspectsRejected:  {slog.LevelWarn, "suspects.rejected", "another node sent an invalid message about requests that crash engines; the whole message was ignored, and only the first one from each node is logged"},
 
 	LedgerRetry: {slog.LevelWarn, "ledger.retry", "recording an outcome in the ledger or releasing a claim failed and is retried"},
 }
--- a/citronexplain/explain.go
+++ b/citronexplain/explain.go
@@ -26,8 +26,8 @@
 type Subject struct {
 	// Request is a request id, and Engine an engine id.
 	Request, Engine string
-	// Print is the fingerprint of a request that was sent under several ids.
-	Print string
+	// Fingerprint is the fingerprint of a request that was sent under several ids.
+	Fingerprint string
 	// Version is a configuration version. It selects the lines in which nodes
 	// report that they activated it.
 	Version int64
@@ -154,7 +154,7 @@
 	var selected []line
 	for _, l := range all {
 		context := l.fields["request"] == nil && l.namesAny(engines) && l.at.After(first) && l.at.Before(last)
-		if l.name == entriesKept {
+		if l.name == entriesRetained {
 			// Whether a node retains a missing engine affects only the requests
 			// at that node.
 			context = context && nodes[l.node]
@@ -171,9 +171,9 @@
 	return selected
 }
 
-// entriesKept is the event by which a node logs the engines that it retains
+// entriesRetained is the event by which a node logs the engines that it retains
 // although their entries are missing.
-const entriesKept = "entries.kept"
+const entriesRetained = "entries.kept"
 
 // engines returns the ids of the engines that the line names.
 func (l line) engines() []string {
@@ -200,8 +200,8 @@
 		return str(l.fields["request"]) == s.Request
 	case s.Engine != "":
 		return slices.Contains(l.engines(), s.Engine)
-	case s.Print != "":
-		return str(l.fields["print"]) == s.Print
+	case s.Fingerprint != "":
+		return str(l.fields["print"]) == s.Fingerprint
 	}
 	return l.name == "table.applied" && str(l.fields["version"]) == strconv.FormatInt(s.Version, 10)
 }
--- a/citronfleet/check.go
+++ b/citronfleet/check.go
@@ -171,7 +171,7 @@
 // are the nodes of a graph, and each layer range is an edge from its start to
 // its end. A path from 0 to layers runs each layer exactly once and in order.
 func (c *checker) checkCover(path string, s Service) {
-	reachable := Reachable(s.Layers, s.Engines)
+	reachable := ReachableBoundaries(s.Layers, s.Engines)
 	for j, e := range s.Engines {
 		ep := fmt.Sprintf("%s.engines[%d].layers", path, j)
 		from, to := e.Range[0], e.Range[1]
@@ -179,29 +179,29 @@
 			c.addProblem(ep, "layers [%d,%d) must lie within [0,%d) and hold at least one layer", from, to, s.Layers)
 			continue
 		}
-		if !reachable.To[from] || !reachable.From[to] {
+		if !reachable.FromStart[from] || !reachable.ToEnd[to] {
 			c.addProblem(ep, "layers [%d,%d) of engine %q lie on no exact cover of layers 0..%d (a gap or an overlap)", from, to, e.Name, s.Layers)
 		}
 	}
-	if !reachable.To[s.Layers] {
+	if !reachable.FromStart[s.Layers] {
 		c.addProblem(path+".engines", "no chain of engines covers layers 0..%d exactly once in order", s.Layers)
 	}
 }
 
-// Cover records which layer boundaries are connected to layer 0 and to the end of
+// Boundaries records which layer boundaries are connected to layer 0 and to the end of
 // the last layer by a chain of engines.
-type Cover struct {
-	// To[b] is true if a chain from layer 0 reaches boundary b.
-	To []bool
-	// From[b] is true if a chain from boundary b reaches the end of the last
+type Boundaries struct {
+	// FromStart[b] is true if a chain from layer 0 reaches boundary b.
+	FromStart []bool
+	// ToEnd[b] is true if a chain from boundary b reaches the end of the last
 	// layer.
-	From []bool
+	ToEnd []bool
 }
 
-// Reachable computes which layer boundaries can be reached from layer 0, and
+// ReachableBoundaries computes which layer boundaries can be reached from layer 0, and
 // from which ones the end of the last layer can be reached. A boundary for
 // which both hold is part of an exact cover of [0, layers).
-func Reachable(layers int, engines []Backend) Cover {
+func ReachableBoundaries(layers int, engines []Backend) Boundaries {
 	to := make([]bool, layers+1)
 	from := make([]bool, layers+1)
 	to[0], from[layers] = true, true
@@ -226,7 +226,7 @@
 			}
 		}
 	}
-	return Cover{To: to, From: from}
+	return Boundaries{FromStart: to, ToEnd: from}
 }
 
 // findCycle returns the names of the services on a dependency cycle, with the
--- a/citronforward/admit.go
+++ b/citronforward/admit.go
@@ -44,23 +44,23 @@
 	return time.Duration(share * float64(max(0, left)))
 }
 
-// room waits for a path with free capacity for the stream and returns it. full reports
-// that paths exist but none has free capacity.
-func (s *streamJob) room(ctx context.Context) (p citronpath.Path, full, ok bool) {
-	until := s.f.Clock.Now().Add(time.Duration(float64(s.route.Target) * capacityWaitShare))
+// awaitCapacity waits for a path with free capacity for the stream and returns it. full
+// reports that paths exist but none has free capacity.
+func (s *streamJob) awaitCapacity(ctx context.Context) (p citronpath.Path, full, ok bool) {
+	until := s.f.Clock.Now().Add(time.Duration(float64(s.route.TargetLatency) * capacityWaitShare))
 	for {
 		state := s.f.Current()
 		p, ok = s.job.path(state, "")
 		if !ok {
 			return nil, false, false
 		}
-		cacheUsage := p.Used(s.query(state, ""))
+		cacheUsage := p.Utilization(s.query(state, ""))
 		if cacheUsage <= maxCacheUsage || s.begun || s.ResumeAfter != "" {
 			return p, false, true
 		}
 		if s.f.Clock.Now().Add(capacityPollInterval).After(until) || s.f.Clock.Sleep(ctx, capacityPollInterval) != nil {
 			s.cacheUsage = cacheUsage
-			s.retryAfter = spreadRetryAfter(s.left(), rand.Float64())
+			s.retryAfter = spreadRetryAfter(s.timeLeft(), rand.Float64())
 			return nil, true, false
 		}
 	}
--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -24,16 +24,16 @@
 )
 
 const (
-	// provenRun is how long a run must continue after its first event to prove that the
+	// minSuccessfulRun is how long a run must continue after its first event to prove that the
 	// request does not crash engines.
-	provenRun = 500 * time.Millisecond
+	minSuccessfulRun = 500 * time.Millisecond
 	// maxCrashReportAge is the maximum age of an engine report that is used to decide
 	// whether the engine ended during a run. It is long enough for streams that break
 	// together to share one report.
 	maxCrashReportAge = 5 * time.Millisecond
 )
 
-const reasonBarred = "engines ended under this request"
+const reasonQuarantined = "engines ended under this request"
 
 // checkQuarantine reports whether the request may run, and refuses it if not. A refused
 // request has not run under this ID and can be sent again once the quarantine ends. The
@@ -44,41 +44,41 @@
 		return end, true
 	}
 	switch v := j.f.Quarantine.Admit(j.fingerprint()).(type) {
-	case citronquarantine.Barred:
-		j.f.refuse(j.Request, j.out, http.StatusServiceUnavailable, v.Left, reasonBarred, "service", j.service.Name, "customer", j.customer, "print", j.fingerprint(), "crashes", v.Crashes)
+	case citronquarantine.Quarantined:
+		j.f.refuse(j.Request, j.out, http.StatusServiceUnavailable, v.RetryAfter, reasonQuarantined, "service", j.service.Name, "customer", j.customer, "print", j.fingerprint(), "crashes", v.Crashes)
 		return end, false
-	case citronquarantine.Trial:
+	case citronquarantine.TrialRun:
 		return v.End, true
 	}
 	return end, true
 }
 
-// barred reports whether the request has been quarantined since it was admitted.
-func (j *job) barred() bool {
+// isQuarantined reports whether the request has been quarantined since it was admitted.
+func (j *job) isQuarantined() bool {
 	if j.f.Quarantine.Empty() {
 		return false
 	}
-	left, barred := j.f.Quarantine.Blocked(j.fingerprint())
-	if barred {
+	left, quarantined := j.f.Quarantine.QuarantinedFor(j.fingerprint())
+	if quarantined {
 		j.retryAfter = left
 	}
-	return barred
+	return quarantined
 }
 
-// suspect reports whether the request is a suspect: it is quarantined, or one more crash
+// isSuspect reports whether the request is a suspect: it is quarantined, or one more crash
 // would quarantine it.
-func (j *job) suspect() bool {
-	return !j.f.Quarantine.Empty() && j.f.Quarantine.Suspect(j.fingerprint())
+func (j *job) isSuspect() bool {
+	return !j.f.Quarantine.Empty() && j.f.Quarantine.IsSuspect(j.fingerprint())
 }
 
-// proven records that the request has run successfully.
-func (j *job) proven() {
-	if j.sound {
+// markSuccessful records that the request has run successfully.
+func (j *job) markSuccessful() {
+	if j.ranSuccessfully {
 		return
 	}
-	j.sound = true
+	j.ranSuccessfully = true
 	if !j.f.Quarantine.Empty() {
-		j.f.Quarantine.Succeeded(j.fingerprint())
+		j.f.Quarantine.RecordSuccess(j.fingerprint())
 	}
 }
 
@@ -86,18 +86,18 @@
 // at began. If it did, noteCrash records a crash, unless the request has already run
 // successfully.
 func (j *job) noteCrash(ctx context.Context, e *citronpool.Engine, began time.Time) {
-	if !j.f.hasEnded(ctx, e) || j.sound {
+	if !j.f.hasEnded(ctx, e) || j.ranSuccessfully {
 		return
 	}
-	r, changed := j.f.Quarantine.Crashed(j.fingerprint(), e.ID, began)
+	r, changed := j.f.Quarantine.RecordCrash(j.fingerprint(), e.ID, began)
 	if !changed {
 		return
 	}
-	args := []any{"request", j.ID, "print", j.fingerprint(), "engine", e.ID, "peer", e.Addr, "crashes", r.Standing()}
+	args := []any{"request", j.ID, "print", j.fingerprint(), "engine", e.ID, "peer", e.Addr, "crashes", r.ActiveCrashes()}
 	citronevent.Log(ctx, j.f.Log, citronevent.RunCrashed, args...)
 	j.f.Metrics.Crashes.Inc()
-	if j.barred() {
-		citronevent.Log(ctx, j.f.Log, citronevent.RequestBarred, append(args, "source", "own")...)
+	if j.isQuarantined() {
+		citronevent.Log(ctx, j.f.Log, citronevent.RequestQuarantined, append(args, "source", "own")...)
 	}
 }
 
@@ -107,12 +107,12 @@
 	if e.Ended() {
 		return true
 	}
-	report, err := f.probes.Ask(context.WithoutCancel(ctx), f.Upstream, e.Addr, maxCrashReportAge)
+	report, err := f.probes.Report(context.WithoutCancel(ctx), f.Upstream, e.Addr, maxCrashReportAge)
 	switch {
 	case err == nil:
-		citronprobe.Heard(e, report, f.Clock.Now())
+		citronprobe.RecordReport(e, report, f.Clock.Now())
 	case errors.Is(err, syscall.ECONNREFUSED):
-		citronprobe.Dead(e, err, f.Clock.Now())
+		citronprobe.RecordDead(e, err, f.Clock.Now())
 	}
 	return e.Ended()
 }
--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -22,7 +22,7 @@
 		crashed[c.Engine.Addr] = true
 		r.engines.mu.Unlock()
 		rep := reply(200, "")
-		rep.Body = breaking{strings.NewReader(text), io.ErrUnexpectedEOF}
+		rep.Body = failingBody{strings.NewReader(text), io.ErrUnexpectedEOF}
 		return rep, nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
@@ -42,7 +42,7 @@
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		rep, err := report(addr)
 		if err != nil {
-			return citronupstream.Report{Holds: &citronmodel.Span{}}, nil
+			return citronupstream.Report{Layers: &citronmodel.Span{}}, nil
 		}
 		return rep, nil
 	}
@@ -150,7 +150,7 @@
 	r := newRig(t, engine("m1", "a", 0, 4), engine("m2", "a", 4, 8), engine("m3", "a", 4, 8), engine("m4", "a", 4, 8))
 	r.engines.answer = func(ctx context.Context, _ int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, "")
-		rep.Body = silent{strings.NewReader(events(1, 1)), ctx}
+		rep.Body = stallingBody{strings.NewReader(events(1, 1)), ctx}
 		return rep, nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -61,9 +61,9 @@
 	View  *citronpool.View
 	// ListRevision is the revision of the engine list from which View was built.
 	ListRevision citronkv.Revision
-	// Others maps each zone to the cache, in tokens, that requests of other nodes
+	// OtherNodesCache maps each zone to the cache, in tokens, that requests of other nodes
 	// occupy there.
-	Others map[string]int64
+	OtherNodesCache map[string]int64
 }
 
 // Forwarder forwards requests to engines.
@@ -92,7 +92,7 @@
 	// Stopping reports whether this node is stopping, and how far it has got.
 	Stopping func() Stopping
 	// Limits holds the rate limits that engines announce in their responses.
-	Limits *citronlimit.Book
+	Limits *citronlimit.Registry
 	// Permit requests a permit to send one request to an engine that has a rate limit.
 	// maxWait is how long the request can wait for the permit.
 	Permit func(ctx context.Context, e *citronpool.Engine, maxWait time.Duration) citronpermit.Decision
@@ -137,10 +137,10 @@
 	// runs counts the engines that may have run the request; refused counts the engines
 	// that did not run it.
 	runs, refused int
-	// lostRuns counts the runs on engines whose process has ended since.
-	lostRuns int
-	// sound reports whether the request has run successfully under this ID.
-	sound bool
+	// runsOnEndedEngines counts the runs on engines whose process has ended since.
+	runsOnEndedEngines int
+	// ranSuccessfully reports whether the request has run successfully under this ID.
+	ranSuccessfully bool
 	// cacheUsage is the cache usage of the fullest engine on the best path, set if the
 	// request is refused because of it.
 	cacheUsage float64
@@ -149,17 +149,17 @@
 	retryAfter time.Duration
 	// permits tracks the permits requested from engines that have a rate limit.
 	permits permits
-	// limit is the limit that prevented the last retry, if any.
-	limit retryLimit
+	// reachedLimit is the limit that prevented the last retry, if any.
+	reachedLimit retryLimit
 	// cachedFingerprint is the request's fingerprint, nil until it is first needed.
-	cachedFingerprint *citronquarantine.Print
+	cachedFingerprint *citronquarantine.Fingerprint
 }
 
 // fingerprint returns the fingerprint that identifies the request when the client sends
 // it again. It is computed on first use, because most requests never need it.
-func (j *job) fingerprint() citronquarantine.Print {
+func (j *job) fingerprint() citronquarantine.Fingerprint {
 	if j.cachedFingerprint == nil {
-		p := citronquarantine.PrintOf(j.customer, j.Method, j.Host, j.Target, j.Body)
+		p := citronquarantine.FingerprintOf(j.customer, j.Method, j.Host, j.Target, j.Body)
 		j.cachedFingerprint = &p
 	}
 	return *j.cachedFingerprint
@@ -215,7 +215,7 @@
 		return
 	}
 	f.Metrics.Requests.WithLabelValues(j.route.Kind.String()).Inc()
-	f.Budget.Request(j.service.Name, r.Received)
+	f.Budget.CountRequest(j.service.Name, r.Received)
 	end, ok := j.checkQuarantine()
 	if !ok {
 		return
@@ -224,7 +224,7 @@
 	ctx, cancel := context.WithDeadline(ctx, j.deadline)
 	defer cancel()
 	if j.route.Kind == citrontable.Streaming {
-		j.stream(ctx)
+		j.serveStream(ctx)
 		return
 	}
 	j.serveUnary(ctx)
@@ -237,8 +237,8 @@
 	// Since is the time since the shutdown began; Left is how long the node will still
 	// serve.
 	Since, Left time.Duration
-	// Others reports whether another node accepts client requests.
-	Others bool
+	// OtherNodeServing reports whether another node accepts client requests.
+	OtherNodeServing bool
 }
 
 const (
@@ -266,10 +266,10 @@
 		return false
 	}
 	st := j.f.Stopping()
-	duration := j.left()
+	duration := j.timeLeft()
 	if j.route.Kind == citrontable.Streaming {
 		duration = min(duration, maxFirstEvent+maxTokenTime*time.Duration(j.OutputTokens))
-		if st.Since < stopAccept || !st.Others && st.Since < stopAcceptAlone {
+		if st.Since < stopAccept || !st.OtherNodeServing && st.Since < stopAcceptAlone {
 			return false
 		}
 	}
@@ -277,7 +277,7 @@
 		return false
 	}
 	after := retryStopped
-	if st.Others {
+	if st.OtherNodeServing {
 		after = 0
 	}
 	j.f.refuse(j.Request, j.out, http.StatusServiceUnavailable, after, "this node is stopping")
@@ -304,7 +304,7 @@
 		f.refuse(r, out, http.StatusRequestEntityTooLarge, -1, "body is over the limit")
 		return nil, false
 	}
-	name := route.Pick(rand.Float64())
+	name := route.PickService(rand.Float64())
 	j.service, ok = s.Table.Services[name]
 	if !ok {
 		j.service = citrontable.Service{Name: name}
@@ -341,7 +341,7 @@
 func (j *job) giveUp(ctx context.Context, reason string) {
 	status := http.StatusServiceUnavailable
 	after := j.retryAfter
-	if j.runs+j.lostRuns > 0 {
+	if j.runs+j.runsOnEndedEngines > 0 {
 		// An engine may have run the request, so the response must not invite a retry.
 		status = http.StatusBadGateway
 		if ctx.Err() != nil {
@@ -349,28 +349,28 @@
 		}
 		after = -1
 	}
-	j.f.refuse(j.Request, j.out, status, after, reason, "service", j.service.Name, "customer", j.customer, "print", j.fingerprint(), "runs", j.runs+j.lostRuns, "refused", j.refused, "limit", j.limit, "used", math.Round(100*j.cacheUsage)/100)
+	j.f.refuse(j.Request, j.out, status, after, reason, "service", j.service.Name, "customer", j.customer, "print", j.fingerprint(), "runs", j.runs+j.runsOnEndedEngines, "refused", j.refused, "limit", j.reachedLimit, "used", math.Round(100*j.cacheUsage)/100)
 }
 
-// left returns the time until the deadline, negative if it has passed.
-func (j *job) left() time.Duration { return j.deadline.Sub(j.f.Clock.Now()) }
+// timeLeft returns the time until the deadline, negative if it has passed.
+func (j *job) timeLeft() time.Duration { return j.deadline.Sub(j.f.Clock.Now()) }
 
 // mayRetry reports whether the request may be retried after an engine may have run it.
 // If so, it charges the retry to the budget.
 func (j *job) mayRetry() bool {
-	return j.within(crashesUsed, !j.suspect()) && j.within(attemptsUsed, j.route.Idempotent() && j.runs < max(1, j.route.MaxAttempts)) && j.takeBudget()
+	return j.within(crashesUsed, !j.isSuspect()) && j.within(attemptsUsed, j.route.Idempotent() && j.runs < max(1, j.route.MaxAttempts)) && j.takeBudget()
 }
 
-// mayMove reports whether the request may be sent to another engine after one refused
-// it without running it. If so, it charges the retry to the budget.
-func (j *job) mayMove() bool {
+// mayTryNextEngine reports whether the request may be sent to another engine after one
+// refused it without running it. If so, it charges the retry to the budget.
+func (j *job) mayTryNextEngine() bool {
 	return j.within(refusalsUsed, j.refused <= maxRefused) && j.takeBudget()
 }
 
 // within returns ok. If ok is false, it records l as the limit that was reached.
 func (j *job) within(l retryLimit, ok bool) bool {
 	if !ok {
-		j.limit = l
+		j.reachedLimit = l
 	}
 	return ok
 }
@@ -383,8 +383,8 @@
 // up, and reports whether it succeeded.
 func (j *job) takeBudget() bool {
 	for attempt := 0; ; attempt++ {
-		if j.f.Budget.Take(j.service.Name, j.f.Clock.Now()) {
-			j.limit = ""
+		if j.f.Budget.TakeRetry(j.service.Name, j.f.Clock.Now()) {
+			j.reachedLimit = ""
 			return true
 		}
 		if attempt == maxBorrowAttempts || j.f.Borrow == nil || !j.f.Borrow(j.service.Name) {
@@ -392,6 +392,6 @@
 		}
 	}
 	j.f.Metrics.BudgetSpent.Inc()
-	j.limit = budgetUsed
+	j.reachedLimit = budgetUsed
 	return false
 }
--- a/citronforward/leaving.go
+++ b/citronforward/leaving.go
@@ -24,9 +24,9 @@
 	drainMargin = 400 * time.Millisecond
 	// minMoveWindow is the minimum time over which streams move.
 	minMoveWindow = 200 * time.Millisecond
-	// leaveAgain is how often a stream checks whether another engine of the zone has
+	// leaveCheckInterval is how often a stream checks whether another engine of the zone has
 	// loaded the layers.
-	leaveAgain = 150 * time.Millisecond
+	leaveCheckInterval = 150 * time.Millisecond
 	// defaultDrain is the drain period if the settings do not state one.
 	defaultDrain = 2 * time.Second
 )
@@ -51,21 +51,21 @@
 	return defaultDrain
 }
 
-// leavingPart returns the index of the first hop whose engine is leaving or no longer
+// leavingHop returns the index of the first hop whose engine is leaving or no longer
 // in the engine list. It returns -1 if there is none or this stream is not yet due to
 // move.
-func (w *watch) leavingPart(now time.Time) int {
+func (w *watch) leavingHop(now time.Time) int {
 	view := w.s.f.Current().View
 	for i, h := range w.s.path {
 		e, ok := view.ByID(h.Engine.ID)
 		if ok && !e.Leaving {
 			continue
 		}
-		if w.leaveAt.IsZero() {
-			w.leftAt = now
-			w.leaveAt = now.Add(replacementWait + rand.N(moveWindow(w.s.f.drainPeriod())))
+		if w.moveAt.IsZero() {
+			w.leavingSince = now
+			w.moveAt = now.Add(replacementWait + rand.N(moveWindow(w.s.f.drainPeriod())))
 		}
-		if now.After(w.leaveAt) {
+		if now.After(w.moveAt) {
 			return i
 		}
 		return -1
@@ -73,13 +73,13 @@
 	return -1
 }
 
-// mayWaitToLeave reports whether a stream that would have to move to another zone may
+// mayStayOnLeaving reports whether a stream that would have to move to another zone may
 // stay a little longer, because its own zone may soon have a complete replica again. If
 // so, it sets the time of the next check.
-func (w *watch) mayWaitToLeave(now time.Time) bool {
-	if now.Sub(w.leftAt) >= maxZoneWait(w.s.f.drainPeriod()) {
+func (w *watch) mayStayOnLeaving(now time.Time) bool {
+	if now.Sub(w.leavingSince) >= maxZoneWait(w.s.f.drainPeriod()) {
 		return false
 	}
-	w.leaveAt = now.Add(leaveAgain)
+	w.moveAt = now.Add(leaveCheckInterval)
 	return true
 }
--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -49,11 +49,11 @@
 	freeIn time.Duration
 }
 
-// permitted takes a permit for each of the given engines that has a rate limit. It
+// takePermits takes a permit for each of the given engines that has a rate limit. It
 // reports whether the request may be sent to all of them.
-func (j *job) permitted(ctx context.Context, engines ...*citronpool.Engine) bool {
+func (j *job) takePermits(ctx context.Context, engines ...*citronpool.Engine) bool {
 	for _, e := range engines {
-		if j.f.Limits.Of(e.ID).Limited && !j.takePermit(ctx, e) {
+		if j.f.Limits.Get(e.ID).Limited && !j.takePermit(ctx, e) {
 			return false
 		}
 	}
@@ -66,11 +66,11 @@
 	switch d := j.requestPermit(ctx, e).(type) {
 	case citronpermit.Granted:
 		j.f.Metrics.Permits.WithLabelValues("granted").Inc()
-		if d.After <= 0 {
+		if d.Wait <= 0 {
 			return true
 		}
-		j.logLimitHeld(e, "waits", d.After)
-		return j.f.Clock.Sleep(ctx, d.After) == nil && j.stillHealthy(e)
+		j.logLimitHeld(e, "waits", d.Wait)
+		return j.f.Clock.Sleep(ctx, d.Wait) == nil && j.stillHealthy(e)
 	case citronpermit.Denied:
 		j.f.Metrics.Permits.WithLabelValues("denied").Inc()
 		j.noteDenial(e, d)
@@ -83,7 +83,7 @@
 func (j *job) requestPermit(ctx context.Context, e *citronpool.Engine) citronpermit.Decision {
 	maxWait := j.maxPermitWait()
 	if throttled := e.ThrottledFor(j.f.Clock.Now()); throttled > maxWait {
-		return citronpermit.Denied{Free: throttled, Again: throttled}
+		return citronpermit.Denied{AvailableIn: throttled, RetryAfter: throttled}
 	}
 	return j.f.Permit(ctx, e, maxWait)
 }
@@ -93,9 +93,9 @@
 	if !j.permits.mayWait {
 		return 0
 	}
-	maxWait := time.Duration(maxPermitWaitShare * float64(max(0, j.left())))
-	if j.route.Kind == citrontable.Streaming && j.route.Target > 0 {
-		maxWait = min(maxWait, maxPermitWaitTargets*j.route.Target)
+	maxWait := time.Duration(maxPermitWaitShare * float64(max(0, j.timeLeft())))
+	if j.route.Kind == citrontable.Streaming && j.route.TargetLatency > 0 {
+		maxWait = min(maxWait, maxPermitWaitTargets*j.route.TargetLatency)
 	}
 	return maxWait
 }
@@ -103,12 +103,12 @@
 // noteDenial records a denied permit, so that this node skips the engine until it may
 // ask again.
 func (j *job) noteDenial(e *citronpool.Engine, d citronpermit.Denied) {
-	e.Throttle(j.f.Clock.Now(), d.Again)
+	e.Throttle(j.f.Clock.Now(), d.RetryAfter)
 	if j.permits.denials == 0 {
-		j.logLimitHeld(e, "denied", d.Free)
+		j.logLimitHeld(e, "denied", d.AvailableIn)
 	}
-	if j.permits.denials == 0 || d.Free < j.permits.freeIn {
-		j.permits.freeIn = d.Free
+	if j.permits.denials == 0 || d.AvailableIn < j.permits.freeIn {
+		j.permits.freeIn = d.AvailableIn
 	}
 	j.permits.denials++
 	switch {
@@ -122,7 +122,7 @@
 // avoidLimited excludes all engines that have a rate limit from this request.
 func (j *job) avoidLimited() {
 	for _, e := range j.f.Current().View.ByService[j.service.Name] {
-		if j.f.Limits.Of(e.ID).Limited {
+		if j.f.Limits.Get(e.ID).Limited {
 			j.avoid[e.ID] = true
 		}
 	}
@@ -132,31 +132,31 @@
 // for its permit.
 func (j *job) stillHealthy(e *citronpool.Engine) bool {
 	now, ok := j.f.Current().View.ByID(e.ID)
-	return ok && now.Sound(j.f.Clock.Now())
+	return ok && now.Healthy(j.f.Clock.Now())
 }
 
 // logLimitHeld logs that an engine's rate limit delays the request or rejects it.
 func (j *job) logLimitHeld(e *citronpool.Engine, outcome string, wait time.Duration) {
-	citronevent.Log(context.Background(), j.f.Log, citronevent.LimitHeld, "request", j.ID, "service", j.service.Name, "engine", e.ID, "peer", e.Addr, "perSecond", j.f.Limits.Of(e.ID).PerSecond, "outcome", outcome, "wait", wait)
+	citronevent.Log(context.Background(), j.f.Log, citronevent.LimitHeld, "request", j.ID, "service", j.service.Name, "engine", e.ID, "peer", e.Addr, "perSecond", j.f.Limits.Get(e.ID).PerSecond, "outcome", outcome, "wait", wait)
 }
 
-// waitsForPermit lets a request that no engine can accept at once select engines whose
+// beginPermitWait lets a request that no engine can accept at once select engines whose
 // rate limit admits it later. It reports whether there may be any.
-func (j *job) waitsForPermit() bool {
-	if j.permits.mayWait || j.f.Limits.Limited() == 0 {
+func (j *job) beginPermitWait() bool {
+	if j.permits.mayWait || j.f.Limits.CountLimited() == 0 {
 		return false
 	}
 	j.permits.mayWait = true
 	return true
 }
 
-// limitsUsedUp reports whether the request is refused because of rate limits. If so, it
+// rateLimitsExhausted reports whether the request is refused because of rate limits. If so, it
 // sets retryAfter to a delay after which a permit should be available.
-func (j *job) limitsUsedUp() bool {
+func (j *job) rateLimitsExhausted() bool {
 	if j.permits.denials == 0 {
 		return false
 	}
-	j.retryAfter = max(j.permits.freeIn, spreadRetryAfter(j.left(), rand.Float64()))
+	j.retryAfter = max(j.permits.freeIn, spreadRetryAfter(j.timeLeft(), rand.Float64()))
 	return true
 }
 
@@ -166,11 +166,11 @@
 	if len(p) == 0 {
 		return []*citronpool.Engine{e}
 	}
-	return engines(p)
+	return pathEngines(p)
 }
 
-// engines returns the engines of a path.
-func engines(p citronpath.Path) []*citronpool.Engine {
+// pathEngines returns the engines of a path.
+func pathEngines(p citronpath.Path) []*citronpool.Engine {
 	out := make([]*citronpool.Engine, len(p))
 	for i, h := range p {
 		out[i] = h.Engine
@@ -178,8 +178,8 @@
 	return out
 }
 
-// added returns the engines of a path that the stream does not run on yet.
-func (s *streamJob) added(p citronpath.Path) []*citronpool.Engine {
+// addedEngines returns the engines of a path that the stream does not run on yet.
+func (s *streamJob) addedEngines(p citronpath.Path) []*citronpool.Engine {
 	var out []*citronpool.Engine
 	for _, h := range p {
 		if !s.path.Has(h.Engine.ID) {
@@ -189,22 +189,22 @@
 	return out
 }
 
-// mayAdd takes a permit to move a running stream to an engine, and reports whether the
-// move is allowed.
-func (f *Forwarder) mayAdd(ctx context.Context, e *citronpool.Engine) bool {
-	if !f.Limits.Of(e.ID).Limited {
+// takeMovePermit takes a permit to move a running stream to an engine, and reports whether
+// the move is allowed.
+func (f *Forwarder) takeMovePermit(ctx context.Context, e *citronpool.Engine) bool {
+	if !f.Limits.Get(e.ID).Limited {
 		return true
 	}
 	d, denied := f.Permit(ctx, e, 0).(citronpermit.Denied)
 	if denied {
-		e.Throttle(f.Clock.Now(), d.Again)
+		e.Throttle(f.Clock.Now(), d.RetryAfter)
 	}
 	return !denied
 }
 
 // send sends a call and records the rate limit that the response announces.
 func (f *Forwarder) send(ctx context.Context, c citronupstream.Call) (*citronupstream.Reply, error) {
-	before := f.Limits.Of(c.Engine.ID)
+	before := f.Limits.Get(c.Engine.ID)
 	if before.Limited {
 		f.Metrics.LimitedSends.Inc()
 	}
@@ -223,7 +223,7 @@
 	}
 	switch l := reply.RateLimit.(type) {
 	case citronupstream.NoRateLimit:
-		if !reply.Signed {
+		if !reply.FromEngine {
 			return
 		}
 	case citronupstream.InvalidRateLimit:
@@ -233,7 +233,7 @@
 		}
 		return
 	}
-	if r, changed := f.Limits.Heard(c.Engine.ID, before, reply.RateLimit); changed {
-		citronevent.Log(ctx, f.Log, citronevent.LimitNamed, "engine", c.Engine.ID, "peer", c.Engine.Addr, "request", c.ID, "limited", r.Limited, "perSecond", r.PerSecond, "version", r.Version)
+	if r, changed := f.Limits.Observe(c.Engine.ID, before, reply.RateLimit); changed {
+		citronevent.Log(ctx, f.Log, citronevent.LimitChanged, "engine", c.Engine.ID, "peer", c.Engine.Addr, "request", c.ID, "limited", r.Limited, "perSecond", r.PerSecond, "version", r.Version)
 	}
 }
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -19,7 +19,7 @@
 func (r *rig) limit(decide map[string]citronpermit.Decision) (asked map[string][]time.Duration) {
 	asked = map[string][]time.Duration{}
 	for id := range decide {
-		r.Limits.Heard(id, r.Limits.Of(id), citronupstream.PerSecond(2))
+		r.Limits.Observe(id, r.Limits.Get(id), citronupstream.PerSecond(2))
 	}
 	r.Permit = func(_ context.Context, e *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
 		asked[e.ID] = append(asked[e.ID], maxWait)
@@ -35,7 +35,7 @@
 	return reply(http.StatusOK, "id: 1\ndata: x\n\n"), nil
 }
 
-var deniedForLong = citronpermit.Denied{Free: 30 * time.Second, Again: 30 * time.Second}
+var deniedForLong = citronpermit.Denied{AvailableIn: 30 * time.Second, RetryAfter: 30 * time.Second}
 
 // Guards against refusing a request although an engine without a rate limit has free
 // capacity.
@@ -52,7 +52,7 @@
 			for _, c := range r.engines.seen() {
 				is.True(c.engine == "p2" || c.engine == "m2")
 			}
-			is.True(len(asked["p1"]) <= 1) // after a denial, no permit is requested before Denied.Again has passed
+			is.True(len(asked["p1"]) <= 1) // after a denial, no permit is requested before Denied.RetryAfter has passed
 			is.True(len(asked["m1"]) <= 1)
 		})
 	}
@@ -66,14 +66,14 @@
 			is := is.New(t)
 			r := newRig(t, plain("p1", "a"), plain("p2", "b"), engine("m1", "a", 0, 8))
 			r.engines.answer = answersOK
-			busy := citronpermit.Denied{Free: 30 * time.Second, Again: time.Millisecond}
+			busy := citronpermit.Denied{AvailableIn: 30 * time.Second, RetryAfter: time.Millisecond}
 			asked := r.limit(map[string]citronpermit.Decision{"p1": busy, "p2": busy, "m1": busy})
 			from := time.Now()
 			c := r.ask(route, 4*time.Second)
 			is.True(c.refused)
 			is.Equal(c.status, http.StatusServiceUnavailable)
-			is.True(c.retryAfter > busy.Free-time.Second)       // part of the delay has passed
-			is.True(route != "stream" || len(asked["m1"]) == 2) // the second permit request may wait
+			is.True(c.retryAfter > busy.AvailableIn-time.Second) // part of the delay has passed
+			is.True(route != "stream" || len(asked["m1"]) == 2)  // the second permit request may wait
 			for _, maxWait := range asked["m1"] {
 				is.True(maxWait <= 200*time.Millisecond) // clients leave a stalled stream
 			}
@@ -92,9 +92,9 @@
 	r.Permit = func(_ context.Context, _ *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
 		asked["p1"] = append(asked["p1"], maxWait)
 		if maxWait == 0 {
-			return citronpermit.Denied{Free: 100 * time.Millisecond, Again: 50 * time.Millisecond}
+			return citronpermit.Denied{AvailableIn: 100 * time.Millisecond, RetryAfter: 50 * time.Millisecond}
 		}
-		return citronpermit.Granted{After: 100 * time.Millisecond}
+		return citronpermit.Granted{Wait: 100 * time.Millisecond}
 	}
 	from := time.Now()
 	is.Equal(r.ask("unsafe", time.Second).status, http.StatusOK)
@@ -109,10 +109,10 @@
 	is := is.New(t)
 	r := newRig(t, plain("p1", "a"))
 	r.engines.answer = answersOK
-	r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{After: 100 * time.Millisecond}})
+	r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{Wait: 100 * time.Millisecond}})
 	time.AfterFunc(30*time.Millisecond, func() {
 		e, _ := r.view.ByID("p1")
-		e.Replace(time.Now())
+		e.MarkReplaced(time.Now())
 	})
 	is.True(r.ask("unsafe", time.Second).refused)
 	is.Equal(len(r.engines.seen()), 0)
@@ -149,7 +149,7 @@
 		dead := ""
 		r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 			dead = c.Hops[1].Engine.Addr
-			return stuckUntil(ctx, moved), nil
+			return stalledStream(ctx, moved), nil
 		}
 		r.engines.report = func(addr string) (citronupstream.Report, error) {
 			if addr == dead {
@@ -178,9 +178,9 @@
 		ends  bool
 	}{
 		{"its own", func() *citronupstream.Reply { return reply(http.StatusOK, "ok") }, true},
-		{"unsigned", func() *citronupstream.Reply { r := reply(http.StatusOK, "ok"); r.Signed = false; return r }, false},
-		{"a refusal", func() *citronupstream.Reply { return shed("") }, false},
-		{"of another engine", func() *citronupstream.Reply { r := shed(""); r.Status = http.StatusMisdirectedRequest; return r }, false},
+		{"unsigned", func() *citronupstream.Reply { r := reply(http.StatusOK, "ok"); r.FromEngine = false; return r }, false},
+		{"a refusal", func() *citronupstream.Reply { return refusal("") }, false},
+		{"of another engine", func() *citronupstream.Reply { r := refusal(""); r.Status = http.StatusMisdirectedRequest; return r }, false},
 		{"an invalid one", func() *citronupstream.Reply {
 			r := reply(http.StatusOK, "ok")
 			r.RateLimit = citronupstream.InvalidRateLimit("soon")
@@ -200,7 +200,7 @@
 				return rep, nil
 			}
 			r.ask("unsafe", time.Second)
-			is.Equal(!r.Limits.Of("p1").Limited, c.ends)
+			is.Equal(!r.Limits.Get("p1").Limited, c.ends)
 		})
 	}
 }
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -32,9 +32,9 @@
 const (
 	// checkInterval is how often a running stream checks its path.
 	checkInterval = 50 * time.Millisecond
-	// quietAfter is the pause between events after which a stalled stream checks
+	// stallCheckDelay is the pause between events after which a stalled stream checks
 	// its path, then again every stalledCheckInterval.
-	quietAfter           = 70 * time.Millisecond
+	stallCheckDelay      = 70 * time.Millisecond
 	stalledCheckInterval = 20 * time.Millisecond
 	// nodePauseThreshold is the time between two checks above which this node
 	// itself must have been paused.
@@ -105,13 +105,13 @@
 	reason string
 	// accused is the probe of an accused engine: one that another engine named as
 	// the cause of a refused request.
-	accused *accusation
+	accused *accusedProbe
 	// switchZoneAt is when the stream moves to another zone.
 	switchZoneAt time.Time
-	// leftAt is when a leaving engine was first seen on the path.
-	leftAt time.Time
-	// leaveAt is when this stream moves away from a leaving engine.
-	leaveAt time.Time
+	// leavingSince is when a leaving engine was first seen on the path.
+	leavingSince time.Time
+	// moveAt is when this stream moves away from a leaving engine.
+	moveAt time.Time
 }
 
 // probeResult is the result of probing the first engine of a path.
@@ -145,7 +145,7 @@
 // onEvent restarts the timer after an event was forwarded. It checks the path if
 // the last check is long enough ago.
 func (w *watch) onEvent() action {
-	w.timer.Reset(quietAfter)
+	w.timer.Reset(stallCheckDelay)
 	if w.s.lastEventAt.Sub(w.checkedAt) < checkInterval {
 		return keepRun
 	}
@@ -184,7 +184,7 @@
 		since = w.s.pathSince
 	}
 	pause := now.Sub(since)
-	if bad := w.accusedPart(now, pause); bad >= 0 {
+	if bad := w.accusedHop(now, pause); bad >= 0 {
 		return w.replace(bad, reasonAccused)
 	}
 	if pause > checkInterval*3 {
@@ -192,7 +192,7 @@
 			return w.replace(bad, reasonDead)
 		}
 	}
-	if bad := w.leavingPart(now); bad >= 0 {
+	if bad := w.leavingHop(now); bad >= 0 {
 		return w.replace(bad, reasonLeaving)
 	}
 	limit := probeAfter
@@ -231,9 +231,9 @@
 	go func() {
 		var wait sync.WaitGroup
 		for _, h := range path[1:] {
-			wait.Go(func() { _ = w.s.f.probe(w.ctx, h.Engine, citronprobe.Fresh) }) // Probe records the result in the engine's state
+			wait.Go(func() { _ = w.s.f.probe(w.ctx, h.Engine, citronprobe.MaxReportAge) }) // Probe records the result in the engine's state
 		}
-		r, err := w.s.f.probes.Ask(w.ctx, w.s.f.Upstream, path[0].Engine.Addr, citronprobe.Fresh)
+		r, err := w.s.f.probes.Report(w.ctx, w.s.f.Upstream, path[0].Engine.Addr, citronprobe.MaxReportAge)
 		wait.Wait()
 		w.probeResults <- probeResult{r, err}
 	}()
@@ -253,10 +253,10 @@
 		if w.ctx.Err() != nil {
 			return keepRun
 		}
-		citronprobe.Dead(first, r.err, now)
+		citronprobe.RecordDead(first, r.err, now)
 		return w.replace(0, reasonDead)
 	}
-	citronprobe.Heard(first, r.report, now)
+	citronprobe.RecordReport(first, r.report, now)
 	if first.Ended() {
 		return w.replace(0, reasonDead)
 	}
@@ -272,7 +272,7 @@
 			// and assign its layers to other engines. Those would have to
 			// load them in turn, until most engines of the zone are lost.
 			if h.Engine.Usable(now) {
-				h.Engine.Failed(now)
+				h.Engine.RecordFailure(now)
 			}
 			return w.replace(i, reasonStalled)
 		}
@@ -301,11 +301,11 @@
 func (w *watch) reroute() action {
 	s := w.s
 	current := s.f.Current()
-	if s.suspect() && !s.sound {
+	if s.isSuspect() && !s.ranSuccessfully {
 		return replaceRun // a repath would start the suspect request on another engine
 	}
 	q := s.query(current, s.path[0].Engine.ID)
-	q.Keep = s.path
+	q.CurrentPath = s.path
 	p, ok := citronpath.Choose(current.View.ByService[s.service.Name], q)
 	if !ok || w.repaths >= maxRepaths {
 		return w.resume()
@@ -321,8 +321,8 @@
 	w.logReplacement("repath")
 	w.repaths++
 	w.repathing = true
-	w.leaveAt, w.switchZoneAt = time.Time{}, time.Time{}
-	added := s.added(p)
+	w.moveAt, w.switchZoneAt = time.Time{}, time.Time{}
+	added := s.addedEngines(p)
 	go func() {
 		ctx, cancel := context.WithTimeout(w.ctx, repathTimeout)
 		defer cancel()
@@ -335,8 +335,8 @@
 // request, so it first takes a permit for each of them that has a rate limit.
 func (s *streamJob) repath(ctx context.Context, p citronpath.Path, added []*citronpool.Engine) error {
 	for _, e := range added {
-		if !s.f.mayAdd(ctx, e) {
-			return &citronupstream.PartError{Addr: e.Addr}
+		if !s.f.takeMovePermit(ctx, e) {
+			return &citronupstream.HopError{Addr: e.Addr}
 		}
 	}
 	return s.f.Upstream.Repath(ctx, p[0].Engine.Addr, s.ID, p)
@@ -347,11 +347,11 @@
 func (w *watch) mayWaitForZone() bool {
 	now := w.s.f.Clock.Now()
 	if w.reason == reasonLeaving {
-		return w.mayWaitToLeave(now)
+		return w.mayStayOnLeaving(now)
 	}
 	if w.switchZoneAt.IsZero() {
 		w.switchZoneAt = now
-		if late := now.Sub(w.s.Received) > w.s.route.Target; w.s.begun || late {
+		if late := now.Sub(w.s.Received) > w.s.route.TargetLatency; w.s.begun || late {
 			w.switchZoneAt = now.Add(zoneSwitchDelay + rand.N(zoneSwitchSpread))
 		}
 	}
@@ -369,7 +369,7 @@
 	}
 	now := s.f.Clock.Now()
 	if w.reason == reasonLeaving {
-		w.leaveAt = now.Add(leaveAgain)
+		w.moveAt = now.Add(leaveCheckInterval)
 		return keepRun
 	}
 	w.waitUntil = now.Add(4 * checkInterval)
@@ -387,7 +387,7 @@
 // logReplacement logs the replacement of the bad hop by a repath or a resume.
 func (w *watch) logReplacement(way string) {
 	s := w.s
-	citronevent.Log(w.ctx, s.f.Log, citronevent.PartReplaced, "request", s.ID, "engine", w.badHop.Engine.ID, "peer", w.badHop.Engine.Addr, "from", w.badHop.Span.From, "to", w.badHop.Span.To, "reason", w.reason, "way", way, "lastEvent", s.lastEventID, "list", s.list.String(), "silent", s.f.Clock.Now().Sub(s.lastEventAt), "runs", s.runs+1)
+	citronevent.Log(w.ctx, s.f.Log, citronevent.HopReplaced, "request", s.ID, "engine", w.badHop.Engine.ID, "peer", w.badHop.Engine.Addr, "from", w.badHop.Span.From, "to", w.badHop.Span.To, "reason", w.reason, "way", way, "lastEvent", s.lastEventID, "list", s.list.String(), "silent", s.f.Clock.Now().Sub(s.lastEventAt), "runs", s.runs+1)
 }
 
 // handleRepath handles the result of a repath.
@@ -399,12 +399,12 @@
 		return keepRun
 	}
 	citronevent.Log(w.ctx, s.f.Log, citronevent.RepathFailed, "request", s.ID, "peer", m.path[0].Engine.Addr, "err", m.err)
-	var part *citronupstream.PartError
+	var part *citronupstream.HopError
 	if errors.As(m.err, &part) {
 		for i, h := range m.path {
 			if h.Engine.Addr == part.Addr && i > 0 {
 				s.avoid[h.Engine.ID] = true
-				h.Engine.Busy(s.f.Clock.Now(), busyPause)
+				h.Engine.Avoid(s.f.Clock.Now(), busyPause)
 				return w.reroute()
 			}
 		}
--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -44,7 +44,7 @@
 func (f *fakeEngines) Send(ctx context.Context, c citronupstream.Call) (*citronupstream.Reply, error) {
 	f.mu.Lock()
 	n := len(f.calls)
-	f.calls = append(f.calls, sent{engine: c.Engine.ID, after: c.After, path: c.Hops, once: c.Once})
+	f.calls = append(f.calls, sent{engine: c.Engine.ID, after: c.AfterEvent, path: c.Hops, once: c.NoRetry})
 	f.mu.Unlock()
 	return f.answer(ctx, n, c)
 }
@@ -93,8 +93,8 @@
 func (c *caller) Abort()                          { c.aborted = true }
 
 var spec = citronmodel.Spec{
-	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, PerSeqMS: 0.005, ContextMSPerK: 0.006, ReadPerS: 160_000, Slots: 8,
-	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 10_000, StepFactor: 2, ReadFactor: 3}},
+	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, PerSeqMS: 0.005, ContextMSPerK: 0.006, PromptTokensPerS: 160_000, Slots: 8,
+	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 10_000, StepFactor: 2, PromptFactor: 3}},
 }
 
 func engine(id, zone string, from, to int) citronmodel.Engine {
@@ -116,8 +116,8 @@
 	t.Helper()
 	route := func(name string, kind citrontable.Kind, service string, attempts int) citrontable.Route {
 		return citrontable.Route{
-			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, Timeout: 10 * time.Second, Target: 100 * time.Millisecond,
-			MaxGap: 250 * time.Millisecond, MaxAttempts: attempts, Services: []citrontable.Weighted{{Service: service, Weight: 1}},
+			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, Timeout: 10 * time.Second, TargetLatency: 100 * time.Millisecond,
+			MaxEventGap: 250 * time.Millisecond, MaxAttempts: attempts, Services: []citrontable.WeightedService{{Service: service, Weight: 1}},
 			Resumable: kind == citrontable.Streaming, Public: name == "public",
 		}
 	}
@@ -127,14 +127,14 @@
 	}, []citrontable.Service{{Name: "app"}, {Name: "model", Model: &spec}},
 		[]citrontable.Customer{{Name: "council", Keys: []string{"k1"}}}, citrontable.Limits{MaxBodyBytes: 100})
 	r := &rig{engines: &fakeEngines{}, view: citronpool.Build(engines, nil)}
-	state := &citronforward.State{Table: table, View: r.view, Others: map[string]int64{}}
+	state := &citronforward.State{Table: table, View: r.view, OtherNodesCache: map[string]int64{}}
 	r.Forwarder = &citronforward.Forwarder{
 		Zone: "a", Clock: citronclock.Real{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Upstream: r.engines,
 		Budget: citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 200, Window: 10 * time.Second}),
 		Loads:  &citronpool.Loads{},
 
 		Quarantine: citronquarantine.New("n", citronclock.Real{}),
-		Limits:     citronlimit.NewBook(citronclock.Real{}),
+		Limits:     citronlimit.NewRegistry(citronclock.Real{}),
 		Current:    func() *citronforward.State { return state },
 		Metrics:    citronforward.NewMetrics(prometheus.NewRegistry()),
 	}
@@ -156,11 +156,11 @@
 }
 
 func reply(status int, body string) *citronupstream.Reply {
-	return &citronupstream.Reply{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), Signed: true}
+	return &citronupstream.Reply{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), FromEngine: true}
 }
 
-func shed(fault string) *citronupstream.Reply {
+func refusal(fault string) *citronupstream.Reply {
 	r := reply(http.StatusServiceUnavailable, "")
-	r.NotRun, r.Fault, r.Signed = true, fault, false
+	r.NotExecuted, r.FaultAddr, r.FromEngine = true, fault, false
 	return r
 }
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -131,9 +131,9 @@
 	engineFailed
 )
 
-// stream serves a streaming request. It runs the request until the stream is
+// serveStream serves a streaming request. It runs the request until the stream is
 // complete or no further run is allowed.
-func (j *job) stream(ctx context.Context) {
+func (j *job) serveStream(ctx context.Context) {
 	s := &streamJob{job: j, lastEventID: j.ResumeAfter, lastEventAt: j.Received}
 	defer s.unbind()
 	var reason string
@@ -149,7 +149,7 @@
 		}
 	}
 	if s.begun {
-		citronevent.Log(ctx, j.f.Log, citronevent.StreamBroken, "request", j.ID, "reason", reason, "print", j.fingerprint(), "lastEvent", s.lastEventID, "runs", j.runs, "limit", j.limit, "left", j.left())
+		citronevent.Log(ctx, j.f.Log, citronevent.StreamBroken, "request", j.ID, "reason", reason, "print", j.fingerprint(), "lastEvent", s.lastEventID, "runs", j.runs, "limit", j.reachedLimit, "left", j.timeLeft())
 		j.out.Abort()
 		return
 	}
@@ -166,8 +166,8 @@
 	switch {
 	case reason != "":
 		return noPath, reason
-	case s.barred():
-		return noPath, reasonBarred
+	case s.isQuarantined():
+		return noPath, reasonQuarantined
 	}
 	s.bind(p)
 	s.run = run{sent: s.f.Clock.Now()}
@@ -188,16 +188,16 @@
 // stream under their rate limits, or the reason why there is none.
 func (s *streamJob) permittedPath(ctx context.Context) (citronpath.Path, string) {
 	for {
-		p, full, ok := s.room(ctx)
-		if ok && s.permitted(ctx, engines(p)...) {
+		p, full, ok := s.awaitCapacity(ctx)
+		if ok && s.takePermits(ctx, pathEngines(p)...) {
 			return p, ""
 		}
 		switch {
 		case ok && ctx.Err() == nil:
-		case !ok && s.waitsForPermit():
+		case !ok && s.beginPermitWait():
 		case ok:
 			return nil, "the caller left"
-		case s.limitsUsedUp():
+		case s.rateLimitsExhausted():
 			return nil, reasonLimited
 		case full:
 			return nil, "engines' cache is full"
@@ -210,17 +210,17 @@
 // shouldRetry reports whether there is another run after one that did not finish the
 // stream.
 func (s *streamJob) shouldRetry(ctx context.Context, v runOutcome) bool {
-	s.limit = ""
+	s.reachedLimit = ""
 	switch v {
 	case callerLeft:
 		s.runs++ // the engines may have started to run the request
 		return false
 	case noPath:
-		return !s.barred() && s.waitForCapacity(ctx)
+		return !s.isQuarantined() && s.waitForCapacity(ctx)
 	case runRefused:
 		s.refused++
 		s.retryAfter = retryBusy
-		if s.mayMove() {
+		if s.mayTryNextEngine() {
 			return true
 		}
 		return s.waitForCapacity(ctx)
@@ -228,7 +228,7 @@
 	ended := s.firstEngineEnded()
 	resume := s.mayResume()
 	if ended {
-		s.lostRuns++
+		s.runsOnEndedEngines++
 	} else {
 		s.runs++
 	}
@@ -264,7 +264,7 @@
 // answered with the engine's failure response.
 func (s *streamJob) recordFinished(ctx context.Context) {
 	s.f.Metrics.Pause.Observe(s.maxPause.Seconds())
-	if s.firstEventTook > s.route.Target || s.maxPause > s.route.MaxGap {
+	if s.firstEventTook > s.route.TargetLatency || s.maxPause > s.route.MaxEventGap {
 		citronevent.Log(ctx, s.f.Log, citronevent.StreamLate, "request", s.ID, "first", s.firstEventTook, "pause", s.maxPause, "afterEvent", s.maxPauseAfter, "moves", s.pathChanges, "runs", s.runs+1, "engine", s.path[0].Engine.ID, "zone", s.path[0].Engine.Zone)
 	}
 	s.answered("first", s.firstEventTook, "pause", s.maxPause, "moves", s.pathChanges, "runs", s.runs+1, "engine", s.path[0].Engine.ID)
@@ -282,7 +282,7 @@
 	if s.firstEngineEnded() {
 		runs--
 	}
-	return s.within(crashesUsed, !s.suspect()) && s.within(attemptsUsed, runs < max(1, s.route.MaxAttempts))
+	return s.within(crashesUsed, !s.isSuspect()) && s.within(attemptsUsed, runs < max(1, s.route.MaxAttempts))
 }
 
 // firstEngineEnded reports whether the first engine's process has certainly ended,
@@ -300,7 +300,7 @@
 		s.budgetCharged = false
 		return true
 	}
-	if !s.suspect() && !s.canResume() {
+	if !s.isSuspect() && !s.canResume() {
 		_ = s.f.probe(context.Background(), s.path[0].Engine, 0) // a shared report may be from before the process ended
 	}
 	return s.canResume() && s.takeBudget()
@@ -346,7 +346,7 @@
 	defer cancel()
 	w := newWatch(ctx, s)
 	replies := make(chan sendResult, 1)
-	call := citronupstream.Call{Request: s.Request, Engine: s.path[0].Engine, Hops: s.path, Customer: s.customer, Left: s.left(), After: s.lastEventID, Once: !s.route.Idempotent(), Urgent: s.begun}
+	call := citronupstream.Call{Request: s.Request, Engine: s.path[0].Engine, Hops: s.path, Customer: s.customer, TimeLeft: s.timeLeft(), AfterEvent: s.lastEventID, NoRetry: !s.route.Idempotent(), Urgent: s.begun}
 	go func() {
 		reply, err := s.f.send(ctx, call)
 		replies <- sendResult{reply, err}
@@ -387,7 +387,7 @@
 		return callerLeft
 	}
 	first := s.path[0].Engine
-	res := s.judge(first, err)
+	res := s.classifyError(first, err)
 	s.f.Metrics.Attempts.WithLabelValues(res.outcome.String()).Inc()
 	s.logRun(first, res)
 	s.avoid[first.ID] = true
@@ -401,17 +401,17 @@
 // receive reads the engine's response and forwards it to the caller.
 func (s *streamJob) receive(ctx context.Context, reply *citronupstream.Reply, w *watch) runOutcome {
 	first := s.path[0].Engine
-	if reply.NotRun {
+	if reply.NotExecuted {
 		_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxAnswerBytes)) // so that the connection can be reused
-		s.refusedBy(first, reply)
+		s.noteRefusal(first, reply)
 		s.f.Metrics.Attempts.WithLabelValues(notRun.String()).Inc()
-		s.logAttempt(first, result{outcome: notRun, status: reply.Status, err: errors.Newf("engine did not run the request, accused engine: %q", reply.Fault)})
+		s.logAttempt(first, result{outcome: notRun, status: reply.Status, err: errors.Newf("engine did not run the request, accused engine: %q", reply.FaultAddr)})
 		return runRefused
 	}
 	if reply.Status != http.StatusOK {
 		return s.handleEngineFailure(ctx, reply)
 	}
-	if !reply.Signed || reply.Header.Get("Content-Encoding") != "" {
+	if !reply.FromEngine || reply.Header.Get("Content-Encoding") != "" {
 		s.logRun(first, result{outcome: unknown, status: reply.Status, err: errors.New("response lacks the engine's signature or has a content encoding")})
 		s.avoid[first.ID] = true
 		return runBroken
@@ -471,7 +471,7 @@
 		return 0, false
 	}
 	now := s.f.Clock.Now()
-	s.path[0].Engine.Lives()
+	s.path[0].Engine.RecordAlive()
 	if s.run.firstEvent.IsZero() {
 		s.markAdmitted()
 	}
@@ -491,8 +491,8 @@
 	}
 	s.lastEventAt = now
 	s.run = s.run.WithEvent(now)
-	if s.run.eventSpan() >= provenRun {
-		s.proven()
+	if s.run.eventSpan() >= minSuccessfulRun {
+		s.markSuccessful()
 	}
 	return 0, false
 }
@@ -500,7 +500,7 @@
 // markAdmitted records that the engines of the path have admitted the stream.
 func (s *streamJob) markAdmitted() {
 	for _, h := range s.path {
-		h.Engine.Admitted(s.run.sent)
+		h.Engine.RecordAdmission(s.run.sent)
 	}
 }
 
@@ -521,8 +521,8 @@
 		if !s.begun {
 			return runBroken // an empty stream is not a valid response
 		}
-		s.path[0].Engine.Answered(s.pathSince, s.f.Clock.Now())
-		s.proven()
+		s.path[0].Engine.RecordResponse(s.pathSince, s.f.Clock.Now())
+		s.markSuccessful()
 		return runFinished
 	}
 	if ctx.Err() != nil {
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -29,13 +29,13 @@
 	return b.String()
 }
 
-// breaking is a body that returns an error after its text.
-type breaking struct {
+// failingBody is a body that returns an error after its text.
+type failingBody struct {
 	io.Reader
 	err error
 }
 
-func (b breaking) Read(p []byte) (int, error) {
+func (b failingBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if errors.Is(err, io.EOF) {
 		err = b.err
@@ -43,15 +43,15 @@
 	return n, err
 }
 
-func (breaking) Close() error { return nil }
+func (failingBody) Close() error { return nil }
 
-// silent is a body that sends nothing after its text until ctx ends.
-type silent struct {
+// stallingBody is a body that sends nothing after its text until ctx ends.
+type stallingBody struct {
 	io.Reader
 	ctx context.Context
 }
 
-func (s silent) Read(p []byte) (int, error) {
+func (s stallingBody) Read(p []byte) (int, error) {
 	n, err := s.Reader.Read(p)
 	if errors.Is(err, io.EOF) {
 		<-s.ctx.Done()
@@ -60,11 +60,11 @@
 	return n, err
 }
 
-func (silent) Close() error { return nil }
+func (stallingBody) Close() error { return nil }
 
-// stuckUntil returns a stream of four events that stalls after two until resumed is
+// stalledStream returns a stream of four events that stalls after two until resumed is
 // closed.
-func stuckUntil(ctx context.Context, resumed <-chan struct{}) *citronupstream.Reply {
+func stalledStream(ctx context.Context, resumed <-chan struct{}) *citronupstream.Reply {
 	body, w := io.Pipe()
 	go func() {
 		_, _ = io.WriteString(w, events(1, 2))
@@ -89,7 +89,7 @@
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		if n == 0 {
 			rep := reply(200, "")
-			rep.Body = breaking{strings.NewReader(events(1, 3) + "id: 4\ndata: t"), io.ErrUnexpectedEOF}
+			rep.Body = failingBody{strings.NewReader(events(1, 3) + "id: 4\ndata: t"), io.ErrUnexpectedEOF}
 			return rep, nil
 		}
 		return reply(200, events(4, 6)), nil
@@ -124,7 +124,7 @@
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		if n == 0 {
 			rep := reply(200, "")
-			rep.Body = breaking{strings.NewReader(events(1, 3)), errReset}
+			rep.Body = failingBody{strings.NewReader(events(1, 3)), errReset}
 			return rep, nil
 		}
 		return reply(200, events(2, 5)), nil
@@ -139,7 +139,7 @@
 	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "a", 0, 8))
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, "")
-		rep.Body = breaking{strings.NewReader(events(n+1, n+1)), errReset}
+		rep.Body = failingBody{strings.NewReader(events(n+1, n+1)), errReset}
 		return rep, nil
 	}
 	got := r.ask("stream", time.Second)
@@ -158,7 +158,7 @@
 	dead := ""
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		dead = c.Hops[1].Engine.Addr
-		return stuckUntil(ctx, moved), nil
+		return stalledStream(ctx, moved), nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		if addr == dead {
@@ -188,7 +188,7 @@
 	var stalled atomic.Pointer[string]
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		stalled.Store(&c.Hops[1].Engine.Addr)
-		return stuckUntil(ctx, moved), nil
+		return stalledStream(ctx, moved), nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		if addr == "m1:1" {
@@ -203,7 +203,7 @@
 	got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.Wait = 5 * time.Second })
 	is.Equal(got.body, events(1, 4))
 	is.Equal(len(r.engines.repaths), 1)
-	is.Equal(len(r.view.Dead(time.Time{})), 0)
+	is.Equal(len(r.view.DeadAfter(time.Time{})), 0)
 }
 
 // One hop of a path fails. A later hop is healthy, but the zone's other replica has a
@@ -218,7 +218,7 @@
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		dead, last = c.Hops[1].Engine.Addr, c.Hops[2].Engine.ID
 		c.Hops[2].Engine.Begin(100_000) // other requests have started since the path was chosen
-		return stuckUntil(ctx, moved), nil
+		return stalledStream(ctx, moved), nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		if addr == dead {
@@ -248,7 +248,7 @@
 			return reply(200, events(3, 4)), nil
 		}
 		rep := reply(200, "")
-		rep.Body = silent{strings.NewReader(events(1, 2)), ctx}
+		rep.Body = stallingBody{strings.NewReader(events(1, 2)), ctx}
 		return rep, nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
@@ -273,7 +273,7 @@
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8))
 	state := *r.Current()
-	state.Others = map[string]int64{"a": int64(2 * spec.CacheTokens("fast", 8))}
+	state.OtherNodesCache = map[string]int64{"a": int64(2 * spec.CacheTokens("fast", 8))}
 	r.Current = func() *citronforward.State { return &state }
 	got := r.ask("stream", 20*time.Second)
 	is.Equal(got.status, 503)
@@ -287,7 +287,7 @@
 	is := is.New(t)
 	r := newRig(t, engine("m1", "a", 0, 8))
 	state := *r.Current()
-	state.Others = map[string]int64{"a": int64(2 * spec.CacheTokens("fast", 8))}
+	state.OtherNodesCache = map[string]int64{"a": int64(2 * spec.CacheTokens("fast", 8))}
 	r.Current = func() *citronforward.State { return &state }
 	r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
 		return reply(200, events(5, 6)), nil
@@ -305,7 +305,9 @@
 		engines = append(engines, engine(fmt.Sprintf("m%d", i), "a", 0, 8))
 	}
 	r := newRig(t, engines...)
-	r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) { return shed(""), nil }
+	r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
+		return refusal(""), nil
+	}
 	got := r.ask("stream", 10*time.Second)
 	is.Equal(got.status, 503)
 	is.True(got.retryAfter > 0)
@@ -322,10 +324,10 @@
 		switch {
 		case n == 0:
 			rep := reply(200, "")
-			rep.Body = breaking{strings.NewReader(events(1, 3)), errReset}
+			rep.Body = failingBody{strings.NewReader(events(1, 3)), errReset}
 			return rep, nil
 		case n < 12:
-			return shed(""), nil
+			return refusal(""), nil
 		}
 		return reply(200, events(4, 5)), nil
 	}
@@ -346,13 +348,13 @@
 		after       time.Duration
 	}{
 		{"any stream, shortly after the start of stopping", "stream", citronforward.Stopping{Since: 500 * time.Millisecond, Left: 7 * time.Second}, 600, 200, 0},
-		{"long stream, later", "stream", citronforward.Stopping{Since: 3 * time.Second, Left: 4 * time.Second, Others: true}, 300, 503, 0},
+		{"long stream, later", "stream", citronforward.Stopping{Since: 3 * time.Second, Left: 4 * time.Second, OtherNodeServing: true}, 300, 503, 0},
 		{"long stream, later, no other node", "stream", citronforward.Stopping{Since: 3 * time.Second, Left: 4 * time.Second}, 300, 503, 1500 * time.Millisecond},
 		{"long stream, slightly later, no other node", "stream", citronforward.Stopping{Since: 2700 * time.Millisecond, Left: 4900 * time.Millisecond}, 300, 200, 0},
-		{"long stream, slightly later", "stream", citronforward.Stopping{Since: 2700 * time.Millisecond, Left: 4900 * time.Millisecond, Others: true}, 300, 503, 0},
+		{"long stream, slightly later", "stream", citronforward.Stopping{Since: 2700 * time.Millisecond, Left: 4900 * time.Millisecond, OtherNodeServing: true}, 300, 503, 0},
 		{"short stream, later", "stream", citronforward.Stopping{Since: 3 * time.Second, Left: 4 * time.Second}, 50, 200, 0},
 		{"unary request that ends in time", "unsafe", citronforward.Stopping{Since: 5 * time.Second, Left: 2 * time.Second}, 0, 200, 0},
-		{"unary request that does not end in time", "unsafe", citronforward.Stopping{Since: 7 * time.Second, Left: 300 * time.Millisecond, Others: true}, 0, 503, 0},
+		{"unary request that does not end in time", "unsafe", citronforward.Stopping{Since: 7 * time.Second, Left: 300 * time.Millisecond, OtherNodeServing: true}, 0, 503, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -381,7 +383,7 @@
 	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "a", 0, 8))
 	r.engines.answer = func(ctx context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, "")
-		rep.Body = silent{strings.NewReader(events(n+1, n+1)), ctx}
+		rep.Body = stallingBody{strings.NewReader(events(n+1, n+1)), ctx}
 		return rep, nil
 	}
 	r.engines.report = func(string) (citronupstream.Report, error) { return citronupstream.Report{}, context.DeadlineExceeded }
@@ -411,7 +413,7 @@
 		switch n {
 		case 0:
 			rep := reply(200, "")
-			rep.Body = breaking{strings.NewReader(events(1, 1)), errReset}
+			rep.Body = failingBody{strings.NewReader(events(1, 1)), errReset}
 			return rep, nil
 		case 1:
 			leaving := *state
@@ -441,7 +443,7 @@
 	}
 	r.engines.report = func(string) (citronupstream.Report, error) {
 		if ended.Load() {
-			return citronupstream.Report{Holds: &citronmodel.Span{}}, nil // another process has taken its place
+			return citronupstream.Report{Layers: &citronmodel.Span{}}, nil // another process has taken its place
 		}
 		return citronupstream.Report{}, nil
 	}
@@ -460,21 +462,21 @@
 func TestRunOnRestartedEngineHasEnded(t *testing.T) {
 	is := is.New(t)
 	first := engine("m1", "a", 0, 8)
-	first.Born = 100
+	first.StartMS = 100
 	r := newRig(t, first, engine("m2", "b", 0, 8), engine("m3", "b", 0, 8))
 	r.engines.answer = func(ctx context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, events(3, 4))
 		switch n {
 		case 0:
-			rep.Body = silent{strings.NewReader(events(1, 1)), ctx}
+			rep.Body = stallingBody{strings.NewReader(events(1, 1)), ctx}
 		case 1:
-			rep.Body = breaking{strings.NewReader(events(2, 2)), errReset}
+			rep.Body = failingBody{strings.NewReader(events(2, 2)), errReset}
 		}
 		return rep, nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		if addr == "m1:1" {
-			return citronupstream.Report{Born: 200, Holds: &citronmodel.Span{}}, nil
+			return citronupstream.Report{StartMS: 200, Layers: &citronmodel.Span{}}, nil
 		}
 		return citronupstream.Report{}, nil
 	}
@@ -495,7 +497,7 @@
 	var hung atomic.Pointer[citronpool.Engine]
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		hung.Store(c.Hops[1].Engine)
-		return stuckUntil(ctx, moved), nil
+		return stalledStream(ctx, moved), nil
 	}
 	never := make(chan struct{})
 	t.Cleanup(func() { close(never) })
@@ -530,7 +532,7 @@
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		c.Hops[1].Engine.Accuse(time.Now())
 		time.AfterFunc(220*time.Millisecond, func() { close(resumed) })
-		return stuckUntil(ctx, resumed), nil
+		return stalledStream(ctx, resumed), nil
 	}
 	is.Equal(r.ask("stream", 5*time.Second).body, events(1, 4))
 	is.Equal(len(r.engines.repaths), 0)
@@ -550,7 +552,7 @@
 	}
 	r.engines.answer = func(_ context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		if c.Engine.ID == "m1" {
-			return shed("m2:1"), nil
+			return refusal("m2:1"), nil
 		}
 		return reply(200, events(1, 2)), nil
 	}
@@ -580,7 +582,7 @@
 			r.Budget = citronbudget.New(citronbudget.Limits{Slack: c.slack, Window: 10 * time.Second})
 			r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 				rep := reply(200, "")
-				rep.Body = breaking{strings.NewReader(events(n+1, n+1)), errReset}
+				rep.Body = failingBody{strings.NewReader(events(n+1, n+1)), errReset}
 				return rep, nil
 			}
 			is.True(r.ask("stream", time.Second).aborted)
@@ -601,13 +603,13 @@
 		rounds++
 		if rounds > 1 { // other streams use up the first loan before this one continues
 			now := time.Now()
-			r.Budget.Borrowed(service, citronbudget.Loan{Repeats: 1, Until: now.Add(100 * time.Millisecond)}, now)
+			r.Budget.AddLoan(service, citronbudget.Loan{Retries: 1, Until: now.Add(100 * time.Millisecond)}, now)
 		}
 		return true
 	}
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		if n == 0 {
-			return shed(""), nil
+			return refusal(""), nil
 		}
 		return reply(200, events(1, 3)), nil
 	}
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -60,15 +60,15 @@
 		s := j.f.Current()
 		e, hops, ok := j.pickEngine(s)
 		if !ok {
-			if j.waitsForPermit() {
+			if j.beginPermitWait() {
 				continue
 			}
-			if j.limitsUsedUp() {
+			if j.rateLimitsExhausted() {
 				reason = reasonLimited
 			}
 			break
 		}
-		if !j.permitted(ctx, targetEngines(e, hops)...) {
+		if !j.takePermits(ctx, targetEngines(e, hops)...) {
 			if ctx.Err() != nil {
 				break
 			}
@@ -78,8 +78,8 @@
 		res := j.attempt(ctx, e, hops)
 		j.f.Metrics.Attempts.WithLabelValues(res.outcome.String()).Inc()
 		if res.outcome == answered {
-			j.proven()
-			j.f.Metrics.Whole.Observe(j.f.Clock.Now().Sub(j.Received).Seconds())
+			j.markSuccessful()
+			j.f.Metrics.UnaryDuration.Observe(j.f.Clock.Now().Sub(j.Received).Seconds())
 			j.out.Answer(res.status, res.header, res.body)
 			j.answered("engine", e.ID, "status", res.status, "runs", j.runs+1)
 			return
@@ -88,7 +88,7 @@
 		j.avoid[e.ID] = true
 		if res.outcome == notRun {
 			j.refused++
-			if ctx.Err() != nil || j.barred() || !j.mayMove() {
+			if ctx.Err() != nil || j.isQuarantined() || !j.mayTryNextEngine() {
 				break
 			}
 			continue
@@ -115,7 +115,7 @@
 
 // logAttempt logs a failed attempt. more holds further keys and values for the log line.
 func (j *job) logAttempt(e *citronpool.Engine, res result, more ...any) {
-	args := []any{"request", j.ID, "print", j.fingerprint(), "service", j.service.Name, "engine", e.ID, "peer", e.Addr, "outcome", res.outcome.String(), "status", res.status, "runs", j.runs, "list", j.list.String(), "left", j.left()}
+	args := []any{"request", j.ID, "print", j.fingerprint(), "service", j.service.Name, "engine", e.ID, "peer", e.Addr, "outcome", res.outcome.String(), "status", res.status, "runs", j.runs, "list", j.list.String(), "left", j.timeLeft()}
 	if res.err != nil {
 		args = append(args, "err", res.err)
 	}
@@ -124,28 +124,28 @@
 
 // attempt sends the request to one engine and reads the complete response.
 func (j *job) attempt(ctx context.Context, e *citronpool.Engine, hops citronpath.Path) result {
-	if timeout := attemptTargets * j.route.Target; j.route.Idempotent() && timeout > 0 && j.runs+1 < j.route.MaxAttempts && timeout < j.left() {
+	if timeout := attemptTargets * j.route.TargetLatency; j.route.Idempotent() && timeout > 0 && j.runs+1 < j.route.MaxAttempts && timeout < j.timeLeft() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
 	defer e.Begin(j.Tokens())()
 	begin := j.f.Clock.Now()
-	reply, err := j.f.send(ctx, citronupstream.Call{Request: j.Request, Engine: e, Hops: hops, Customer: j.customer, Left: j.left(), Once: !j.route.Idempotent()})
+	reply, err := j.f.send(ctx, citronupstream.Call{Request: j.Request, Engine: e, Hops: hops, Customer: j.customer, TimeLeft: j.timeLeft(), NoRetry: !j.route.Idempotent()})
 	if err != nil {
-		return j.judge(e, err)
+		return j.classifyError(e, err)
 	}
 	defer reply.Body.Close()
-	if reply.NotRun {
+	if reply.NotExecuted {
 		_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxAnswerBytes)) // drain the body so that the connection can be reused
-		j.refusedBy(e, reply)
+		j.noteRefusal(e, reply)
 		return result{outcome: notRun, status: reply.Status}
 	}
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes))
 	if err != nil {
-		return j.judge(e, errors.Wrap(err, "read response"))
+		return j.classifyError(e, errors.Wrap(err, "read response"))
 	}
-	if !reply.Signed && reply.Status < 300 || reply.Header.Get("Content-Encoding") != "" {
+	if !reply.FromEngine && reply.Status < 300 || reply.Header.Get("Content-Encoding") != "" {
 		return result{outcome: unknown, status: reply.Status, err: errors.New("response lacks the engine's signature or has a content encoding")}
 	}
 	res := result{outcome: answered, status: reply.Status, header: reply.Header, body: body}
@@ -153,21 +153,21 @@
 		res.outcome = failed
 		return res
 	}
-	e.Answered(begin, j.f.Clock.Now())
+	e.RecordResponse(begin, j.f.Clock.Now())
 	return res
 }
 
-// judge classifies a failed call. A call is known not to have run only if no byte of it
-// left this node.
-func (j *job) judge(e *citronpool.Engine, err error) result {
+// classifyError classifies a failed call. A call is known not to have run only if no byte
+// of it left this node.
+func (j *job) classifyError(e *citronpool.Engine, err error) result {
 	switch {
 	case errors.Is(err, citronupstream.ErrNotSent):
-		citronprobe.Dead(e, err, j.f.Clock.Now())
+		citronprobe.RecordDead(e, err, j.f.Clock.Now())
 		return result{outcome: notRun, err: err}
 	case errors.Is(err, context.Canceled):
 		return result{outcome: unknown, err: err} // the client canceled the request
 	default:
-		e.Failed(j.f.Clock.Now())
+		e.RecordFailure(j.f.Clock.Now())
 		return result{outcome: unknown, err: err}
 	}
 }
@@ -178,25 +178,25 @@
 	busyPause = 150 * time.Millisecond
 )
 
-// refusedBy records which engine refused the request. If the refusal names another
+// noteRefusal records which engine refused the request. If the refusal names another
 // engine as its cause, that engine is accused instead.
-func (j *job) refusedBy(e *citronpool.Engine, reply *citronupstream.Reply) {
+func (j *job) noteRefusal(e *citronpool.Engine, reply *citronupstream.Reply) {
 	now := j.f.Clock.Now()
-	if at, ok := j.f.Current().View.ByAddr(reply.Fault); reply.Fault != "" && ok {
+	if at, ok := j.f.Current().View.ByAddr(reply.FaultAddr); reply.FaultAddr != "" && ok {
 		j.avoid[at.ID] = true
 		if at.Accuse(now) && j.f.Accuse != nil {
 			j.f.Accuse(at)
 		}
 		// The accused engine may be full or dead. Streams that run through it need to
 		// know which, so probe it.
-		go func() { _ = j.f.probe(context.Background(), at, citronprobe.Fresh) }()
+		go func() { _ = j.f.probe(context.Background(), at, citronprobe.MaxReportAge) }()
 		return
 	}
 	if reply.Status == http.StatusMisdirectedRequest {
-		e.Failed(now)
+		e.RecordFailure(now)
 		return
 	}
-	e.Busy(now, busyPause)
+	e.Avoid(now, busyPause)
 }
 
 const (
@@ -226,7 +226,7 @@
 		// The second pass accepts engines that recently failed other requests: such an
 		// engine is better than none.
 		for _, e := range s.View.ByService[j.service.Name] {
-			if j.avoid[e.ID] || e.Leaving || (!lenient && !e.Sound(now)) || (!j.permits.mayWait && e.ThrottledFor(now) > 0) {
+			if j.avoid[e.ID] || e.Leaving || (!lenient && !e.Healthy(now)) || (!j.permits.mayWait && e.ThrottledFor(now) > 0) {
 				continue
 			}
 			if c := plainCost(e, j.f.Zone); best == nil || c < bestCost {
@@ -264,8 +264,8 @@
 func (j *job) query(s *State, first string) citronpath.Query {
 	j.list = s.ListRevision
 	return citronpath.Query{
-		Patient: j.permits.mayWait,
-		Spec:    *j.service.Model, Zone: j.f.Zone, Now: j.f.Clock.Now(), Avoid: j.avoid, First: first, Others: s.Others, Own: j.f.Loads.Sums(), ZoneCost: j.zoneJitter,
+		CanWait: j.permits.mayWait,
+		Spec:    *j.service.Model, Zone: j.f.Zone, Now: j.f.Clock.Now(), Avoid: j.avoid, FirstID: first, OthersTokens: s.OtherNodesCache, OwnTokens: j.f.Loads.ZoneTotals(), ZoneCost: j.zoneJitter,
 	}
 }
 
@@ -275,7 +275,7 @@
 // drawZoneJitter draws a random cost per zone for one request.
 func drawZoneJitter(s *State) map[string]float64 {
 	out := map[string]float64{}
-	for zone := range s.Others {
+	for zone := range s.OtherNodesCache {
 		out[zone] = maxZoneJitter * rand.Float64()
 	}
 	return out
--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -8,9 +8,9 @@
 // remains the best choice. The missing entry looks the same in both cases, so an outage
 // has to be proved separately. Without proof, the engine is assumed to be leaving:
 //
-//	calls of this node -> Record -> Status --+
-//	                                         +-> Away
-//	other nodes, by gossip --------> Status -+
+//	calls of this node -> StoreMonitor -> Status --+
+//	                                               +-> ConfirmedOutage
+//	other nodes, by gossip --------------> Status -+
 //
 // A failed call of one node does not prove an outage. The store may reject only this
 // node, a connection may have hung, or the node itself may have been paused. Meanwhile
@@ -24,18 +24,18 @@
 )
 
 const (
-	// LapseGrace is how long after an outage of the store missing entries may still come
+	// ExpiryGrace is how long after an outage of the store missing entries may still come
 	// back; the entries of live engines are back within two seconds. It is also how long
 	// the store must have served a node before that node's status counts against an
 	// outage.
-	LapseGrace = 2500 * time.Millisecond
+	ExpiryGrace = 2500 * time.Millisecond
 	// expiryHeartbeats is the number of heartbeats of an engine that an outage must
 	// suppress before entries expire. An entry lasts for three heartbeats, and the first
 	// of them is partly over when the outage begins.
 	expiryHeartbeats = 2
 	// failedCallMaxAge is how long a failed call counts as a sign of an outage. A node
 	// that gets no answer retries within 2.7 s (storeTimeout of the platform's client
-	// plus 1.5 x retryMost). A node that no longer calls the store, because other nodes
+	// plus 1.5 x maxRetryWait). A node that no longer calls the store, because other nodes
 	// do, gets no newer results of its own; without this limit it would report an outage
 	// forever.
 	failedCallMaxAge = 3 * time.Second
@@ -43,9 +43,9 @@
 	defaultHeartbeat = 1200 * time.Millisecond
 )
 
-// Record keeps what the results of a node's own calls show about the store. It is safe
-// for concurrent use.
-type Record struct {
+// StoreMonitor keeps what the results of a node's own calls show about the store. It is
+// safe for concurrent use.
+type StoreMonitor struct {
 	mu sync.Mutex
 	// expireAfter is the duration of the shortest outage in which entries expire.
 	expireAfter time.Duration
@@ -60,21 +60,21 @@
 	afterOutage bool
 }
 
-// NewRecord returns a record for engines that renew their entries once per heartbeat. If
-// heartbeat is not positive, defaultHeartbeat applies.
-func NewRecord(heartbeat time.Duration) *Record {
+// NewStoreMonitor returns a monitor for engines that renew their entries once per
+// heartbeat. If heartbeat is not positive, defaultHeartbeat applies.
+func NewStoreMonitor(heartbeat time.Duration) *StoreMonitor {
 	if heartbeat <= 0 {
 		heartbeat = defaultHeartbeat
 	}
-	return &Record{expireAfter: expiryHeartbeats * heartbeat}
+	return &StoreMonitor{expireAfter: expiryHeartbeats * heartbeat}
 }
 
-// Note adds a call that has ended to the record.
-func (h *Record) Note(c Call) {
+// RecordCall records a call that has ended.
+func (h *StoreMonitor) RecordCall(c Call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case c.GivenUp():
+	case c.Canceled():
 	case c.Answered():
 		h.noteAnswer(c)
 	case c.Begun.Before(h.lastAnswer):
@@ -88,7 +88,7 @@
 
 // noteAnswer adds an answered call to the record. It starts a new period of service if
 // the store had been unreachable, or the node had made no calls, for expireAfter.
-func (h *Record) noteAnswer(c Call) {
+func (h *StoreMonitor) noteAnswer(c Call) {
 	stalled := c.Ended.Sub(h.lastAnswer) >= h.expireAfter
 	unasked := c.Begun.Sub(h.lastAnswer) >= h.expireAfter
 	if stalled && (h.lastFailed != nil || unasked) {
@@ -102,51 +102,51 @@
 
 // Status is what one node reports to the other nodes about the store.
 type Status struct {
-	// Away is true while the store has been unreachable for this node for long enough
+	// Outage is true while the store has been unreachable for this node for long enough
 	// that entries expire.
-	Away bool `json:"away,omitempty"`
-	// Back is true for LapseGrace after such an outage has ended.
-	Back bool `json:"back,omitempty"`
+	Outage bool `json:"away,omitempty"`
+	// Recovered is true for ExpiryGrace after such an outage has ended.
+	Recovered bool `json:"back,omitempty"`
 	// Answered is true if the store has answered this node recently.
 	Answered bool `json:"answered,omitempty"`
-	// Served is true if the store has been answering this node for at least LapseGrace
+	// Served is true if the store has been answering this node for at least ExpiryGrace
 	// without such an outage.
 	Served bool `json:"served,omitempty"`
 }
 
 // Status returns what the calls recorded so far show at the given time.
-func (h *Record) Status(now time.Time) Status {
+func (h *StoreMonitor) Status(now time.Time) Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	stalled := now.Sub(h.lastAnswer) >= h.expireAfter
-	stable := now.Sub(h.servedSince) >= LapseGrace
+	stable := now.Sub(h.servedSince) >= ExpiryGrace
 	return Status{
-		Away:     stalled && h.lastFailed != nil && now.Sub(h.lastFailed.Ended) < failedCallMaxAge,
-		Back:     h.afterOutage && !stable,
-		Answered: !stalled,
-		Served:   !stalled && stable,
+		Outage:    stalled && h.lastFailed != nil && now.Sub(h.lastFailed.Ended) < failedCallMaxAge,
+		Recovered: h.afterOutage && !stable,
+		Answered:  !stalled,
+		Served:    !stalled && stable,
 	}
 }
 
-// Failed returns the newest unanswered call since the store last answered, or nil if
+// LastFailed returns the newest unanswered call since the store last answered, or nil if
 // there is none.
-func (h *Record) Failed() *Call {
+func (h *StoreMonitor) LastFailed() *Call {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lastFailed
 }
 
-// Away reports whether the store is unreachable for all nodes, or was within the last
-// LapseGrace. The statuses are those of all nodes currently heard. A node that the store
+// ConfirmedOutage reports whether the store is unreachable for all nodes, or was within the last
+// ExpiryGrace. The statuses are those of all nodes currently heard. A node that the store
 // has served all along disproves an outage. While some nodes cannot reach the store, a
 // single answered node shows that the store rejects only those nodes.
-func Away(statuses ...Status) bool {
+func ConfirmedOutage(statuses ...Status) bool {
 	var all Status
 	for _, s := range statuses {
-		all.Away = all.Away || s.Away
-		all.Back = all.Back || s.Back
+		all.Outage = all.Outage || s.Outage
+		all.Recovered = all.Recovered || s.Recovered
 		all.Answered = all.Answered || s.Answered
 		all.Served = all.Served || s.Served
 	}
-	return !all.Served && (all.Back || all.Away && !all.Answered)
+	return !all.Served && (all.Recovered || all.Outage && !all.Answered)
 }
--- a/citronlimit/book.go
+++ b/citronlimit/book.go
@@ -4,7 +4,7 @@
 // together. The limit is in effect for as long as its responses state it. A node that
 // learns of a limit shares it with the other nodes:
 //
-//	response --Heard--> book --Recent, All--> other nodes --Learn--> their books
+//	response --Observe--> registry --Recent, All--> other nodes --Merge--> their registries
 //
 // The permits of citronpermit decide which requests are sent under a limit.
 package citronlimit
@@ -46,9 +46,9 @@
 	return r.Limited == o.Limited && r.PerSecond == o.PerSecond
 }
 
-// Book holds the limits of all upstreams that this node knows, by engine ID. Each start of
-// an engine has its own ID.
-type Book struct {
+// Registry holds the limits of all upstreams that this node knows, by engine ID. Each start
+// of an engine has its own ID.
+type Registry struct {
 	clock citronclock.Clock
 	// records is immutable and replaced as a whole, so that every request can read it
 	// without a lock.
@@ -70,23 +70,23 @@
 	pending map[string]Record
 }
 
-// NewBook returns a Book in which no upstream is limited.
-func NewBook(clock citronclock.Clock) *Book {
-	b := &Book{clock: clock, onChange: func([]string) {}, isListed: func(string) bool { return false }, changedAt: map[string]time.Time{}, limitedAt: map[string]time.Time{}, pending: map[string]Record{}}
+// NewRegistry returns a Registry in which no upstream is limited.
+func NewRegistry(clock citronclock.Clock) *Registry {
+	b := &Registry{clock: clock, onChange: func([]string) {}, isListed: func(string) bool { return false }, changedAt: map[string]time.Time{}, limitedAt: map[string]time.Time{}, pending: map[string]Record{}}
 	b.records.Store(&map[string]Record{})
 	return b
 }
 
 // Notify sets the function that is called when there is an update for other nodes.
 // relaxed holds the engines that accept more requests than before. Notify must be called
-// before the book is used, and f must not block.
-func (b *Book) Notify(f func(relaxed []string)) { b.onChange = f }
+// before the registry is used, and f must not block.
+func (b *Registry) Notify(f func(relaxed []string)) { b.onChange = f }
 
-// Of returns the record of an engine. It is the zero Record if the engine has none.
-func (b *Book) Of(engine string) Record { return (*b.records.Load())[engine] }
+// Get returns the record of an engine. It is the zero Record if the engine has none.
+func (b *Registry) Get(engine string) Record { return (*b.records.Load())[engine] }
 
-// Limited returns the number of engines that have set a limit.
-func (b *Book) Limited() int {
+// CountLimited returns the number of engines that have set a limit.
+func (b *Registry) CountLimited() int {
 	n := 0
 	for _, r := range *b.records.Load() {
 		if r.Limited {
@@ -96,29 +96,29 @@
 	return n
 }
 
-// Heard processes the rate limit in a response of an engine. before is the engine's record
-// at the time when the request was sent. Heard returns the current record and whether it
-// has changed.
+// Observe processes the rate limit in a response of an engine. before is the engine's
+// record at the time when the request was sent. Observe returns the current record and
+// whether it has changed.
 //
 // Responses may arrive out of order. A stricter limit takes effect at once. A less strict
 // limit, or the end of a limit, takes effect only if the request was sent when the current
 // record was already known. An earlier request may have been answered before the limit was
 // set.
-func (b *Book) Heard(engine string, before Record, reported citronupstream.RateLimit) (Record, bool) {
+func (b *Registry) Observe(engine string, before Record, reported citronupstream.RateLimit) (Record, bool) {
 	next := Record{}
 	switch s := reported.(type) {
 	case citronupstream.PerSecond:
 		next.Limited, next.PerSecond = true, float64(s)
 	case citronupstream.NoRateLimit:
 	default:
-		return b.Of(engine), false
+		return b.Get(engine), false
 	}
-	if known := b.Of(engine); !next.Limited && known.sameLimit(next) {
+	if known := b.Get(engine); !next.Limited && known.sameLimit(next) {
 		return known, false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known, now := b.Of(engine), b.clock.Now()
+	known, now := b.Get(engine), b.clock.Now()
 	if next.Limited && !known.stricter(next) {
 		b.limitedAt[engine] = now
 		delete(b.pending, engine)
@@ -140,13 +140,13 @@
 
 // Tick puts pending records into effect if the limits that they replace were last stated at
 // least minLimitDuration ago.
-func (b *Book) Tick() {
+func (b *Registry) Tick() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now, due := b.clock.Now(), map[string]Record{}
 	for engine, r := range b.pending {
 		switch {
-		case r.Version != b.Of(engine).Version+1:
+		case r.Version != b.Get(engine).Version+1:
 			delete(b.pending, engine)
 		case now.Sub(b.limitedAt[engine]) >= minLimitDuration:
 			due[engine] = r
@@ -157,7 +157,7 @@
 }
 
 // set puts newer records into effect and calls onChange. The caller must hold b.mu.
-func (b *Book) set(newer map[string]Record) {
+func (b *Registry) set(newer map[string]Record) {
 	if len(newer) == 0 {
 		return
 	}
@@ -178,7 +178,7 @@
 	b.onChange(relaxed)
 }
 
-func (b *Book) replace(records map[string]Record) {
+func (b *Registry) replace(records map[string]Record) {
 	b.records.Store(&records)
 	b.sum.Store(checksum(records))
 	gone := func(engine string, _ time.Time) bool { _, ok := records[engine]; return !ok }
--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -16,8 +16,8 @@
 
 func isListed(engine string) bool { return engine == "i-1" || engine == "i-2" }
 
-func newBook(c citronclock.Clock) *citronlimit.Book {
-	b := citronlimit.NewBook(c)
+func newRegistry(c citronclock.Clock) *citronlimit.Registry {
+	b := citronlimit.NewRegistry(c)
 	b.Retain(isListed)
 	return b
 }
@@ -27,20 +27,20 @@
 func TestLimitStaysInEffectForAtLeastOneSecond(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
-	b := newBook(clock)
-	respond := func(l citronupstream.RateLimit) { b.Heard("i-1", b.Of("i-1"), l) }
+	b := newRegistry(clock)
+	respond := func(l citronupstream.RateLimit) { b.Observe("i-1", b.Get("i-1"), l) }
 	for range 20 {
 		respond(citronupstream.PerSecond(4))
 		clock.Advance(300 * time.Millisecond)
 		respond(citronupstream.NoRateLimit{})
-		is.True(b.Of("i-1").Limited)
+		is.True(b.Get("i-1").Limited)
 		clock.Advance(300 * time.Millisecond)
 	}
 	b.Tick()
-	is.True(b.Of("i-1").Limited)
+	is.True(b.Get("i-1").Limited)
 	clock.Advance(500 * time.Millisecond)
 	b.Tick() // the last response had no limit, and the limit was last stated more than a second ago
-	is.True(!b.Of("i-1").Limited)
+	is.True(!b.Get("i-1").Limited)
 }
 
 // Guards against an old update that replaces a newer one because it arrives later, and
@@ -48,18 +48,18 @@
 func TestNewerRecordsWinInAnyOrder(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
-	b := newBook(clock)
+	b := newRegistry(clock)
 	limited := citronpeer.Limit{Engine: "i-1", Limited: true, PerSecond: 4, Version: 1}
 	lifted := citronpeer.Limit{Engine: "i-1", Version: 2}
-	is.NoErr(b.Learn([]citronpeer.Limit{lifted}))
-	is.NoErr(b.Learn([]citronpeer.Limit{limited}))
-	is.True(!b.Of("i-1").Limited)
-	is.NoErr(b.Learn([]citronpeer.Limit{{Engine: "i-1", Limited: true, PerSecond: 4, Version: 2}}))
-	is.True(b.Of("i-1").Limited) // of two records with the same version, the stricter one wins
-	is.NoErr(b.Learn([]citronpeer.Limit{{Engine: "i-9", Limited: true, PerSecond: 4, Version: 2}}))
-	is.Equal(b.Limited(), 1) // i-9 is not in the engine list
+	is.NoErr(b.Merge([]citronpeer.Limit{lifted}))
+	is.NoErr(b.Merge([]citronpeer.Limit{limited}))
+	is.True(!b.Get("i-1").Limited)
+	is.NoErr(b.Merge([]citronpeer.Limit{{Engine: "i-1", Limited: true, PerSecond: 4, Version: 2}}))
+	is.True(b.Get("i-1").Limited) // of two records with the same version, the stricter one wins
+	is.NoErr(b.Merge([]citronpeer.Limit{{Engine: "i-9", Limited: true, PerSecond: 4, Version: 2}}))
+	is.Equal(b.CountLimited(), 1) // i-9 is not in the engine list
 	b.Retain(func(engine string) bool { return engine == "i-2" })
-	is.Equal(b.Of("i-1"), citronlimit.Record{})
+	is.Equal(b.Get("i-1"), citronlimit.Record{})
 	is.Equal(b.Sum(), uint64(0))
 }
 
@@ -73,52 +73,52 @@
 		{Engine: "i-1", Limited: true, PerSecond: 1, Version: math.MaxInt64},
 	} {
 		is := is.New(t)
-		b := newBook(citronclock.Real{})
-		is.True(b.Learn([]citronpeer.Limit{{Engine: "i-2", Limited: true, PerSecond: 3, Version: 1}, l}) != nil)
-		is.Equal(b.Limited(), 0)
+		b := newRegistry(citronclock.Real{})
+		is.True(b.Merge([]citronpeer.Limit{{Engine: "i-2", Limited: true, PerSecond: 3, Version: 1}, l}) != nil)
+		is.Equal(b.CountLimited(), 0)
 	}
 }
 
 // Whatever responses nodes receive, and in whatever order they exchange messages, they
 // must end up with the same records.
-func TestBooksAgree(t *testing.T) {
+func TestRegistriesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(0, 0))
-		books := []*citronlimit.Book{newBook(clock), newBook(clock), newBook(clock)}
+		registries := []*citronlimit.Registry{newRegistry(clock), newRegistry(clock), newRegistry(clock)}
 		engines := []string{"i-1", "i-2"}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			b := rapid.SampledFrom(books).Draw(t, "book")
+			b := rapid.SampledFrom(registries).Draw(t, "book")
 			e := rapid.SampledFrom(engines).Draw(t, "engine")
 			clock.Advance(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 4:
 				b.Tick()
 			case 0:
-				b.Heard(e, b.Of(e), citronupstream.PerSecond(rapid.SampledFrom([]float64{0, 1, 4}).Draw(t, "limit")))
+				b.Observe(e, b.Get(e), citronupstream.PerSecond(rapid.SampledFrom([]float64{0, 1, 4}).Draw(t, "limit")))
 			case 1:
-				b.Heard(e, b.Of(e), citronupstream.NoRateLimit{})
+				b.Observe(e, b.Get(e), citronupstream.NoRateLimit{})
 			case 2:
-				if err := rapid.SampledFrom(books).Draw(t, "other").Learn(b.All()); err != nil {
+				if err := rapid.SampledFrom(registries).Draw(t, "other").Merge(b.All()); err != nil {
 					t.Fatal(err)
 				}
 			case 3:
-				if err := rapid.SampledFrom(books).Draw(t, "other").Learn(b.Recent()); err != nil {
+				if err := rapid.SampledFrom(registries).Draw(t, "other").Merge(b.Recent()); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		for range books {
-			for _, b := range books {
-				for _, o := range books {
-					if err := o.Learn(b.All()); err != nil {
+		for range registries {
+			for _, b := range registries {
+				for _, o := range registries {
+					if err := o.Merge(b.All()); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 		}
-		for _, b := range books[1:] {
-			if b.Sum() != books[0].Sum() {
-				t.Fatalf("books have different records: %v and %v", books[0].All(), b.All())
+		for _, b := range registries[1:] {
+			if b.Sum() != registries[0].Sum() {
+				t.Fatalf("registries have different records: %v and %v", registries[0].All(), b.All())
 			}
 		}
 	})
@@ -135,8 +135,8 @@
 		if cbor.Unmarshal(text, &received) != nil {
 			return
 		}
-		b := newBook(citronclock.Real{})
-		if err := b.Learn(received); err != nil && len(b.All()) > 0 {
+		b := newRegistry(citronclock.Real{})
+		if err := b.Merge(received); err != nil && len(b.All()) > 0 {
 			t.Fatal("records of an invalid message were accepted")
 		}
 		for _, l := range b.All() {
--- a/citronlist/era.go
+++ b/citronlist/era.go
@@ -8,7 +8,7 @@
 // entries of an engine than the restored copy holds, the restored entry is outdated: an
 // engine that is known to be leaving stays leaving, and an engine that is known to be
 // gone is not used, until it writes its entry again. Engines that are missing in the
-// restored copy get LapseGrace to write their entries again, as after an outage in which
+// restored copy get ExpiryGrace to write their entries again, as after an outage in which
 // entries expire.
 
 import (
@@ -90,6 +90,6 @@
 	// Removals of an earlier era are meaningless in this one. Nodes that have a list of
 	// an earlier era get the full list.
 	l.removed, l.removedSince = nil, revision
-	citronevent.Log(ctx, l.set.Log, citronevent.StoreReturned, "revision", revision.String(), "was", l.revision.String(), "entries", len(items), "engines", len(l.entries), "overtaken", old)
+	citronevent.Log(ctx, l.set.Log, citronevent.StoreRestored, "revision", revision.String(), "was", l.revision.String(), "entries", len(items), "engines", len(l.entries), "overtaken", old)
 	return true
 }
--- a/citronlist/era_test.go
+++ b/citronlist/era_test.go
@@ -55,13 +55,13 @@
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	l := listWithEngines(t, clock, 10, 2*time.Second)
 	items := inEra(1, entryItem(0, 1, nil), entryItem(1, 2, leaving))
-	is.True(l.TakeWhole(t.Context(), items, citronkv.RevisionOf(1, 4), true))
+	is.True(l.ApplyFull(t.Context(), items, citronkv.RevisionOf(1, 4), true))
 	is.True(!l.usedIDs()["1"])
 	// Changes of the earlier era are ignored in the new one.
-	is.True(!l.TakeChanges(t.Context(), []citronkv.Item{entryItem(0, 11, leaving)}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 11), false))
+	is.True(!l.ApplyChanges(t.Context(), []citronkv.Item{entryItem(0, 11, leaving)}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 11), false))
 	is.True(l.usedIDs()["0"])
 	// Numbers that are assigned again in the new era stand for other writes.
-	is.True(l.TakeChanges(t.Context(), inEra(1, entryItem(0, 5, leaving)), citronkv.RevisionOf(1, 4), citronkv.RevisionOf(1, 5), true))
+	is.True(l.ApplyChanges(t.Context(), inEra(1, entryItem(0, 5, leaving)), citronkv.RevisionOf(1, 4), citronkv.RevisionOf(1, 5), true))
 	is.True(!l.usedIDs()["0"])
 }
 
@@ -75,15 +75,15 @@
 	for i := range copied {
 		copied[i] = entryItem(i, int64(i+1), nil)
 	}
-	is.True(l.TakeChanges(t.Context(), []citronkv.Item{entryItem(0, 11, leaving), {Key: key(1), Revision: citronkv.RevisionOf(0, 12), Deleted: true}}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 12), true))
+	is.True(l.ApplyChanges(t.Context(), []citronkv.Item{entryItem(0, 11, leaving), {Key: key(1), Revision: citronkv.RevisionOf(0, 12), Deleted: true}}, citronkv.RevisionOf(0, 10), citronkv.RevisionOf(0, 12), true))
 	clock.Advance(3 * time.Second)
 	l.Tick(t.Context(), false)
-	is.True(l.TakeWhole(t.Context(), inEra(1, copied...), citronkv.RevisionOf(1, 10), true))
+	is.True(l.ApplyFull(t.Context(), inEra(1, copied...), citronkv.RevisionOf(1, 10), true))
 	is.True(!l.usedIDs()["0"])
 	is.True(!l.usedIDs()["1"])
 	is.Equal(len(l.usedIDs()), 8)
 	// Engine 1 writes its entry again, so it is present after all.
-	is.True(l.TakeChanges(t.Context(), inEra(1, entryItem(1, 11, nil)), citronkv.RevisionOf(1, 10), citronkv.RevisionOf(1, 11), true))
+	is.True(l.ApplyChanges(t.Context(), inEra(1, entryItem(1, 11, nil)), citronkv.RevisionOf(1, 10), citronkv.RevisionOf(1, 11), true))
 	is.True(l.usedIDs()["1"])
 }
 
@@ -93,12 +93,12 @@
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	l := listWithEngines(t, clock, 3, 2*time.Second)
-	is.True(l.TakeChanges(t.Context(), []citronkv.Item{entryItem(3, 11, nil), entryItem(4, 12, nil)}, citronkv.RevisionOf(0, 3), citronkv.RevisionOf(0, 12), true))
-	is.True(l.TakeWhole(t.Context(), inEra(1, entryItem(0, 1, nil), entryItem(1, 2, nil), entryItem(2, 3, nil)), citronkv.RevisionOf(1, 3), true))
+	is.True(l.ApplyChanges(t.Context(), []citronkv.Item{entryItem(3, 11, nil), entryItem(4, 12, nil)}, citronkv.RevisionOf(0, 3), citronkv.RevisionOf(0, 12), true))
+	is.True(l.ApplyFull(t.Context(), inEra(1, entryItem(0, 1, nil), entryItem(1, 2, nil), entryItem(2, 3, nil)), citronkv.RevisionOf(1, 3), true))
 	is.Equal(len(l.usedIDs()), 5)
-	clock.Advance(citronhealth.LapseGrace / 2)
-	is.True(l.TakeChanges(t.Context(), inEra(1, entryItem(3, 4, nil)), citronkv.RevisionOf(1, 3), citronkv.RevisionOf(1, 4), true))
-	clock.Advance(citronhealth.LapseGrace)
+	clock.Advance(citronhealth.ExpiryGrace / 2)
+	is.True(l.ApplyChanges(t.Context(), inEra(1, entryItem(3, 4, nil)), citronkv.RevisionOf(1, 3), citronkv.RevisionOf(1, 4), true))
+	clock.Advance(citronhealth.ExpiryGrace)
 	l.Tick(t.Context(), false)
 	is.True(l.usedIDs()["3"])
 	is.True(!l.usedIDs()["4"])
@@ -110,8 +110,8 @@
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
 	l := listWithEngines(t, clock, 3, 2*time.Second)
-	is.True(l.TakeWhole(t.Context(), inEra(1, entryItem(0, 1, nil)), citronkv.RevisionOf(1, 1), true))
-	doc, err := l.Passed().After(citronkv.RevisionOf(0, 3))
+	is.True(l.ApplyFull(t.Context(), inEra(1, entryItem(0, 1, nil)), citronkv.RevisionOf(1, 1), true))
+	doc, err := l.Snapshot().ChangesSince(citronkv.RevisionOf(0, 3))
 	is.NoErr(err)
 	is.True(doc.Base.IsZero())
 	is.Equal(doc.Revision, citronkv.RevisionOf(1, 1))
@@ -138,7 +138,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.TakeWhole(t.Context(), items, rev, true)
+			l.ApplyFull(t.Context(), items, rev, true)
 		}
 		const engines = 100 // only five of them change, so that no mass removal is detected
 		engine := rapid.IntRange(0, 4)
@@ -146,7 +146,7 @@
 			write(i, nil)
 		}
 		read()
-		backup := kv.Copy()
+		backup := kv.Snapshot()
 		t.Repeat(map[string]func(*rapid.T){
 			"write": func(t *rapid.T) { write(engine.Draw(t, "engine"), nil); read() },
 			"leave": func(t *rapid.T) { write(engine.Draw(t, "engine"), leaving); read() },
@@ -157,9 +157,9 @@
 				}
 				read()
 			},
-			"copy": func(*rapid.T) { backup = kv.Copy() },
+			"copy": func(*rapid.T) { backup = kv.Snapshot() },
 			"return": func(*rapid.T) {
-				kv.Return(backup)
+				kv.Restore(backup)
 				read()
 			},
 			"wait": func(t *rapid.T) {
--- a/citronlist/index_test.go
+++ b/citronlist/index_test.go
@@ -24,13 +24,13 @@
 		clock := citronclock.NewManual(time.Unix(1000, 0))
 		services := []map[string]citrontable.Service{nil, {"a": {}}, {"a": {}, "b": {}}}
 		l := New(Settings{
-			Prefix: "e/", Clock: clock, Log: slog.New(slog.DiscardHandler), Ended: func(citronmodel.Engine) {},
+			Prefix: "e/", Clock: clock, Log: slog.New(slog.DiscardHandler), OnEnded: func(citronmodel.Engine) {},
 			Decode: func(key string, text []byte) (citronmodel.Engine, error) {
 				if text[0] == '!' {
 					return citronmodel.Engine{}, errors.New("entry of another writer")
 				}
 				id, v := key[2:], int(text[1]-'0')
-				return citronmodel.Engine{ID: fmt.Sprintf("%s@%d", id, v/4), Instance: id, Born: int64(v / 4), Service: string(text[0]), Addr: fmt.Sprint(v % 3), Slots: v}, nil
+				return citronmodel.Engine{ID: fmt.Sprintf("%s@%d", id, v/4), Instance: id, StartMS: int64(v / 4), Service: string(text[0]), Addr: fmt.Sprint(v % 3), Slots: v}, nil
 			},
 		})
 		ctx := context.Background()
@@ -48,18 +48,18 @@
 				for i := range rapid.IntRange(0, 30).Draw(t, "n") {
 					items = append(items, citronkv.Item{Key: fmt.Sprintf("e/i%02d", i), Value: []byte(value.Draw(t, "v")), Revision: next})
 				}
-				l.TakeWhole(ctx, items, next, true)
+				l.ApplyFull(ctx, items, next, true)
 			case 1:
-				l.TakeChanges(ctx, []citronkv.Item{{Key: key.Draw(t, "k"), Deleted: true, Revision: next}}, base, next, true)
+				l.ApplyChanges(ctx, []citronkv.Item{{Key: key.Draw(t, "k"), Deleted: true, Revision: next}}, base, next, true)
 			case 2:
-				l.StartedAnew(ctx, key.Draw(t, "k")[2:], 9)
+				l.RecordRestart(ctx, key.Draw(t, "k")[2:], 9)
 			case 3:
 				clock.Advance(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 				l.Tick(ctx, rapid.Bool().Draw(t, "away"))
 			case 4:
 				used = rapid.SampledFrom(services).Draw(t, "services")
 			default:
-				l.TakeChanges(ctx, []citronkv.Item{{Key: key.Draw(t, "k"), Value: []byte(value.Draw(t, "v")), Revision: next}}, base, next, true)
+				l.ApplyChanges(ctx, []citronkv.Item{{Key: key.Draw(t, "k"), Value: []byte(value.Draw(t, "v")), Revision: next}}, base, next, true)
 			}
 			got := l.Engines(used)
 			fresh := *l
@@ -69,7 +69,7 @@
 				t.Fatalf("patched:\n%v\nrebuilt:\n%v", got, want)
 			}
 			for key, e := range l.entries {
-				if l.index.missing[key] == e.missingSince.IsZero() || l.index.restarted[key] != (e.engine.Born > e.listedBorn) {
+				if l.index.missing[key] == e.missingSince.IsZero() || l.index.restarted[key] != (e.engine.StartMS > e.listedStartMS) {
 					t.Fatalf("entry %s is wrongly indexed: missing %t, restarted %t", key, l.index.missing[key], l.index.restarted[key])
 				}
 			}
@@ -87,7 +87,7 @@
 // sharedItemsOf formats the entries that are sent to other nodes.
 func sharedItemsOf(l *List) string {
 	var out []string
-	for _, it := range l.Passed().items {
+	for _, it := range l.Snapshot().items {
 		out = append(out, fmt.Sprint(it))
 	}
 	slices.Sort(out)
@@ -110,7 +110,7 @@
 func TestPatchLeavesReturnedSliceUnchanged(t *testing.T) {
 	is := is.New(t)
 	l := New(Settings{
-		Prefix: "e/", Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Ended: func(citronmodel.Engine) {},
+		Prefix: "e/", Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), OnEnded: func(citronmodel.Engine) {},
 		Decode: func(key string, text []byte) (citronmodel.Engine, error) {
 			return citronmodel.Engine{ID: key, Addr: key, Slots: len(text)}, nil
 		},
@@ -120,10 +120,10 @@
 		items = append(items, citronkv.Item{Key: fmt.Sprintf("e/%02d", i), Value: []byte("x"), Revision: citronkv.RevisionOf(0, 1)})
 	}
 	ctx := context.Background()
-	l.TakeWhole(ctx, items, citronkv.RevisionOf(0, 1), true)
+	l.ApplyFull(ctx, items, citronkv.RevisionOf(0, 1), true)
 	before := l.Engines(nil)
 	two := citronkv.RevisionOf(0, 2)
-	l.TakeChanges(ctx, []citronkv.Item{{Key: "e/07", Value: []byte("xyz"), Revision: two}}, citronkv.RevisionOf(0, 1), two, true)
+	l.ApplyChanges(ctx, []citronkv.Item{{Key: "e/07", Value: []byte("xyz"), Revision: two}}, citronkv.RevisionOf(0, 1), two, true)
 	is.Equal(l.Engines(nil)[7].Slots, 3)
 	is.Equal(before[7].Slots, 1)
 }
--- a/citronlist/lapse.go
+++ b/citronlist/lapse.go
@@ -16,7 +16,7 @@
 const (
 	// massRemovalMin and massRemovalDivisor define a mass removal: if at least
 	// massRemovalMin entries and at least 1/massRemovalDivisor of the list disappear
-	// within LapseGrace, that is too many for a coincidence.
+	// within ExpiryGrace, that is too many for a coincidence.
 	massRemovalMin     = 4
 	massRemovalDivisor = 6
 	// defaultDrain applies if the settings give no DrainWithin.
@@ -40,15 +40,15 @@
 )
 
 // Tick performs the work that is due at the current time: it deletes engines whose
-// entries have been missing for longer than LapseGrace and reviews the others. outage
+// entries have been missing for longer than ExpiryGrace and reviews the others. outage
 // reports whether the store is unreachable for all nodes, or was within the last
-// LapseGrace.
+// ExpiryGrace.
 func (l *List) Tick(ctx context.Context, outage bool) {
 	l.outage = outage
 	now := l.set.Clock.Now()
 	l.forgetSuperseded(now)
 	for key := range l.index.missing {
-		if e := l.entries[key]; now.Sub(e.missingSince) > citronhealth.LapseGrace {
+		if e := l.entries[key]; now.Sub(e.missingSince) > citronhealth.ExpiryGrace {
 			l.deleteEntry(key)
 			if l.byAddr[e.engine.Addr] == key {
 				delete(l.byAddr, e.engine.Addr)
@@ -63,11 +63,11 @@
 // currentRetainReason returns why engines whose entries are missing stay in use, or
 // retainNone if they do not.
 func (l *List) currentRetainReason(now time.Time) retainReason {
-	l.removalTimes = slices.DeleteFunc(l.removalTimes, func(t time.Time) bool { return now.Sub(t) > citronhealth.LapseGrace })
+	l.removalTimes = slices.DeleteFunc(l.removalTimes, func(t time.Time) bool { return now.Sub(t) > citronhealth.ExpiryGrace })
 	switch {
 	case l.outage:
 		return retainOutage
-	case !l.restoredAt.IsZero() && now.Sub(l.restoredAt) < citronhealth.LapseGrace:
+	case !l.restoredAt.IsZero() && now.Sub(l.restoredAt) < citronhealth.ExpiryGrace:
 		return retainRestore
 	case len(l.removalTimes) >= max(massRemovalMin, len(l.entries)/massRemovalDivisor):
 		return retainMassRemoval
@@ -112,6 +112,6 @@
 		}
 	}
 	if len(changedIDs) > 0 {
-		citronevent.Log(ctx, l.set.Log, citronevent.EntriesKept, "kept", l.retained, "changed", len(changedIDs), "engines", firstIDs(changedIDs), "reason", string(l.reason), "vanished", len(l.removalTimes))
+		citronevent.Log(ctx, l.set.Log, citronevent.EntriesRetained, "kept", l.retained, "changed", len(changedIDs), "engines", firstIDs(changedIDs), "reason", string(l.reason), "vanished", len(l.removalTimes))
 	}
 }
--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -4,7 +4,7 @@
 //
 //	full list, changes -> applyEntry, markMissing -> Engines -> traffic, placement
 //	engine reports     -> starts.go --^       |
-//	store outages      -> lapse.go  ----------+-> Passed -> other nodes
+//	store outages      -> lapse.go  ----------+-> Snapshot -> other nodes
 //
 // The higher revision wins, whichever source it comes from. A List must be used by one
 // goroutine only.
@@ -35,9 +35,9 @@
 	DrainWithin time.Duration
 	Clock       citronclock.Clock
 	Log         *slog.Logger
-	// Ended is called with each engine that is known to have ended, so that the requests
+	// OnEnded is called with each engine that is known to have ended, so that the requests
 	// running on it are moved at once.
-	Ended func(citronmodel.Engine)
+	OnEnded func(citronmodel.Engine)
 }
 
 // List is a node's view of the engines.
@@ -50,7 +50,7 @@
 	// version counts the changes to the result of Engines.
 	version int
 	// snapshot is the list as sent to other nodes, or nil if it has to be rebuilt.
-	snapshot *Passed
+	snapshot *Snapshot
 	// removed holds the latest removals. It is complete for all revisions after
 	// removedSince.
 	removed      []citronkv.Item
@@ -85,9 +85,9 @@
 type entry struct {
 	engine citronmodel.Engine
 	item   citronkv.Item
-	// listedBorn is the start time given by the entry. The engine may be known to have
+	// listedStartMS is the start time given by the entry. The engine may be known to have
 	// restarted since.
-	listedBorn int64
+	listedStartMS int64
 	// missingSince is when the entry was found missing; zero while it is present.
 	missingSince time.Time
 	// missingInRestore is true if the entry is missing in the copy from which the store
@@ -120,14 +120,14 @@
 // from another writer.
 func (l *List) Unreadable() int { return len(l.rejected) }
 
-// Kept returns the number of retained engines: those in use although their entries are
+// Retained returns the number of retained engines: those in use although their entries are
 // missing.
-func (l *List) Kept() int { return l.retained }
+func (l *List) Retained() int { return l.retained }
 
-// TakeWhole applies the full list at the given revision and reports whether it was newer
+// ApplyFull applies the full list at the given revision and reports whether it was newer
 // than the current list. fromStore tells whether it comes from the store rather than
 // from another node.
-func (l *List) TakeWhole(ctx context.Context, items []citronkv.Item, revision citronkv.Revision, fromStore bool) bool {
+func (l *List) ApplyFull(ctx context.Context, items []citronkv.Item, revision citronkv.Revision, fromStore bool) bool {
 	if !revision.After(l.revision) && !l.revision.IsZero() {
 		return false
 	}
@@ -152,10 +152,10 @@
 	return true
 }
 
-// TakeChanges applies the changes between the revisions base and revision, and reports
+// ApplyChanges applies the changes between the revisions base and revision, and reports
 // whether the list was updated. It ignores changes that are already known, and changes
 // that build on a list which this node does not have.
-func (l *List) TakeChanges(ctx context.Context, items []citronkv.Item, base, revision citronkv.Revision, fromStore bool) bool {
+func (l *List) ApplyChanges(ctx context.Context, items []citronkv.Item, base, revision citronkv.Revision, fromStore bool) bool {
 	if !revision.After(l.revision) || base.After(l.revision) || l.revision.IsZero() {
 		return false // already known, or based on a list that this node does not have
 	}
@@ -187,7 +187,7 @@
 	l.reviewMissing(ctx)
 }
 
-// invalidate marks the results of Engines and Passed as outdated.
+// invalidate marks the results of Engines and Snapshot as outdated.
 func (l *List) invalidate() {
 	l.version++
 	l.snapshot = nil
@@ -207,8 +207,8 @@
 	if l.resolveAddressConflict(ctx, it, e) {
 		return
 	}
-	now := entry{engine: e, item: it, listedBorn: e.Born}
-	if had && old.engine.Born > e.Born && e.Born > 0 {
+	now := entry{engine: e, item: it, listedStartMS: e.StartMS}
+	if had && old.engine.StartMS > e.StartMS && e.StartMS > 0 {
 		now.engine = old.engine // the entry was written before the engine restarted
 	}
 	if had && old.engine.ID != now.engine.ID {
@@ -264,11 +264,11 @@
 	return false
 }
 
-// reportEnded logs that an engine is known to have ended, and calls Settings.Ended.
+// reportEnded logs that an engine is known to have ended, and calls Settings.OnEnded.
 // laterID is the ID of the engine that took its place.
 func (l *List) reportEnded(ctx context.Context, e citronmodel.Engine, laterID string) {
-	citronevent.Log(ctx, l.set.Log, citronevent.EngineReborn, "engine", e.ID, "peer", e.Addr, "later", laterID)
-	l.set.Ended(e)
+	citronevent.Log(ctx, l.set.Log, citronevent.EngineRestarted, "engine", e.ID, "peer", e.Addr, "later", laterID)
+	l.set.OnEnded(e)
 }
 
 // markMissing records that the entry of an engine is missing. It does not determine
--- a/citronlist/passed_test.go
+++ b/citronlist/passed_test.go
@@ -19,7 +19,7 @@
 	gone := func(key string, revision int64) citronkv.Item {
 		return citronkv.Item{Key: key, Revision: citronkv.RevisionOf(0, revision), Deleted: true}
 	}
-	list := Passed{
+	list := Snapshot{
 		Revision: citronkv.RevisionOf(0, 20), items: []citronkv.Item{put("a", 3), put("b", 18), put("c", 12)},
 		removed: []citronkv.Item{gone("x", 11), gone("b", 16)}, removedSince: citronkv.RevisionOf(0, 10),
 	}
@@ -39,7 +39,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			doc, err := list.After(citronkv.RevisionOf(0, c.asked))
+			doc, err := list.ChangesSince(citronkv.RevisionOf(0, c.asked))
 			is.NoErr(err)
 			is.Equal(doc.Revision, citronkv.RevisionOf(0, 20))
 			is.Equal(doc.Base, citronkv.RevisionOf(0, c.base))
--- a/citronlist/starts.go
+++ b/citronlist/starts.go
@@ -4,28 +4,28 @@
 	"context"
 )
 
-// StartedAnew records that the engine with the given instance name has reported a start
+// RecordRestart records that the engine with the given instance name has reported a start
 // at born, later than its entry says. It ignores engines whose entry gives no start time.
-func (l *List) StartedAnew(ctx context.Context, instance string, born int64) {
+func (l *List) RecordRestart(ctx context.Context, instance string, born int64) {
 	key := l.set.Prefix + instance
 	e, ok := l.entries[key]
-	if !ok || e.engine.Born == 0 || e.engine.Born >= born {
+	if !ok || e.engine.StartMS == 0 || e.engine.StartMS >= born {
 		return
 	}
 	old := e.engine
-	e.engine = old.Reborn(born)
+	e.engine = old.Restarted(born)
 	l.setEntry(key, e)
 	l.version++
 	l.reportEnded(ctx, old, e.engine.ID)
 }
 
-// Starts returns the start times of the engines that are known to have started later
+// RestartTimes returns the start times of the engines that are known to have started later
 // than their entries say, by instance name.
-func (l *List) Starts() map[string]int64 {
+func (l *List) RestartTimes() map[string]int64 {
 	starts := map[string]int64{}
 	for key := range l.index.restarted {
 		e := l.entries[key].engine
-		starts[e.Instance] = e.Born
+		starts[e.Instance] = e.StartMS
 	}
 	return starts
 }
--- a/citronmodel/model.go
+++ b/citronmodel/model.go
@@ -27,9 +27,9 @@
 	// MemoryMB is the memory in MB. The memory that the engine's layers leave
 	// free holds the cache of running requests.
 	MemoryMB float64
-	// StepFactor and ReadFactor scale the declared times for token steps and
+	// StepFactor and PromptFactor scale the declared times for token steps and
 	// for prompt processing.
-	StepFactor, ReadFactor float64
+	StepFactor, PromptFactor float64
 }
 
 // Spec is a service's declaration of its model and its engines.
@@ -40,12 +40,12 @@
 	TokenBytes float64
 	// A token step over all layers takes StepMS, plus PerSeqMS for each request
 	// that is generating tokens, plus ContextMSPerK for each 1000 cached tokens.
-	// ReadPerS is the prompt processing rate in tokens per second.
-	StepMS, PerSeqMS, ContextMSPerK, ReadPerS float64
-	// Load is the time to load the whole model. LoadsAtOnce is the number of
+	// PromptTokensPerS is the prompt processing rate in tokens per second.
+	StepMS, PerSeqMS, ContextMSPerK, PromptTokensPerS float64
+	// LoadTime is the time to load the whole model. MaxConcurrentLoads is the number of
 	// concurrent loads beyond which each load slows down.
-	Load        time.Duration
-	LoadsAtOnce int
+	LoadTime           time.Duration
+	MaxConcurrentLoads int
 	// Slots is the number of requests that an engine runs concurrently as the
 	// first hop of their paths.
 	Slots int
@@ -78,10 +78,10 @@
 	return max(0, free/(s.TokenBytes/float64(s.Layers)*float64(layers)))
 }
 
-// RoomTokens returns an engine's capacity in tokens of running requests while it
+// TokenCapacity returns an engine's capacity in tokens of running requests while it
 // holds the given number of layers. The capacity is the smaller of two limits:
 // the cache size, and Slots concurrent requests of MeanTokens each.
-func (s Spec) RoomTokens(kind string, layers int) float64 {
+func (s Spec) TokenCapacity(kind string, layers int) float64 {
 	cache := s.CacheTokens(kind, layers)
 	if s.Slots <= 0 || s.MeanTokens <= 0 {
 		return cache
@@ -89,11 +89,11 @@
 	return min(cache, float64(s.Slots*s.MeanTokens))
 }
 
-// StepTime returns the time in milliseconds that an engine of this kind needs
+// StepTimeMS returns the time in milliseconds that an engine of this kind needs
 // for one token step over the given number of layers. writers is the number of
 // requests that are generating tokens, contextTokens the number of tokens that
 // they have cached.
-func (s Spec) StepTime(kind string, layers int, writers, contextTokens float64) float64 {
+func (s Spec) StepTimeMS(kind string, layers int, writers, contextTokens float64) float64 {
 	k, ok := s.Kinds[kind]
 	if !ok || s.Layers == 0 {
 		return 0
@@ -110,10 +110,10 @@
 	// incarnation and become invalid when the engine restarts.
 	ID string
 	// Instance is the engine's name in the list and on the wire. It stays the
-	// same after a restart. Born is the start time in Unix milliseconds, or
+	// same after a restart. StartMS is the start time in Unix milliseconds, or
 	// zero if the engine does not report it.
 	Instance string
-	Born     int64
+	StartMS  int64
 	Service  string
 	Addr     string
 	Zone     string
@@ -134,10 +134,10 @@
 	return instance + "@" + strconv.FormatInt(born, 10)
 }
 
-// Reborn returns the engine after a restart at born, in Unix milliseconds: a new
+// Restarted returns the engine after a restart at born, in Unix milliseconds: a new
 // incarnation that holds no layers and is not leaving.
-func (e Engine) Reborn(born int64) Engine {
-	e.ID, e.Born = IncarnationID(e.Instance, born), born
+func (e Engine) Restarted(born int64) Engine {
+	e.ID, e.StartMS = IncarnationID(e.Instance, born), born
 	e.Layers, e.Leaving = Span{}, false
 	return e
 }
--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -38,19 +38,19 @@
 	Refuted bool   `json:"refuted,omitempty"`
 }
 
-// keepBarred writes quarantine records to the store when they change, until ctx ends.
-// After a failed write it tries again after retryMost.
-func (n *Node) keepBarred(ctx context.Context) {
+// persistQuarantine writes quarantine records to the store when they change, until ctx
+// ends. After a failed write it tries again after maxRetryWait.
+func (n *Node) persistQuarantine(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.barredNews:
+		case <-n.quarantineChanged:
 		}
-		for _, e := range n.quarantine.Dirty() {
+		for _, e := range n.quarantine.Unsaved() {
 			if err := n.saveQuarantined(ctx, e); err != nil {
-				citronevent.Log(ctx, n.log, citronevent.BarredUnsaved, "print", e.Print, "err", err)
-				time.AfterFunc(retryMost, func() { wake(n.barredNews) })
+				citronevent.Log(ctx, n.log, citronevent.QuarantineUnsaved, "print", e.Fingerprint, "err", err)
+				time.AfterFunc(maxRetryWait, func() { wake(n.quarantineChanged) })
 				break
 			}
 			n.quarantine.MarkSaved(e)
@@ -72,12 +72,12 @@
 	if err != nil {
 		return errors.Wrap(err, "grant lease for quarantine record")
 	}
-	_, err = n.src.Store.Put(ctx, quarantinePrefix+e.Print.String(), text, citronkv.AnyRevision, lease)
+	_, err = n.src.Store.Put(ctx, quarantinePrefix+e.Fingerprint.String(), text, citronkv.AnyRevision, lease)
 	return errors.Wrap(err, "put quarantine record")
 }
 
-// readBarred merges the quarantine records in the store.
-func (n *Node) readBarred(ctx context.Context) error {
+// loadQuarantine merges the quarantine records in the store.
+func (n *Node) loadQuarantine(ctx context.Context) error {
 	items, _, err := n.src.Store.Range(ctx, quarantinePrefix)
 	if err != nil {
 		return errors.Wrap(err, "read quarantine records")
@@ -99,15 +99,15 @@
 // because the clock of the node that wrote the record may be ahead.
 func decodeQuarantined(item citronkv.Item, now time.Time) (citronquarantine.Entry, error) {
 	var e citronquarantine.Entry
-	if err := e.Print.UnmarshalText([]byte(item.Key[len(quarantinePrefix):])); err != nil {
+	if err := e.Fingerprint.UnmarshalText([]byte(item.Key[len(quarantinePrefix):])); err != nil {
 		return e, err
 	}
 	var r quarantineRecord
 	if err := json.Unmarshal(item.Value, &r); err != nil {
 		return e, errors.Wrapf(err, "decode quarantine record at %s", item.Key)
 	}
-	if len(r.Crashes) > citronquarantine.MostCrashes {
-		return e, errors.Newf("quarantine record at %s has %d crashes, the maximum is %d", item.Key, len(r.Crashes), citronquarantine.MostCrashes)
+	if len(r.Crashes) > citronquarantine.MaxCrashes {
+		return e, errors.Newf("quarantine record at %s has %d crashes, the maximum is %d", item.Key, len(r.Crashes), citronquarantine.MaxCrashes)
 	}
 	for _, c := range r.Crashes {
 		at := now.Add(-max(0, now.Sub(time.UnixMilli(c.UnixMS))))
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -26,10 +26,10 @@
 	inboxSize = 256
 	// tickInterval is how often the loop checks time-dependent state. Each tick
 	// increments the heartbeat counter of this node.
-	tickInterval = citronpeer.BeatEvery
-	// deadNews is how long a node keeps reporting an engine that it found dead. Other
+	tickInterval = citronpeer.MinHeartbeatInterval
+	// deadReportAge is how long a node keeps reporting an engine that it found dead. Other
 	// nodes verify the report themselves.
-	deadNews = 1500 * time.Millisecond
+	deadReportAge = 1500 * time.Millisecond
 )
 
 // Origins of a document, as logged.
@@ -41,33 +41,33 @@
 // message is an input of the control loop.
 type message interface{ isMessage() }
 
-// listSeen is the whole list of engines as of a revision.
-type listSeen struct {
+// listSnapshot is the whole list of engines as of a revision.
+type listSnapshot struct {
 	items    []citronkv.Item
 	revision citronkv.Revision
 	source   string
 }
 
-// listChanged is the set of changes to the list of engines after base, up to revision.
-type listChanged struct {
+// listDelta is the set of changes to the list of engines after base, up to revision.
+type listDelta struct {
 	items          []citronkv.Item
 	base, revision citronkv.Revision
 	source         string
 }
 
-// membersSeen is an update about other nodes: complete entries, gauges, or only the
+// memberUpdate is an update about other nodes: complete entries, gauges, or only the
 // heartbeat counters in a digest, together with the zone totals.
-type membersSeen struct {
+type memberUpdate struct {
 	// from is the node that sent the update. told is what it knows about others.
-	from   citronpeer.Member
-	told   citronpeer.Diff
-	digest citronpeer.Digest
-	sums   []citronpeer.Sum
+	from       citronpeer.Member
+	told       citronpeer.Diff
+	digest     citronpeer.Digest
+	zoneTotals []citronpeer.ZoneTotals
 }
 
-func (listSeen) isMessage()    {}
-func (listChanged) isMessage() {}
-func (membersSeen) isMessage() {}
+func (listSnapshot) isMessage() {}
+func (listDelta) isMessage()    {}
+func (memberUpdate) isMessage() {}
 
 // control is the state of the control loop.
 type control struct {
@@ -81,18 +81,18 @@
 	// era is the store era of the list: the number of times the store has been restored
 	// from an older copy, which is the high part of a revision. eraAt is when the era
 	// began, or zero if this node did not observe its start.
-	era     int64
-	eraAt   time.Time
-	members *citronroster.Table
-	sums    *citronroster.Sums
-	self    citronpeer.Member
-	view    *citronpool.View
+	era        int64
+	eraAt      time.Time
+	members    *citronroster.Table
+	zoneTotals *citronroster.ZoneTotals
+	self       citronpeer.Member
+	view       *citronpool.View
 	// listSince is when the first list arrived. listAt and configAt are when the list
 	// and the configuration last changed.
 	listSince, listAt, configAt time.Time
-	// storeAway reports that the store is unavailable to all nodes, or was within the
-	// last citronhealth.LapseGrace.
-	storeAway bool
+	// storeUnavailable reports that the store is unavailable to all nodes, or was within the
+	// last citronhealth.ExpiryGrace.
+	storeUnavailable bool
 	// configChanged means that the view must be rebuilt for a new configuration.
 	// collectDue means that the state of the other nodes must be collected for the next
 	// snapshot.
@@ -102,9 +102,9 @@
 }
 
 func newControl(n *Node) *control {
-	c := &control{n: n, members: citronroster.NewTable(n.set.Name, n.set.Zone), sums: citronroster.NewSums(n.set.Zone), self: n.snap.Load().self}
+	c := &control{n: n, members: citronroster.NewTable(n.set.Name, n.set.Zone), zoneTotals: citronroster.NewZoneTotals(n.set.Zone), self: n.snap.Load().self}
 	c.list = citronlist.New(citronlist.Settings{
-		Prefix: n.src.EnginePrefix, Decode: n.src.DecodeEngine, DrainWithin: n.set.DrainWithin, Clock: n.clock, Log: n.log, Ended: c.ended,
+		Prefix: n.src.EnginePrefix, Decode: n.src.DecodeEngine, DrainWithin: n.set.DrainWithin, Clock: n.clock, Log: n.log, OnEnded: c.ended,
 	})
 	return c
 }
@@ -137,20 +137,20 @@
 
 func (c *control) take(ctx context.Context, m message) {
 	switch m := m.(type) {
-	case listSeen:
-		if c.list.TakeWhole(ctx, m.items, m.revision, m.source == sourceStore) {
+	case listSnapshot:
+		if c.list.ApplyFull(ctx, m.items, m.revision, m.source == sourceStore) {
 			c.onListChanged(ctx, m.source)
 		}
-	case listChanged:
-		if c.list.TakeChanges(ctx, m.items, m.base, m.revision, m.source == sourceStore) {
+	case listDelta:
+		if c.list.ApplyChanges(ctx, m.items, m.base, m.revision, m.source == sourceStore) {
 			c.onListChanged(ctx, m.source)
 		}
-	case membersSeen:
+	case memberUpdate:
 		c.mergeMembers(citronpeer.Diff{Members: []citronpeer.Member{m.from}})
 		c.mergeMembers(m.told)
 		c.mergeGauges(m.told.Gauges)
 		c.mergeDigest(m.digest)
-		c.mergeZoneTotals(m.sums)
+		c.mergeZoneTotals(m.zoneTotals)
 	}
 }
 
@@ -163,15 +163,15 @@
 			c.eraAt = c.listAt
 		}
 		c.n.quarantine.InvalidateSaved()
-		wake(c.n.barredNews)
+		wake(c.n.quarantineChanged)
 	}
 	if c.listSince.IsZero() {
 		c.listSince = c.listAt
 	}
-	c.n.tell()
+	c.n.notifyPeers()
 	e := citronevent.EnginesChanged
 	if source != sourceStore {
-		e = citronevent.EnginesHeard // one line of each node for each change would hide everything else
+		e = citronevent.EnginesLearned // one line of each node for each change would hide everything else
 	}
 	citronevent.Log(ctx, c.n.log, e, "revision", c.list.Revision().String(), "engines", c.list.Len(), "source", source)
 }
@@ -182,7 +182,7 @@
 		return
 	}
 	if seen, ok := c.view.ByID(e.ID); ok {
-		seen.Replace(c.n.clock.Now())
+		seen.MarkReplaced(c.n.clock.Now())
 	}
 }
 
@@ -190,11 +190,11 @@
 // them with other nodes.
 func (c *control) recordRestarts(ctx context.Context) {
 	if c.view != nil {
-		for _, e := range c.view.StartedAnew() {
-			c.list.StartedAnew(ctx, e.Instance, e.LaterStart())
+		for _, e := range c.view.Restarted() {
+			c.list.RecordRestart(ctx, e.Instance, e.RestartedAt())
 		}
 	}
-	starts := c.list.Starts()
+	starts := c.list.RestartTimes()
 	if len(starts) > len(c.self.Starts) {
 		c.n.notifyLeader()
 	}
@@ -210,7 +210,7 @@
 	c.table, c.configAt = d.table, c.n.clock.Now()
 	c.config = citronpeer.ConfigDocument{Version: d.table.Version, Body: d.body}
 	c.configChanged = true
-	c.n.tell()
+	c.n.notifyPeers()
 	citronevent.Log(ctx, c.n.log, citronevent.TableApplied, "version", d.table.Version, "source", d.source)
 }
 
@@ -221,7 +221,7 @@
 	}
 	for _, id := range ids {
 		if e, ok := c.view.ByID(id); ok {
-			e.Suspect(c.n.clock.Now())
+			e.AvoidBriefly(c.n.clock.Now())
 		}
 	}
 }
@@ -231,7 +231,7 @@
 	c.ageMembers(ctx, now)
 	c.updateStoreStatus(ctx, now) // after ageMembers, which determines the lost nodes
 	c.logJoined(ctx)
-	c.self.Beat++
+	c.self.Heartbeat++
 	c.self.Leaving = c.n.leaving.Load()
 	c.self.Ready = c.n.Ready()
 	c.self.Leads = c.n.leads.Load()
@@ -239,13 +239,13 @@
 	c.recordRestarts(ctx)
 	c.n.limits.Tick()
 	c.publishTargets()
-	c.self.Load = c.n.loads.Sums()
+	c.self.Load = c.n.loads.ZoneTotals()
 	c.self.Sent = map[string]citronpeer.Sent{}
 	for service, u := range c.n.budget.Used(now) {
 		c.self.Sent[service] = citronpeer.Sent(u)
 	}
 	if c.view != nil {
-		dead := c.view.Dead(now.Add(-deadNews))
+		dead := c.view.DeadAfter(now.Add(-deadReportAge))
 		if len(dead) > len(c.self.Dead) {
 			c.n.notifyLeader()
 		}
@@ -264,27 +264,27 @@
 			statuses = append(statuses, k.Store)
 		}
 	}
-	if away := citronhealth.Away(statuses...); away != c.storeAway {
-		c.storeAway = away
+	if outage := citronhealth.ConfirmedOutage(statuses...); outage != c.storeUnavailable {
+		c.storeUnavailable = outage
 		c.logStoreStatus(ctx, now, statuses)
 	}
-	c.list.Tick(ctx, c.storeAway)
+	c.list.Tick(ctx, c.storeUnavailable)
 }
 
 // logStoreStatus logs whether the store is considered unavailable, with the evidence.
 func (c *control) logStoreStatus(ctx context.Context, now time.Time, statuses []citronhealth.Status) {
 	unanswered, back, answered, served := 0, 0, 0, 0
 	for _, s := range statuses {
-		unanswered += boolToInt(s.Away)
-		back += boolToInt(s.Back)
+		unanswered += boolToInt(s.Outage)
+		back += boolToInt(s.Recovered)
 		answered += boolToInt(s.Answered)
 		served += boolToInt(s.Served)
 	}
-	args := []any{"away", c.storeAway, "nodes", len(statuses), "unanswered", unanswered, "back", back, "answered", answered, "served", served}
-	if f := c.n.health.Failed(); f != nil {
+	args := []any{"away", c.storeUnavailable, "nodes", len(statuses), "unanswered", unanswered, "back", back, "answered", answered, "served", served}
+	if f := c.n.health.LastFailed(); f != nil {
 		args = append(args, "step", f.Name, "key", f.Key, "age", now.Sub(f.Ended), "err", f.Err)
 	}
-	citronevent.Log(ctx, c.n.log, citronevent.StoreAway, args...)
+	citronevent.Log(ctx, c.n.log, citronevent.StoreUnavailable, args...)
 }
 
 func boolToInt(b bool) int {
@@ -297,15 +297,15 @@
 // publishTargets publishes the target layer ranges that this node has chosen as the
 // leader. If it dies, the next leader continues with them.
 func (c *control) publishTargets() {
-	goals := map[string][2]int{}
-	if f := c.n.goals.Load(); f != nil {
+	targets := map[string][2]int{}
+	if f := c.n.targets.Load(); f != nil {
 		for id, s := range (*f)() {
-			goals[id] = [2]int{s.From, s.To}
+			targets[id] = [2]int{s.From, s.To}
 		}
 	}
-	if !maps.Equal(goals, c.self.Goals) {
-		c.self.Goals = goals
-		c.n.tell()
+	if !maps.Equal(targets, c.self.TargetLayers) {
+		c.self.TargetLayers = targets
+		c.n.notifyPeers()
 	}
 }
 
@@ -313,24 +313,24 @@
 // it is ready. On a cold start, engines are still registering.
 const listStableDelay = 300 * time.Millisecond
 
-// listWhole is the time that must pass after the first list before a node considers the
-// list complete. Entries that expired before the first list are back by then. Entries
+// listCompleteAfter is the time that must pass after the first list before a node considers
+// the list complete. Entries that expired before the first list are back by then. Entries
 // that expire later are retained in the list meanwhile.
-const listWhole = 2200 * time.Millisecond
+const listCompleteAfter = 2200 * time.Millisecond
 
 // publish makes the newest state visible to traffic, gossip and placement.
 func (c *control) publish() {
 	old := c.n.snap.Load()
 	s := &snapshot{eraAt: c.eraAt, config: c.config, configAt: c.configAt, listAt: c.listAt, self: c.self, traffic: old.traffic, engines: old.engines}
-	s.listWhole = !c.listSince.IsZero() && c.n.clock.Now().Sub(c.listSince) > listWhole
+	s.listComplete = !c.listSince.IsZero() && c.n.clock.Now().Sub(c.listSince) > listCompleteAfter
 	s.listStable = !c.listSince.IsZero() && c.n.clock.Now().Sub(c.listSince) > listStableDelay
 	s.unreadable = c.list.Unreadable()
-	s.retained = c.list.Kept()
+	s.retained = c.list.Retained()
 	if c.collectDue {
 		c.collectDue = false
 		c.collectMembers(s)
 	} else {
-		s.members, s.stale, s.roster, s.sums, s.others, s.goals = old.members, old.stale, old.roster, old.sums, old.others, old.goals
+		s.members, s.stale, s.roster, s.zoneTotals, s.others, s.targets = old.members, old.stale, old.roster, old.zoneTotals, old.others, old.targets
 	}
 	if c.configChanged || c.listVersion != c.list.Version() {
 		c.configChanged, c.listVersion = false, c.list.Version()
@@ -341,9 +341,9 @@
 		}
 	}
 	if c.table != nil {
-		s.traffic = &citronforward.State{Table: c.table, View: c.view, ListRevision: c.list.Revision(), Others: s.others}
+		s.traffic = &citronforward.State{Table: c.table, View: c.view, ListRevision: c.list.Revision(), OtherNodesCache: s.others}
 	}
-	s.list = c.list.Passed()
+	s.list = c.list.Snapshot()
 	c.n.snap.Store(s)
 }
 
--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -45,11 +45,11 @@
 	}
 	for i := range size {
 		m := f.add(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
-		m.gate.closed.Store(i%4 == 3) // these nodes learn of the restore from other nodes only
+		m.gate.rejecting.Store(i%4 == 3) // these nodes learn of the restore from other nodes only
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	eventually(t, "all nodes use all engines", func() bool { return f.usableAt("e0") == size && f.usableAt("e19") == size })
-	copied := f.store.Copy()
+	copied := f.store.Snapshot()
 
 	// After the copy is made, one engine leaves, one joins, and many entries change.
 	gone := appEngine("e0")
@@ -64,7 +64,7 @@
 	f.config("2")
 	eventually(t, "all nodes know the changes since the copy", func() bool { return f.usableAt("e0") == 0 && f.usableAt("late") == size })
 
-	f.store.Return(copied)
+	f.store.Restore(copied)
 	from := time.Now()
 	f.engine(appEngine("late")) // the engine renews its entry
 	f.engine(appEngine("new"))
@@ -91,13 +91,13 @@
 	t.Parallel()
 	f := newFleet(t)
 	f.config("1")
-	copied := f.store.Copy()
+	copied := f.store.Snapshot()
 	for _, name := range []string{"a", "b", "c"} {
 		f.add(name, "z1")
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	for i := range 3 {
-		f.nodes[0].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
+		f.nodes[0].Quarantine().RecordCrash(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
 	allWritten := func() bool {
 		for _, prefix := range []string{"deck/nodes/a", "deck/leader", "deck/barred/"} {
@@ -108,7 +108,7 @@
 		return true
 	}
 	eventually(t, "all records are in the store", allWritten)
-	f.store.Return(copied)
+	f.store.Restore(copied)
 	f.config("1")
 	f.engine(appEngine("e1"))
 	eventually(t, "all records are in the store again", allWritten)
@@ -140,13 +140,13 @@
 	eventually(t, "the node uses the engine", func() bool { return f.usableAt("e0") == 1 })
 	client := citronpeer.Client{HC: http.DefaultClient, Timeout: time.Second}
 	for _, list := range []citronpeer.ListDocument{
-		{Revision: citronkv.RevisionOf(citronkv.LastEra, citronkv.LastNumber), Body: []byte("[]")},
+		{Revision: citronkv.RevisionOf(citronkv.MaxEra, citronkv.MaxNumber), Body: []byte("[]")},
 		{Revision: citronkv.RevisionOf(1000, 1), Body: []byte("[]")},
 		{Revision: citronkv.RevisionOf(1, 1), Body: []byte("{")},
 		{Revision: citronkv.RevisionOf(1, 1), Base: citronkv.RevisionOf(0, 900), Body: []byte("[]")},
 		{Revision: citronkv.AnyRevision, Body: []byte("[]")},
 	} {
-		_, err := client.News(context.Background(), m.addr, citronpeer.Knowledge{From: citronpeer.Member{Name: "stranger"}, Engines: list})
+		_, err := client.Update(context.Background(), m.addr, citronpeer.GossipState{From: citronpeer.Member{Name: "stranger"}, Engines: list})
 		is.NoErr(err)
 	}
 	f.engine(appEngine("e1"))
@@ -160,11 +160,11 @@
 func TestSingleLeaderDuringStoreRestores(t *testing.T) {
 	f := newFleet(t)
 	f.config("1")
-	copied := f.store.Copy()
+	copied := f.store.Snapshot()
 	for i := range 5 {
 		f.add(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	placers := func() (names []string) {
 		for _, m := range f.nodes {
 			if m.Status().Places {
@@ -175,14 +175,14 @@
 	}
 	eventually(t, "a node places layers", func() bool { return len(placers()) == 1 })
 	for i := range 3 {
-		f.nodes[i].gate.closed.Store(true)
-		f.store.Return(copied)
+		f.nodes[i].gate.rejecting.Store(true)
+		f.store.Restore(copied)
 		for end := time.Now().Add(800 * time.Millisecond); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 			if names := placers(); len(names) > 1 {
 				t.Fatalf("nodes %v place layers at the same time", names)
 			}
 		}
-		f.nodes[i].gate.closed.Store(false)
+		f.nodes[i].gate.rejecting.Store(false)
 	}
 	eventually(t, "a node places layers again", func() bool { return len(placers()) == 1 })
 }
--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -63,7 +63,7 @@
 		return true
 	}
 	eventually(t, "all nodes know each other", allKnown)
-	m.deaf.Store(true)
+	m.dropExchanges.Store(true)
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if !allKnown() {
 			t.Fatal("a healthy node was declared lost")
@@ -84,13 +84,13 @@
 	f.config("1")
 	for _, name := range []string{"a", "b", "c"} {
 		m := f.add(name, "z1")
-		m.budget.Request("model", time.Now())
+		m.budget.CountRequest("model", time.Now())
 	}
 	a := f.nodes[0]
 	eventually(t, "the other nodes lend", func() bool {
-		for a.budget.Take("model", time.Now()) {
+		for a.budget.TakeRetry("model", time.Now()) {
 		}
-		return a.Borrow("model") && a.budget.Take("model", time.Now())
+		return a.Borrow("model") && a.budget.TakeRetry("model", time.Now())
 	})
 	for _, m := range f.nodes[1:] {
 		m.stop()
@@ -165,13 +165,13 @@
 		f.net = newMesh()
 		f.config("1")
 		f.engine(appEngine("e0"))
-		f.away.Store(true)
+		f.storeUnavailable.Store(true)
 		const size = 20
 		for i := range size {
 			f.add(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
 		}
 		time.Sleep(100 * time.Millisecond)
-		f.away.Store(false)
+		f.storeUnavailable.Store(false)
 		from := time.Now()
 		eventually(t, "all nodes can serve", func() bool { return f.usableAt("e0") == size })
 		took := time.Since(from)
@@ -190,7 +190,7 @@
 func TestSplitFleetRejoinsWithoutSeeds(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.net, f.strangers = newMesh(), true
+	f.net, f.ownZoneSeedsOnly = newMesh(), true
 	f.config("1")
 	for i := range 6 {
 		f.add(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -30,7 +30,7 @@
 	// zones would grow with the number of nodes instead of the number of zones.
 	crossZoneNodes = 6
 	// minUpdateGap is the minimum time between an update and the one before it. When
-	// many engines come or go at once, one update covers them together. Alarms don't
+	// many engines come or go at once, one update covers them together. Urgent updates don't
 	// wait for it.
 	minUpdateGap = 60 * time.Millisecond
 	// exchangeTimeout bounds one exchange. A healthy node answers within milliseconds.
@@ -47,11 +47,11 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.news:
+		case <-n.updates:
 			_ = n.clock.Sleep(ctx, minUpdateGap-n.clock.Now().Sub(lastSent))
 			n.sendUpdate(ctx, n.partners())
 			lastSent = n.clock.Now()
-		case <-n.alarms:
+		case <-n.urgentUpdates:
 			n.sendUpdate(ctx, append(n.leaders(), n.partners()...))
 			lastSent = n.clock.Now()
 		case <-timer.C:
@@ -83,14 +83,14 @@
 
 // push sends k to the node at addr, completed with the recent suspects and rate limits,
 // and merges what the node answers.
-func (n *Node) push(ctx context.Context, addr string, k citronpeer.Knowledge) {
+func (n *Node) push(ctx context.Context, addr string, k citronpeer.GossipState) {
 	if k.Suspects == nil {
 		k.Suspects = n.recentSuspects()
 	}
 	if k.Limits == nil {
 		k.Limits = n.limits.Recent()
 	}
-	theirs, err := n.peers.News(ctx, addr, k)
+	theirs, err := n.peers.Update(ctx, addr, k)
 	if err != nil {
 		citronevent.Log(ctx, n.log, citronevent.GossipFailed, "peer", addr, "err", err)
 		return
@@ -99,18 +99,18 @@
 }
 
 // update returns this node's own member state and the versions of its documents.
-func (s *snapshot) update() citronpeer.Knowledge {
-	return citronpeer.Knowledge{
+func (s *snapshot) update() citronpeer.GossipState {
+	return citronpeer.GossipState{
 		From: s.self, Config: citronpeer.ConfigDocument{Version: s.config.Version}, Engines: citronpeer.ListDocument{Revision: s.list.Revision},
 	}
 }
 
 // gossipState returns the update of this node, the digest of the members that it knows,
 // and the zone totals.
-func (s *snapshot) gossipState() citronpeer.Knowledge {
+func (s *snapshot) gossipState() citronpeer.GossipState {
 	k := s.update()
 	k.Digest = s.roster.Digest()
-	k.Sums = s.sums
+	k.ZoneTotals = s.zoneTotals
 	return k
 }
 
@@ -177,20 +177,20 @@
 func (n *Node) exchange(ctx context.Context, addr string) {
 	s := n.snap.Load()
 	k := s.gossipState()
-	k.SuspectSum, k.LimitSum = n.quarantine.Sum(), n.limits.Sum()
+	k.SuspectChecksum, k.LimitChecksum = n.quarantine.Sum(), n.limits.Sum()
 	theirs, err := n.peers.Exchange(ctx, addr, k)
-	n.settling.exchanged(k.Digest, theirs.Digest, err)
+	n.stabilizer.recordExchange(k.Digest, theirs.Digest, err)
 	if err != nil {
 		citronevent.Log(ctx, n.log, citronevent.GossipFailed, "peer", addr, "err", err)
 		return
 	}
 	n.merge(ctx, theirs)
-	same, sameLimits := theirs.SuspectSum == n.quarantine.Sum(), theirs.LimitSum == n.limits.Sum()
-	if theirs.Wants.Empty() && same && sameLimits {
+	same, sameLimits := theirs.SuspectChecksum == n.quarantine.Sum(), theirs.LimitChecksum == n.limits.Sum()
+	if theirs.Missing.Empty() && same && sameLimits {
 		return
 	}
 	k = s.update()
-	k.Diff = s.roster.Wanted(theirs.Wants)
+	k.Diff = s.roster.Requested(theirs.Missing)
 	if !same {
 		k.Suspects = n.allSuspects()
 	}
@@ -202,12 +202,12 @@
 
 // withDocuments adds to k the bodies of the documents of which the peer, described by
 // other, has an older version.
-func (s *snapshot) withDocuments(k, other citronpeer.Knowledge) (citronpeer.Knowledge, error) {
+func (s *snapshot) withDocuments(k, other citronpeer.GossipState) (citronpeer.GossipState, error) {
 	if other.Config.Version < s.config.Version {
 		k.Config = s.config
 	}
 	var err error
-	k.Engines, err = s.list.After(other.Engines.Revision)
+	k.Engines, err = s.list.ChangesSince(other.Engines.Revision)
 	return k, err
 }
 
@@ -216,33 +216,33 @@
 
 // Exchange implements citronpeer.Answerer. It answers with this node's gossip state and
 // what the peer lacks, and names the items missing here.
-func (a answerer) Exchange(theirs citronpeer.Knowledge) citronpeer.Knowledge {
+func (a answerer) Exchange(theirs citronpeer.GossipState) citronpeer.GossipState {
 	s := a.n.snap.Load()
 	k := s.gossipState()
 	sameZone := theirs.From.Zone == s.self.Zone
 	k.Diff = s.roster.Diff(theirs.Digest, sameZone)
-	k.Wants = s.roster.Wants(theirs.Digest, sameZone)
-	k.SuspectSum = a.n.quarantine.Sum()
-	if theirs.SuspectSum != k.SuspectSum {
+	k.Missing = s.roster.Missing(theirs.Digest, sameZone)
+	k.SuspectChecksum = a.n.quarantine.Sum()
+	if theirs.SuspectChecksum != k.SuspectChecksum {
 		k.Suspects = a.n.allSuspects()
 	}
-	k.LimitSum = a.n.limits.Sum()
-	if theirs.LimitSum != k.LimitSum {
+	k.LimitChecksum = a.n.limits.Sum()
+	if theirs.LimitChecksum != k.LimitChecksum {
 		k.Limits = a.n.limits.All()
 	}
 	return a.n.respond(s, k, theirs)
 }
 
-// News implements citronpeer.Answerer. It takes a peer's update and answers with this
+// Update implements citronpeer.Answerer. It takes a peer's update and answers with this
 // node's own.
-func (a answerer) News(theirs citronpeer.Knowledge) citronpeer.Knowledge {
+func (a answerer) Update(theirs citronpeer.GossipState) citronpeer.GossipState {
 	s := a.n.snap.Load()
 	return a.n.respond(s, s.update(), theirs)
 }
 
 // respond merges the message of another node and returns k, completed with the
 // documents that the peer lacks.
-func (n *Node) respond(s *snapshot, k, theirs citronpeer.Knowledge) citronpeer.Knowledge {
+func (n *Node) respond(s *snapshot, k, theirs citronpeer.GossipState) citronpeer.GossipState {
 	ctx := context.Background()
 	n.applyAccused(theirs.Accused)
 	if k.Suspects == nil {
@@ -264,7 +264,7 @@
 }
 
 // isBehind reports whether the peer's message names a newer version of a document.
-func (s *snapshot) isBehind(theirs citronpeer.Knowledge) bool {
+func (s *snapshot) isBehind(theirs citronpeer.GossipState) bool {
 	return theirs.Config.Version > s.config.Version || theirs.Engines.Revision.After(s.list.Revision)
 }
 
@@ -275,12 +275,12 @@
 	mu      sync.Mutex
 	busy    bool
 	addr    string
-	offered citronpeer.Knowledge
+	offered citronpeer.GossipState
 }
 
 // enqueue starts fetching the documents offered by the node at addr, or remembers the
 // offer if it is newer than the current one.
-func (p *puller) enqueue(ctx context.Context, n *Node, addr string, offered citronpeer.Knowledge) {
+func (p *puller) enqueue(ctx context.Context, n *Node, addr string, offered citronpeer.GossipState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.busy && offered.Config.Version <= p.offered.Config.Version && !offered.Engines.Revision.After(p.offered.Engines.Revision) {
@@ -317,10 +317,10 @@
 
 // merge applies a message of another node: it merges suspects and rate limits, and passes
 // members and documents on to the control loop.
-func (n *Node) merge(ctx context.Context, k citronpeer.Knowledge) {
+func (n *Node) merge(ctx context.Context, k citronpeer.GossipState) {
 	n.mergeSuspects(ctx, k.From.Name, k.Suspects)
 	n.mergeLimits(ctx, k.From.Name, k.Limits)
-	n.send(ctx, membersSeen{from: k.From, told: k.Diff, digest: k.Digest, sums: k.Sums})
+	n.sendToLoop(ctx, memberUpdate{from: k.From, told: k.Diff, digest: k.Digest, zoneTotals: k.ZoneTotals})
 	if len(k.Config.Body) > 0 {
 		n.offerConfig(ctx, k.Config.Version, k.Config.Body, sourceNode)
 	}
@@ -337,8 +337,8 @@
 		return
 	}
 	if !k.Engines.Base.IsZero() {
-		n.send(ctx, listChanged{items: items, base: k.Engines.Base, revision: k.Engines.Revision, source: sourceNode})
+		n.sendToLoop(ctx, listDelta{items: items, base: k.Engines.Base, revision: k.Engines.Revision, source: sourceNode})
 		return
 	}
-	n.send(ctx, listSeen{items: items, revision: k.Engines.Revision, source: sourceNode})
+	n.sendToLoop(ctx, listSnapshot{items: items, revision: k.Engines.Revision, source: sourceNode})
 }
--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -42,9 +42,9 @@
 	lowCPUDelay    = 700 * time.Millisecond
 )
 
-// weak reports whether a node has too little processor time for the tasks that a few
+// lowCPU reports whether a node has too little processor time for the tasks that a few
 // nodes perform for the whole fleet.
-func (s Settings) weak() bool { return s.Cores > 0 && s.Cores < minLeaderCores }
+func (s Settings) lowCPU() bool { return s.Cores > 0 && s.Cores < minLeaderCores }
 
 // errHeld means that another node holds the leader key.
 var errHeld = errors.New("leader key is held by another node")
@@ -58,7 +58,7 @@
 		if n.leaderKnown() {
 			continue
 		}
-		if n.set.weak() {
+		if n.set.lowCPU() {
 			_ = n.clock.Sleep(ctx, lowCPUDelay)
 			if n.leaderKnown() {
 				continue
@@ -104,7 +104,7 @@
 func (n *Node) actAsLeader(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	citronevent.Log(ctx, n.log, citronevent.LeaderStandsIn, "members", len(n.snap.Load().members))
+	citronevent.Log(ctx, n.log, citronevent.ActingLeader, "members", len(n.snap.Load().members))
 	n.leads.Store(true)
 	defer n.leads.Store(false)
 	wait := n.startPlacing(ctx)
@@ -226,9 +226,9 @@
 // has stopped.
 func (n *Node) startPlacing(ctx context.Context) (wait func()) {
 	n.places.Store(true)
-	p := &citronplacer.Placer{Orders: n.src.Orders, Clock: n.clock, Log: n.log, Current: n.placement}
-	goals := p.Goals
-	n.goals.Store(&goals)
+	p := &citronplacer.Placer{EngineClient: n.src.EngineClient, Clock: n.clock, Log: n.log, Current: n.placement}
+	targets := p.Targets
+	n.targets.Store(&targets)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -236,7 +236,7 @@
 	}()
 	return func() {
 		<-done
-		n.goals.Store(nil)
+		n.targets.Store(nil)
 		n.places.Store(false)
 	}
 }
@@ -248,7 +248,7 @@
 		return nil
 	}
 	dead := map[string]int{}
-	for _, id := range s.traffic.View.Dead(n.clock.Now().Add(-deadNews)) {
+	for _, id := range s.traffic.View.DeadAfter(n.clock.Now().Add(-deadReportAge)) {
 		dead[id]++
 	}
 	for _, m := range s.members {
@@ -256,5 +256,5 @@
 			dead[id]++
 		}
 	}
-	return &citronplacer.State{Services: s.traffic.Table.Services, Engines: s.engines, View: s.traffic.View, Whole: s.listWhole, Dead: dead, Goals: s.goals}
+	return &citronplacer.State{Services: s.traffic.Table.Services, Engines: s.engines, View: s.traffic.View, ListComplete: s.listComplete, DeadReports: dead, Targets: s.targets}
 }
--- a/citronnode/leaving_test.go
+++ b/citronnode/leaving_test.go
@@ -17,9 +17,9 @@
 // just started has no history of the store's health.
 const warmUp = 3 * time.Second
 
-// twelve starts nodes with the given names before twelve engines, and returns when they
-// have stabilized.
-func twelve(t *testing.T, names ...string) *fleet {
+// startFleetWithTwelveEngines starts nodes with the given names before twelve engines, and
+// returns when they have stabilized.
+func startFleetWithTwelveEngines(t *testing.T, names ...string) *fleet {
 	t.Helper()
 	f := newFleet(t)
 	f.config("1")
@@ -97,7 +97,7 @@
 //	17.32 engines.changed peer=10.3.64.42:8145 gone=true lapsed=2.508s
 func TestStoreErrorAnswerIsNotAnOutage(t *testing.T) {
 	is := is.New(t)
-	f := twelve(t, "a", "b", "c", "d", "e", "f")
+	f := startFleetWithTwelveEngines(t, "a", "b", "c", "d", "e", "f")
 	eventually(t, "a node leads", func() bool { return f.leader() != nil })
 	formerLeader := f.leader()
 	held, err := f.store.Get(context.Background(), "deck/leader")
@@ -115,7 +115,7 @@
 func TestLeavingEngineIsNotMistakenForOutage(t *testing.T) {
 	setRejecting := func(nodes []*member, rejecting bool) {
 		for _, m := range nodes {
-			m.gate.closed.Store(rejecting)
+			m.gate.rejecting.Store(rejecting)
 		}
 	}
 	cases := []struct {
@@ -128,9 +128,9 @@
 			eventually(t, "the node notices", func() bool { return !f.nodes[1].Status().Watching })
 		}, []string{"e3"}},
 		{"one node's watch is stalled and the node notices late", func(t *testing.T, f *fleet) {
-			f.nodes[1].gate.silent.Store(true)
+			f.nodes[1].gate.stalled.Store(true)
 			eventually(t, "the node notices", func() bool { return !f.nodes[1].Status().Watching })
-			f.nodes[1].gate.silent.Store(false)
+			f.nodes[1].gate.stalled.Store(false)
 		}, []string{"e3"}},
 		{"all watches are cut and the store answers again at once", func(t *testing.T, f *fleet) {
 			setRejecting(f.nodes, true)
@@ -167,7 +167,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			f := twelve(t, "a", "b", "c")
+			f := startFleetWithTwelveEngines(t, "a", "b", "c")
 			c.injectFault(t, f)
 			left := time.Now()
 			f.remove(c.leave...)
@@ -183,9 +183,9 @@
 // that is not back two seconds later has ended.
 func TestEnginesExpiredDuringOutageStayInUse(t *testing.T) {
 	t.Parallel()
-	f := twelve(t, "a", "b", "c")
+	f := startFleetWithTwelveEngines(t, "a", "b", "c")
 	for _, m := range f.nodes {
-		m.gate.closed.Store(true)
+		m.gate.rejecting.Store(true)
 	}
 	time.Sleep(2600 * time.Millisecond) // over two heartbeats of 1.2 s
 	var all []string
@@ -194,7 +194,7 @@
 	}
 	f.remove(all...)
 	for _, m := range f.nodes {
-		m.gate.closed.Store(false)
+		m.gate.rejecting.Store(false)
 	}
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for i, m := range f.nodes {
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -142,7 +142,7 @@
 func (u nodeUpstreams) Send(_ context.Context, c citronupstream.Call) (*citronupstream.Reply, error) {
 	limit := u.arrive(u.node, c.Engine.ID)
 	time.Sleep(workTime(c.Engine.ID))
-	return &citronupstream.Reply{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("ok")), Signed: true, RateLimit: limit}, nil
+	return &citronupstream.Reply{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("ok")), FromEngine: true, RateLimit: limit}, nil
 }
 
 func (nodeUpstreams) Report(context.Context, string) (citronupstream.Report, error) {
@@ -187,8 +187,8 @@
 func (a *answers) Abort()                 {}
 
 var appTable = citrontable.New(1, []citrontable.Route{{
-	Name: "r", Host: "h", Prefix: "/", Kind: citrontable.Safe, Timeout: 4 * time.Second, Target: 120 * time.Millisecond, MaxAttempts: 2,
-	Services: []citrontable.Weighted{{Service: "app", Weight: 1}},
+	Name: "r", Host: "h", Prefix: "/", Kind: citrontable.Safe, Timeout: 4 * time.Second, TargetLatency: 120 * time.Millisecond, MaxAttempts: 2,
+	Services: []citrontable.WeightedService{{Service: "app", Weight: 1}},
 }}, []citrontable.Service{{Name: "app"}}, nil, citrontable.Limits{})
 
 // forwarder returns the forwarder of a node in front of the given upstreams.
@@ -197,7 +197,7 @@
 		Zone: m.zone, Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Upstream: nodeUpstreams{u, m.name}, Budget: m.budget, Loads: &citronpool.Loads{},
 		Current: func() *citronforward.State {
 			s := m.Traffic()
-			return &citronforward.State{Table: appTable, View: s.View, Others: s.Others}
+			return &citronforward.State{Table: appTable, View: s.View, OtherNodesCache: s.OtherNodesCache}
 		},
 		Metrics: citronforward.NewMetrics(prometheus.NewRegistry()), Quarantine: m.Quarantine(), Limits: m.Limits(), Permit: m.Permit,
 	}
@@ -240,7 +240,7 @@
 	for i := range nodes {
 		f.add(fmt.Sprintf("z%d-n%03d", i%3, i), fmt.Sprintf("z%d", i%3))
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	eventually(f.t, "all nodes know all upstreams", func() bool {
 		for _, m := range f.nodes {
 			if s := m.Traffic(); s == nil || len(s.View.ByService["app"]) < upstreams {
@@ -286,7 +286,7 @@
 func (f *fleet) limitedAt(engine string) int {
 	n := 0
 	for _, m := range f.nodes {
-		if m.Limits().Of(engine).Limited {
+		if m.Limits().Get(engine).Limited {
 			n++
 		}
 	}
@@ -303,7 +303,7 @@
 	is := is.New(t)
 	f := newFleet(t)
 	f.startApps(45, 1)
-	hear := func(m *member, l citronupstream.RateLimit) { m.Limits().Heard("i-0", m.Limits().Of("i-0"), l) }
+	hear := func(m *member, l citronupstream.RateLimit) { m.Limits().Observe("i-0", m.Limits().Get("i-0"), l) }
 	timed := func(what string, nodes int) time.Duration {
 		from := time.Now()
 		eventually(t, what, func() bool { return f.limitedAt("i-0") == nodes })
@@ -340,7 +340,7 @@
 	for _, m := range f.nodes {
 		members = append(members, citronpeer.Member{Name: m.name, Zone: m.zone})
 	}
-	issuer, _ := citronpermit.DealerFor("i-0", "z0", members)
+	issuer, _ := citronpermit.IssuerFor("i-0", "z0", members)
 	time.AfterFunc(4*time.Second, func() {
 		for _, m := range f.nodes {
 			if m.name == issuer.Name {
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -24,12 +24,12 @@
 )
 
 // Limits returns the rate limits of engines that this node knows.
-func (n *Node) Limits() *citronlimit.Book { return n.limits }
+func (n *Node) Limits() *citronlimit.Registry { return n.limits }
 
 // limitsChanged tells other nodes that limits changed, and stops throttling the engines
 // in eased, whose limits were raised or removed.
 func (n *Node) limitsChanged(eased []string) {
-	n.tell()
+	n.notifyPeers()
 	t := n.snap.Load().traffic
 	if t == nil {
 		return
@@ -44,7 +44,7 @@
 // mergeLimits merges the limits that another node sent. An invalid message is rejected
 // as a whole; only the first one of each node is logged.
 func (n *Node) mergeLimits(ctx context.Context, from string, limits []citronpeer.Limit) {
-	if err := n.limits.Learn(limits); err != nil {
+	if err := n.limits.Merge(limits); err != nil {
 		n.limitsRejected.Add(1)
 		if _, logged := n.limitsRejectedFrom.LoadOrStore(from, true); !logged {
 			citronevent.Log(ctx, n.log, citronevent.LimitsRejected, "peer", from, "err", err)
@@ -55,50 +55,50 @@
 // Permit asks the permit issuer of an engine for a permit to send it a request that can
 // wait for up to patience.
 func (n *Node) Permit(ctx context.Context, e *citronpool.Engine, patience time.Duration) citronpermit.Decision {
-	r := n.limits.Of(e.ID)
+	r := n.limits.Get(e.ID)
 	if !r.Limited {
 		return citronpermit.Granted{}
 	}
 	issuer, ok := n.permitIssuer(e.ID, e.Zone)
 	switch {
 	case !ok:
-		return citronpermit.Denied{Free: permitRetryDelay, Again: permitRetryDelay}
+		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	case issuer.Name == n.set.Name:
-		return n.permits.Deal(e.ID, r.PerSecond, patience, n.clock.Now())
+		return n.permits.Issue(e.ID, r.PerSecond, patience, n.clock.Now())
 	}
-	p, err := n.peers.AskPermit(ctx, issuer.Peer, citronpeer.PermitRequest{Node: n.set.Name, Limit: r.Wire(e.ID), PatienceMS: patience.Milliseconds()}, permitTimeout)
+	p, err := n.peers.AskPermit(ctx, issuer.Peer, citronpeer.PermitRequest{Node: n.set.Name, Limit: r.Wire(e.ID), MaxWaitMS: patience.Milliseconds()}, permitTimeout)
 	if err != nil {
 		citronevent.Log(ctx, n.log, citronevent.PermitFailed, "engine", e.ID, "peer", issuer.Peer, "err", err)
-		return citronpermit.Denied{Free: permitRetryDelay, Again: permitRetryDelay}
+		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	}
 	n.mergeLimits(ctx, issuer.Name, []citronpeer.Limit{p.Limit})
 	wait := time.Duration(p.WaitMS) * time.Millisecond
 	if p.Granted {
-		return citronpermit.Granted{After: wait}
+		return citronpermit.Granted{Wait: wait}
 	}
-	return citronpermit.Denied{Free: wait, Again: time.Duration(p.AgainMS) * time.Millisecond}
+	return citronpermit.Denied{AvailableIn: wait, RetryAfter: time.Duration(p.AskAgainMS) * time.Millisecond}
 }
 
 // permitIssuer returns the node that issues the permits for an engine.
 func (n *Node) permitIssuer(engine, zone string) (citronpeer.Member, bool) {
 	s := n.snap.Load()
 	nodes := append([]citronpeer.Member{s.self}, s.members...)
-	return citronpermit.DealerFor(engine, zone, nodes)
+	return citronpermit.IssuerFor(engine, zone, nodes)
 }
 
-// Permit implements citronpeer.PermitDealer. It issues a permit to another node, or
+// Permit implements citronpeer.PermitIssuer. It issues a permit to another node, or
 // says when the node should ask again.
 func (a answerer) Permit(q citronpeer.PermitRequest) citronpeer.Permit {
 	n := a.n
 	n.mergeLimits(context.Background(), q.Node, []citronpeer.Limit{q.Limit})
 	engine := q.Limit.Engine
-	known := n.limits.Of(engine)
+	known := n.limits.Get(engine)
 	out := citronpeer.Permit{Limit: known.Wire(engine)}
 	switch d := n.decidePermit(engine, known, q).(type) {
 	case citronpermit.Granted:
-		out.Granted, out.WaitMS = true, d.After.Milliseconds()
+		out.Granted, out.WaitMS = true, d.Wait.Milliseconds()
 	case citronpermit.Denied:
-		out.WaitMS, out.AgainMS = d.Free.Milliseconds(), d.Again.Milliseconds()
+		out.WaitMS, out.AskAgainMS = d.AvailableIn.Milliseconds(), d.RetryAfter.Milliseconds()
 	}
 	return out
 }
@@ -109,17 +109,17 @@
 func (n *Node) decidePermit(engine string, known citronlimit.Record, q citronpeer.PermitRequest) citronpermit.Decision {
 	t := n.snap.Load().traffic
 	if t == nil {
-		return citronpermit.Denied{Free: permitRetryDelay, Again: permitRetryDelay}
+		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	}
 	e, ok := t.View.ByID(engine)
 	if !ok {
-		return citronpermit.Denied{Free: permitRetryDelay, Again: permitRetryDelay}
+		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	}
 	if issuer, ok := n.permitIssuer(engine, e.Zone); !ok || issuer.Name != n.set.Name {
-		return citronpermit.Denied{Free: permitRetryDelay, Again: permitRetryDelay}
+		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	}
 	if !known.Limited {
 		return citronpermit.Granted{}
 	}
-	return n.permits.Deal(engine, known.PerSecond, time.Duration(q.PatienceMS)*time.Millisecond, n.clock.Now())
+	return n.permits.Issue(engine, known.PerSecond, time.Duration(q.MaxWaitMS)*time.Millisecond, n.clock.Now())
 }
