--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -17,13 +17,13 @@
 func (c *control) mergeMembers(told citronpeer.Diff) {
 	now := c.n.clock.Now()
 	for i, m := range told.Members {
-		updated, changed := c.members.Take(m, now.Add(-told.Age(i)), now)
+		updated, changed := c.members.RecordMember(m, now.Add(-told.Age(i)), now)
 		if !updated {
 			continue
 		}
 		c.avoidDead(m.Dead)
 		for instance, startedAt := range m.Starts {
-			c.list.StartedAnew(context.Background(), instance, startedAt)
+			c.list.RecordRestart(context.Background(), instance, startedAt)
 		}
 		if !changed {
 			continue
@@ -31,16 +31,16 @@
 		c.collectDue = true
 		c.joined = append(c.joined, m.Name)
 		if m.Leaving {
-			c.n.tell()
+			c.n.notifyPeers()
 		}
 	}
 }
 
 // mergeGauges merges gauges of nodes whose complete entries are known.
-func (c *control) mergeGauges(gauges []citronpeer.Gauge) {
+func (c *control) mergeGauges(gauges []citronpeer.GaugeUpdate) {
 	now := c.n.clock.Now()
 	for _, g := range gauges {
-		if k, back := c.members.TakeGauge(g, now); back {
+		if k, back := c.members.RecordGauges(g, now); back {
 			c.memberReturned(k)
 		}
 	}
@@ -48,22 +48,22 @@
 
 // mergeDigest learns from another node's digest which nodes are alive.
 func (c *control) mergeDigest(d citronpeer.Digest) {
-	for _, k := range c.members.TakeDigest(d, c.n.clock.Now()) {
+	for _, k := range c.members.RecordDigest(d, c.n.clock.Now()) {
 		c.memberReturned(k)
 	}
 }
 
 // memberReturned records that a lost node is back.
-func (c *control) memberReturned(k *citronroster.Known) {
+func (c *control) memberReturned(k *citronroster.TrackedMember) {
 	c.collectDue = true
 	c.joined = append(c.joined, k.Name)
 }
 
 // mergeZoneTotals merges the totals of other zones.
-func (c *control) mergeZoneTotals(sums []citronpeer.Sum) {
+func (c *control) mergeZoneTotals(sums []citronpeer.ZoneTotals) {
 	now := c.n.clock.Now()
 	for _, s := range sums {
-		c.sums.Take(s, now)
+		c.zoneTotals.Merge(s, now)
 	}
 }
 
@@ -81,7 +81,7 @@
 	for i, k := range lost {
 		names[i] = k.Name
 	}
-	citronevent.Log(ctx, c.n.log, citronevent.MemberLost, "lost", len(lost), "members", names[:min(maxLoggedNames, len(names))], "peer", lost[0].Peer, "age", now.Sub(lost[0].Heard))
+	citronevent.Log(ctx, c.n.log, citronevent.MemberLost, "lost", len(lost), "members", names[:min(maxLoggedNames, len(names))], "peer", lost[0].Peer, "age", now.Sub(lost[0].LastHeard))
 }
 
 // maxLoggedNames limits the node names in a log line.
@@ -112,9 +112,9 @@
 
 // lastKnownTargets returns the target layer ranges that a leader announced last.
 func (c *control) lastKnownTargets(now time.Time) map[string]citronmodel.Span {
-	var last *citronroster.Known
+	var last *citronroster.TrackedMember
 	for k := range c.members.All() {
-		if len(k.Goals) > 0 && now.Sub(k.Heard) < targetRetention && (last == nil || k.Heard.After(last.Heard)) {
+		if len(k.TargetLayers) > 0 && now.Sub(k.LastHeard) < targetRetention && (last == nil || k.LastHeard.After(last.LastHeard)) {
 			last = k
 		}
 	}
@@ -122,7 +122,7 @@
 	if last == nil {
 		return out
 	}
-	for id, s := range last.Goals {
+	for id, s := range last.TargetLayers {
 		out[id] = citronmodel.Span{From: s[0], To: s[1]}
 	}
 	return out
@@ -148,23 +148,23 @@
 	}
 	own := others.Clone()
 	own.Add(c.self.Load, c.self.Sent)
-	c.sums.Set(citronpeer.Sum{Load: own.Load, Sent: own.Sent}, now)
-	s.sums = c.sums.Tell(now)
-	for _, sum := range s.sums {
+	c.zoneTotals.Set(citronpeer.ZoneTotals{Load: own.Load, Sent: own.Sent}, now)
+	s.zoneTotals = c.zoneTotals.Current(now)
+	for _, sum := range s.zoneTotals {
 		if sum.Zone != c.self.Zone {
 			others.Add(sum.Load, sum.Sent)
 		}
 	}
 	s.others = others.Load
-	updateAge := 2 * c.members.NearGap()
-	for _, sum := range s.sums {
-		updateAge = max(updateAge, 2*c.members.NearGap()+time.Duration(sum.AgeMS)*time.Millisecond)
+	updateAge := 2 * c.members.MeanUpdateInterval()
+	for _, sum := range s.zoneTotals {
+		updateAge = max(updateAge, 2*c.members.MeanUpdateInterval()+time.Duration(sum.AgeMS)*time.Millisecond)
 	}
-	s.roster = citronroster.New(c.self.Zone, append(alive, citronroster.Entry{Member: c.self, Print: citronroster.Of(c.self)}))
-	s.goals = c.lastKnownTargets(now)
+	s.roster = citronroster.New(c.self.Zone, append(alive, citronroster.Entry{Member: c.self, Fingerprint: citronroster.Fingerprint(c.self)}))
+	s.targets = c.lastKnownTargets(now)
 	used := map[string]citronbudget.Usage{}
 	for service, u := range others.Sent {
 		used[service] = citronbudget.Usage(u)
 	}
-	c.n.budget.Learn(used, updateAge, len(alive)+1, now)
+	c.n.budget.UpdateOthers(used, updateAge, len(alive)+1, now)
 }
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -68,7 +68,7 @@
 	EnginePrefix string
 	DecodeConfig func([]byte) (*citrontable.Table, error)
 	DecodeEngine func(key string, text []byte) (citronmodel.Engine, error)
-	Orders       citronplace.Orders
+	EngineClient citronplace.EngineClient
 }
 
 // Node is one node of the fleet. New creates it, and Run keeps it up to date.
@@ -89,9 +89,9 @@
 	startedAt time.Time
 	// leftAt is when the node began to stop.
 	leftAt atomic.Pointer[time.Time]
-	// news wakes the gossip loop after a document has changed on this node. alarms does
-	// the same if the leader must be informed too.
-	news, alarms chan struct{}
+	// updates wakes the gossip loop after a document has changed on this node. urgentUpdates
+	// does the same if the leader must be informed too.
+	updates, urgentUpdates chan struct{}
 	// accused is when this node last reported an accused engine: an engine that another
 	// engine named as the cause of a failed request.
 	accused atomic.Pointer[time.Time]
@@ -99,9 +99,9 @@
 	configs configInbox
 	// pull fetches documents that other nodes have announced.
 	pull puller
-	// settling determines when a started node knows the other nodes. hasStabilized is
+	// stabilizer determines when a started node knows the other nodes. hasStabilized is
 	// set once it does.
-	settling      settling
+	stabilizer    stabilizer
 	hasStabilized atomic.Bool
 	// loans borrows retry budget from other nodes.
 	loans *citronloan.Borrower
@@ -109,29 +109,29 @@
 	quarantine *citronquarantine.Ledger
 	// limits are the rate limits that engines have announced. permits issues permits for
 	// the engines for which this node is the permit issuer.
-	limits  *citronlimit.Book
-	permits *citronpermit.Dealer
+	limits  *citronlimit.Registry
+	permits *citronpermit.Issuer
 	// limitsRejected counts the invalid messages of other nodes about limits.
 	// limitsRejectedFrom holds the names of the nodes that sent them.
 	limitsRejected     atomic.Int64
 	limitsRejectedFrom sync.Map
-	// barredNews wakes the goroutine that saves quarantine records to the store.
-	barredNews chan struct{}
+	// quarantineChanged wakes the goroutine that saves quarantine records to the store.
+	quarantineChanged chan struct{}
 	// suspectsRejected counts the invalid messages of other nodes, and the invalid
 	// records in the store, about suspects: requests under which engines have crashed.
-	// rejectedFrom holds the names of the nodes that sent the messages, and "store" for
+	// suspectsRejectedFrom holds the names of the nodes that sent the messages, and "store" for
 	// the records.
-	suspectsRejected atomic.Int64
-	rejectedFrom     sync.Map
+	suspectsRejected     atomic.Int64
+	suspectsRejectedFrom sync.Map
 	// readablePrefixes is the number of followed prefixes for which the store answers.
 	readablePrefixes atomic.Int64
 	// health records the results of this node's calls to the store.
-	health *citronhealth.Record
+	health *citronhealth.StoreMonitor
 	// leads is set while this node holds the lease or is the acting leader. places is set
 	// while it places layers.
 	leads, places atomic.Bool
-	// goals returns the target layer ranges that this node has chosen as the leader.
-	goals atomic.Pointer[func() map[string]citronmodel.Span]
+	// targets returns the target layer ranges that this node has chosen as the leader.
+	targets atomic.Pointer[func() map[string]citronmodel.Span]
 	// leaderless is the time since which no leader has been heard of.
 	leaderless atomic.Pointer[time.Time]
 	// registered holds the peer addresses found in the store.
@@ -149,53 +149,53 @@
 	stale map[string]bool
 	// config and list are passed on to other nodes.
 	config citronpeer.ConfigDocument
-	list   citronlist.Passed
+	list   citronlist.Snapshot
 	self   citronpeer.Member
 	// roster describes this node and the members, as sent to other nodes.
 	roster citronroster.Roster
-	// sums holds the zone totals, including those of this node's zone.
-	sums []citronpeer.Sum
+	// zoneTotals holds the zone totals, including those of this node's zone.
+	zoneTotals []citronpeer.ZoneTotals
 	// others is the cache used by the requests of other nodes, by zone.
 	others map[string]int64
 	// eraAt is when this node observed that the store was restored from an older copy.
 	eraAt time.Time
 	// configAt and listAt are when the configuration and the list last changed here.
 	configAt, listAt time.Time
-	// goals holds the target layer ranges that a leader announced recently.
-	goals      map[string]citronmodel.Span
+	// targets holds the target layer ranges that a leader announced recently.
+	targets    map[string]citronmodel.Span
 	listStable bool
 	// unreadable is the number of entries in the list that do not describe an engine.
 	unreadable int
 	// retained is the number of engines in use whose entries are missing.
 	retained int
-	// listWhole reports that the list is complete: no missing entries are expected to
+	// listComplete reports that the list is complete: no missing entries are expected to
 	// come back.
-	listWhole bool
+	listComplete bool
 }
 
 // New returns a node. hc is used to talk to other nodes.
 func New(set Settings, src Sources, clock citronclock.Clock, log *slog.Logger, budget *citronbudget.Budget, loads *citronpool.Loads, hc *http.Client) *Node {
-	health := citronhealth.NewRecord(set.Heartbeat)
-	src.Store = citronhealth.Observe(src.Store, clock, health.Note)
+	health := citronhealth.NewStoreMonitor(set.Heartbeat)
+	src.Store = citronhealth.Observe(src.Store, clock, health.RecordCall)
 	n := &Node{
 		set: set, src: src, health: health, clock: clock, log: log, budget: budget, loads: loads,
-		peers:   &citronpeer.Client{HC: hc, Timeout: exchangeTimeout},
-		control: make(chan message, inboxSize),
-		news:    make(chan struct{}, 1),
-		alarms:  make(chan struct{}, 1),
+		peers:         &citronpeer.Client{HC: hc, Timeout: exchangeTimeout},
+		control:       make(chan message, inboxSize),
+		updates:       make(chan struct{}, 1),
+		urgentUpdates: make(chan struct{}, 1),
 
-		barredNews: make(chan struct{}, 1),
-		configs:    newConfigInbox(src.DecodeConfig),
+		quarantineChanged: make(chan struct{}, 1),
+		configs:           newConfigInbox(src.DecodeConfig),
 	}
-	n.limits, n.permits = citronlimit.NewBook(clock), citronpermit.NewDealer()
+	n.limits, n.permits = citronlimit.NewRegistry(clock), citronpermit.NewIssuer()
 	n.limits.Notify(n.limitsChanged)
 	n.quarantine = citronquarantine.New(set.Name, clock)
 	n.quarantine.Notify(func() {
-		n.tell()
-		wake(n.barredNews)
+		n.notifyPeers()
+		wake(n.quarantineChanged)
 	})
 	n.loans = citronloan.New(budget, n.peers, clock, func() []citronpeer.Member { return n.snap.Load().members })
-	n.snap.Store(&snapshot{self: citronpeer.Member{Name: set.Name, Zone: set.Zone, Front: set.Front, Peer: set.Peer, Weak: set.weak(), Started: clock.Now().UnixNano()}})
+	n.snap.Store(&snapshot{self: citronpeer.Member{Name: set.Name, Zone: set.Zone, Front: set.Front, Peer: set.Peer, Weak: set.lowCPU(), Started: clock.Now().UnixNano()}})
 	return n
 }
 
@@ -248,7 +248,7 @@
 	tasks.Go(func() { n.follow(ctx, n.src.EnginePrefix, false) })
 	tasks.Go(func() { n.lead(ctx) })
 	tasks.Go(func() { n.register(ctx) })
-	tasks.Go(func() { n.keepBarred(ctx) })
+	tasks.Go(func() { n.persistQuarantine(ctx) })
 }
 
 const (
@@ -267,7 +267,7 @@
 	}
 	since := n.clock.Now().Sub(*at)
 	others := slices.ContainsFunc(n.snap.Load().members, acceptsCallers)
-	return citronforward.Stopping{Active: true, Since: since, Left: n.set.Grace - killMargin - since, Others: others}
+	return citronforward.Stopping{Active: true, Since: since, Left: n.set.Grace - killMargin - since, OtherNodeServing: others}
 }
 
 func acceptsCallers(m citronpeer.Member) bool { return m.Ready && !m.Leaving }
@@ -307,11 +307,11 @@
 
 const drainPollInterval = 50 * time.Millisecond
 
-// tell wakes the gossip loop to inform other nodes of a changed document.
-func (n *Node) tell() { wake(n.news) }
+// notifyPeers wakes the gossip loop to inform other nodes of a changed document.
+func (n *Node) notifyPeers() { wake(n.updates) }
 
 // notifyLeader wakes the gossip loop to inform the leader too.
-func (n *Node) notifyLeader() { wake(n.alarms) }
+func (n *Node) notifyLeader() { wake(n.urgentUpdates) }
 
 func wake(c chan<- struct{}) {
 	select {
--- a/citronnode/outage_test.go
+++ b/citronnode/outage_test.go
@@ -16,16 +16,16 @@
 // report is outdated and the store counts as unavailable.
 func TestLostNodeDoesNotHideStoreOutage(t *testing.T) {
 	is := is.New(t)
-	r := newLoop(t)
+	r := newLoopRig(t)
 	now := time.Now()
-	r.n.health.Note(citronhealth.Call{Begun: now, Ended: now, Err: citronkv.ErrUnavailable})
-	r.take(context.Background(), membersSeen{told: citronpeer.Diff{Members: []citronpeer.Member{{Name: "n2", Store: citronhealth.Status{Answered: true, Served: true}}}}})
+	r.n.health.RecordCall(citronhealth.Call{Begun: now, Ended: now, Err: citronkv.ErrUnavailable})
+	r.take(context.Background(), memberUpdate{told: citronpeer.Diff{Members: []citronpeer.Member{{Name: "n2", Store: citronhealth.Status{Answered: true, Served: true}}}}})
 	r.tick(context.Background())
-	is.True(r.self.Store.Away)
-	is.True(!r.storeAway)
+	is.True(r.self.Store.Outage)
+	is.True(!r.storeUnavailable)
 	for age := time.Duration(0); age <= 2*time.Second+tickInterval; age += tickInterval {
 		r.members.Age(now.Add(age))
 	}
 	r.tick(context.Background())
-	is.True(r.storeAway)
+	is.True(r.storeUnavailable)
 }
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -28,7 +28,7 @@
 	revision int64
 }
 
-func newLoop(t testingT) *loopRig {
+func newLoopRig(t testingT) *loopRig {
 	t.Helper()
 	set := Settings{Name: "n1", Zone: "z"}
 	src := Sources{EnginePrefix: "engines/", DecodeEngine: func(key string, text []byte) (citronmodel.Engine, error) {
@@ -37,7 +37,7 @@
 		if err == nil && e.Addr == "" {
 			err = errors.Newf("%s names no address", key)
 		}
-		e.ID = citronmodel.IncarnationID(e.Instance, e.Born)
+		e.ID = citronmodel.IncarnationID(e.Instance, e.StartMS)
 		return e, err
 	}}
 	n := New(set, src, citronclock.Real{}, slog.New(slog.NewTextHandler(io.Discard, nil)), citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 10, Window: time.Second}), &citronpool.Loads{}, nil)
@@ -46,7 +46,7 @@
 	return &loopRig{control: c, revision: 10}
 }
 
-// testingT is the part of testing.T and rapid.T that newLoop uses.
+// testingT is the part of testing.T and rapid.T that newLoopRig uses.
 type testingT interface {
 	Fatalf(format string, args ...any)
 	Helper()
@@ -65,9 +65,9 @@
 		items = append(items, citronkv.Item{Key: "engines/" + key, Value: text, Revision: citronkv.RevisionOf(0, r.revision)})
 	}
 	if r.list.Revision().IsZero() {
-		r.take(context.Background(), listSeen{items: items, revision: citronkv.RevisionOf(0, r.revision)})
+		r.take(context.Background(), listSnapshot{items: items, revision: citronkv.RevisionOf(0, r.revision)})
 	} else {
-		r.take(context.Background(), listChanged{items: items, base: r.list.Revision(), revision: citronkv.RevisionOf(0, r.revision)})
+		r.take(context.Background(), listDelta{items: items, base: r.list.Revision(), revision: citronkv.RevisionOf(0, r.revision)})
 	}
 	r.publish()
 }
@@ -84,7 +84,7 @@
 }
 
 func modelEngine(instance, addr string, born int64, to int) citronmodel.Engine {
-	return citronmodel.Engine{Instance: instance, Born: born, Service: "m", Addr: addr, Zone: "z", Kind: "fast", Layers: citronmodel.Span{To: to}, Slots: 4}
+	return citronmodel.Engine{Instance: instance, StartMS: born, Service: "m", Addr: addr, Zone: "z", Kind: "fast", Layers: citronmodel.Span{To: to}, Slots: 4}
 }
 
 // Guards against a restarted engine that is taken for its predecessor. An engine
@@ -94,10 +94,10 @@
 // previous one.
 func TestListEntryOfRestartedEngine(t *testing.T) {
 	is := is.New(t)
-	r := newLoop(t)
+	r := newLoopRig(t)
 	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 100, 8))})
 	before, _ := r.view.ByID("i-1@100")
-	before.Failed(time.Now())
+	before.RecordFailure(time.Now())
 	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 200, 0))})
 	is.True(before.Ended())
 	is.True(!before.DeadSince().IsZero())
@@ -117,20 +117,20 @@
 // The node must act on the report at once, and other nodes on the node's message.
 func TestReportOfRestartedEngine(t *testing.T) {
 	is := is.New(t)
-	r, other := newLoop(t), newLoop(t)
+	r, other := newLoopRig(t), newLoopRig(t)
 	old := map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 100, 8)), "i-2": listEntry(modelEngine("i-2", "b:1", 100, 8))}
 	r.deliver(old)
 	other.deliver(old)
 	before, _ := r.view.ByID("i-1@100")
-	before.StartedAnew(200, time.Now())
+	before.MarkRestarted(200, time.Now())
 	r.tick(context.Background())
 	r.publish()
-	is.Equal(r.inUse()["a:1"], modelEngine("i-1", "a:1", 100, 8).Reborn(200))
+	is.Equal(r.inUse()["a:1"], modelEngine("i-1", "a:1", 100, 8).Restarted(200))
 	is.Equal(r.self.Starts, map[string]int64{"i-1": 200})
 	told := r.self
-	told.Name, told.Beat = "n2", 7
+	told.Name, told.Heartbeat = "n2", 7
 	otherView, _ := other.view.ByID("i-1@100")
-	other.take(context.Background(), membersSeen{told: citronpeer.Diff{Members: []citronpeer.Member{told}}})
+	other.take(context.Background(), memberUpdate{told: citronpeer.Diff{Members: []citronpeer.Member{told}}})
 	other.publish()
 	is.True(other.inUse()["a:1"].Layers.Empty())
 	is.True(otherView.Ended())
@@ -148,7 +148,7 @@
 // streams on the predecessor have ended.
 func TestAddressBelongsToLatestEntry(t *testing.T) {
 	is := is.New(t)
-	r := newLoop(t)
+	r := newLoopRig(t)
 	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 0, 8))})
 	before, _ := r.view.ByID("i-1")
 	r.deliver(map[string][]byte{"i-9": listEntry(modelEngine("i-9", "a:1", 0, 0))})
@@ -159,7 +159,7 @@
 	// entry must not take the address back.
 	old := citronkv.Item{Key: "engines/i-1", Value: listEntry(modelEngine("i-1", "a:1", 0, 8)), Revision: citronkv.RevisionOf(0, 11)}
 	now := citronkv.Item{Key: "engines/i-9", Value: listEntry(modelEngine("i-9", "a:1", 0, 0)), Revision: citronkv.RevisionOf(0, 12)}
-	r.take(context.Background(), listSeen{items: []citronkv.Item{old, now}, revision: citronkv.RevisionOf(0, 30)})
+	r.take(context.Background(), listSnapshot{items: []citronkv.Item{old, now}, revision: citronkv.RevisionOf(0, 30)})
 	r.publish()
 	is.Equal(r.inUse()["a:1"].ID, "i-9")
 	is.Equal(len(r.inUse()), 1)
@@ -172,7 +172,7 @@
 // engines.
 func TestCorruptEntryDoesNotAffectOtherEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newLoop(t)
+		r := newLoopRig(t)
 		n := rapid.IntRange(1, 8).Draw(t, "engines")
 		entries := map[string][]byte{}
 		for i := range n {
@@ -187,7 +187,7 @@
 		corrupt := rapid.OneOf(
 			rapid.SliceOf(rapid.Byte()),
 			rapid.Map(rapid.IntRange(0, len(text)-1), func(cut int) []byte { return text[:cut] }),
-			rapid.Map(rapid.SampledFrom([]string{"Addr", "Layers", "Born", "Service"}), func(field string) []byte {
+			rapid.Map(rapid.SampledFrom([]string{"Addr", "Layers", "StartMS", "Service"}), func(field string) []byte {
 				return []byte(fmt.Sprintf(`{"Instance":%q,"Addr":"a0:1","Service":"unknown",%q:{"x":[1]}}`, key, field))
 			}),
 		).Draw(t, "bad")
@@ -214,7 +214,7 @@
 // which engines with expired entries stay in use.
 func TestManyCorruptEntriesAreNotAnOutage(t *testing.T) {
 	is := is.New(t)
-	r := newLoop(t)
+	r := newLoopRig(t)
 	entries, corrupt := map[string][]byte{}, map[string][]byte{}
 	for i := range 12 {
 		name := fmt.Sprintf("i-%d", i)
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -30,12 +30,12 @@
 // of all nodes, except Grant, Delete and Revoke, and it can stall watches.
 type gatedStore struct {
 	*citronkv.Server
-	// closed makes the store reject this node.
-	closed atomic.Bool
-	// away makes the store reject all nodes.
-	away *atomic.Bool
-	// silent makes watches report nothing until they end.
-	silent atomic.Bool
+	// rejecting makes the store reject this node.
+	rejecting atomic.Bool
+	// unavailable makes the store reject all nodes.
+	unavailable *atomic.Bool
+	// stalled makes watches report nothing until they end.
+	stalled atomic.Bool
 	// watches counts the pending watches.
 	watches atomic.Int64
 	// calls counts the calls of Range and Put, including rejected ones, and the watches
@@ -44,7 +44,7 @@
 }
 
 func (d *gatedStore) rejects() bool {
-	return d.closed.Load() || d.away != nil && d.away.Load()
+	return d.rejecting.Load() || d.unavailable != nil && d.unavailable.Load()
 }
 
 var errRejected = errors.Mark(errors.New("the fake store rejects this node"), citronkv.ErrUnavailable)
@@ -79,7 +79,7 @@
 	d.calls.Add(1)
 	d.watches.Add(1)
 	defer d.watches.Add(-1)
-	if d.silent.Load() {
+	if d.stalled.Load() {
 		<-ctx.Done()
 		return nil, citronkv.Revision{}, errors.Mark(ctx.Err(), citronkv.ErrUnavailable)
 	}
@@ -132,7 +132,7 @@
 	if addr == o.dead {
 		return citronplace.EngineState{}, errors.New("the fake engine does not answer")
 	}
-	return citronplace.EngineState{Accepted: 1}, nil // it holds the layers that it was ordered to hold
+	return citronplace.EngineState{AcceptedOrders: 1}, nil // it holds the layers that it was ordered to hold
 }
 
 func (o *orders) markDead(addr string) {
@@ -172,8 +172,8 @@
 }
 
 var spec = citronmodel.Spec{
-	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, ReadPerS: 1000, Slots: 8,
-	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 6000, StepFactor: 2, ReadFactor: 3}},
+	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, PromptTokensPerS: 1000, Slots: 8,
+	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 6000, StepFactor: 2, PromptFactor: 3}},
 }
 
 func decodeConfig(text []byte) (*citrontable.Table, error) {
@@ -210,8 +210,8 @@
 	mu       sync.Mutex
 	handlers map[string]http.Handler
 	bytes    atomic.Int64
-	// deaf makes all exchanges between nodes fail. Updates still arrive.
-	deaf atomic.Bool
+	// dropExchanges makes all exchanges between nodes fail. Updates still arrive.
+	dropExchanges atomic.Bool
 }
 
 func newMesh() *mesh { return &mesh{handlers: map[string]http.Handler{}} }
@@ -234,7 +234,7 @@
 	m.mu.Lock()
 	h := m.handlers[r.URL.Host]
 	m.mu.Unlock()
-	if h == nil || m.deaf.Load() && strings.HasSuffix(r.URL.Path, "/Exchange") {
+	if h == nil || m.dropExchanges.Load() && strings.HasSuffix(r.URL.Path, "/Exchange") {
 		return nil, errors.Wrap(syscall.ECONNREFUSED, "dial")
 	}
 	w := httptest.NewRecorder()
@@ -250,13 +250,13 @@
 	orders *orders
 	// net is the network that connects the nodes.
 	net network
-	// strangers gives nodes only seeds of their own zone.
-	strangers bool
+	// ownZoneSeedsOnly gives nodes only seeds of their own zone.
+	ownZoneSeedsOnly bool
 	// log handles the log records of all nodes.
 	log   slog.Handler
 	nodes []*member
-	// away makes the store reject all nodes.
-	away atomic.Bool
+	// storeUnavailable makes the store reject all nodes.
+	storeUnavailable atomic.Bool
 	// drainWithin is the DrainWithin setting of the nodes.
 	drainWithin time.Duration
 }
@@ -292,16 +292,16 @@
 	addr, hc, disconnect := f.net.listen(mux)
 	var seeds []string
 	for _, m := range f.nodes[max(0, len(f.nodes)-maxSeeds):] {
-		if !f.strangers || m.zone == zone {
+		if !f.ownZoneSeedsOnly || m.zone == zone {
 			seeds = append(seeds, m.addr)
 		}
 	}
-	m := &member{name: name, gate: &gatedStore{Server: f.store, away: &f.away}, addr: addr, zone: zone, budget: citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second})}
+	m := &member{name: name, gate: &gatedStore{Server: f.store, unavailable: &f.storeUnavailable}, addr: addr, zone: zone, budget: citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second})}
 	m.Node = citronnode.New(citronnode.Settings{
 		Name: name, Zone: zone, Front: "front-" + name, Peer: addr, Seeds: seeds, LeaseTTL: 600 * time.Millisecond, Grace: time.Second, DrainWithin: f.drainWithin,
 	}, citronnode.Sources{
 		Store: m.gate, ConfigKey: "config", EnginePrefix: "engines/",
-		DecodeConfig: decodeConfig, DecodeEngine: decodeEngine, Orders: nodeOrders{f.orders, name},
+		DecodeConfig: decodeConfig, DecodeEngine: decodeEngine, EngineClient: nodeOrders{f.orders, name},
 	}, citronclock.Real{}, slog.New(f.log), m.budget, &citronpool.Loads{}, hc)
 	m.Handle(mux)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/citronnode/settle.go
+++ b/citronnode/settle.go
@@ -39,9 +39,9 @@
 	minStartWait = 500 * time.Millisecond
 )
 
-// settling determines when a started node knows the other nodes. Its zero value is ready
+// stabilizer determines when a started node knows the other nodes. Its zero value is ready
 // to use.
-type settling struct {
+type stabilizer struct {
 	mu sync.Mutex
 	// unchanged is the number of consecutive successful exchanges with nodes that knew no
 	// more members than this one, while this one learned of no new members either.
@@ -54,9 +54,9 @@
 	answered, refused, failed int
 }
 
-// exchanged records the result of an exchange and how many members each side knew before
-// it.
-func (s *settling) exchanged(ours, theirs citronpeer.Digest, err error) {
+// recordExchange records the result of an exchange and how many members each side knew
+// before it.
+func (s *stabilizer) recordExchange(ours, theirs citronpeer.Digest, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
@@ -68,10 +68,10 @@
 	}
 	s.answered++
 	s.refused, s.failed = 0, 0
-	grown := len(ours.Prints) != s.known
-	s.known = len(ours.Prints)
+	grown := len(ours.Fingerprints) != s.known
+	s.known = len(ours.Fingerprints)
 	// A node that knows only itself does not know the answering node yet.
-	if grown || len(ours.Prints) <= 1 || len(theirs.Prints) > len(ours.Prints) {
+	if grown || len(ours.Fingerprints) <= 1 || len(theirs.Fingerprints) > len(ours.Fingerprints) {
 		s.unchanged = 0
 		return
 	}
@@ -79,7 +79,7 @@
 }
 
 // done reports whether the node knows the other nodes, or that there are none.
-func (s *settling) done() bool {
+func (s *stabilizer) done() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.unchanged >= stableAfter || s.answered >= maxAnswered || s.refused >= aloneAfter || s.failed >= aloneAfterTimeouts
@@ -94,7 +94,7 @@
 	if n.clock.Now().Sub(n.startedAt) < minStartWait {
 		return false
 	}
-	if len(n.seeds()) > 0 && !n.settling.done() {
+	if len(n.seeds()) > 0 && !n.stabilizer.done() {
 		return false
 	}
 	n.hasStabilized.Store(true)
--- a/citronnode/settle_test.go
+++ b/citronnode/settle_test.go
@@ -12,30 +12,32 @@
 // Guards against a node that starts and never watches the store because the other nodes
 // have just died, keep knowing different members, or never existed.
 func TestNodeStabilizesAfterStartup(t *testing.T) {
-	knows := func(n int) citronpeer.Digest { return citronpeer.Digest{Prints: make([]citronpeer.Print, n)} }
+	knows := func(n int) citronpeer.Digest {
+		return citronpeer.Digest{Fingerprints: make([]citronpeer.Fingerprint, n)}
+	}
 	down, silent := errors.Wrap(syscall.ECONNREFUSED, "dial"), errors.New("timeout")
 	cases := []struct {
 		name  string
-		step  func(s *settling, i int)
+		step  func(s *stabilizer, i int)
 		steps int
 	}{
-		{"others know the same number", func(s *settling, _ int) { s.exchanged(knows(3), knows(3), nil) }, 1 + stableAfter},
-		{"others always know more", func(s *settling, i int) { s.exchanged(knows(i), knows(i+1), nil) }, maxAnswered},
-		{"no other node exists", func(s *settling, _ int) { s.exchanged(knows(1), knows(0), down) }, aloneAfter},
-		{"all starting nodes know the same number", func(s *settling, i int) { s.exchanged(knows(i+1), knows(i+1), nil) }, maxAnswered},
-		{"no node answers", func(s *settling, _ int) { s.exchanged(knows(1), knows(0), silent) }, aloneAfterTimeouts},
-		{"the only other node dies", func(s *settling, i int) {
+		{"others know the same number", func(s *stabilizer, _ int) { s.recordExchange(knows(3), knows(3), nil) }, 1 + stableAfter},
+		{"others always know more", func(s *stabilizer, i int) { s.recordExchange(knows(i), knows(i+1), nil) }, maxAnswered},
+		{"no other node exists", func(s *stabilizer, _ int) { s.recordExchange(knows(1), knows(0), down) }, aloneAfter},
+		{"all starting nodes know the same number", func(s *stabilizer, i int) { s.recordExchange(knows(i+1), knows(i+1), nil) }, maxAnswered},
+		{"no node answers", func(s *stabilizer, _ int) { s.recordExchange(knows(1), knows(0), silent) }, aloneAfterTimeouts},
+		{"the only other node dies", func(s *stabilizer, i int) {
 			var err error
 			if i > 0 {
 				err = down
 			}
-			s.exchanged(knows(1), knows(2), err)
+			s.recordExchange(knows(1), knows(2), err)
 		}, 1 + aloneAfter},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var s settling
+			var s stabilizer
 			for i := range c.steps {
 				is.True(!s.done())
 				c.step(&s, i)
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// minRetryWait and retryMost limit the wait after a failed call to the store. All
+	// minRetryWait and maxRetryWait limit the wait after a failed call to the store. All
 	// nodes see an outage at the same time, so the wait is random and grows: the nodes
 	// must not all call the store again at the same moment.
 	minRetryWait = 150 * time.Millisecond
-	retryMost    = 800 * time.Millisecond
+	maxRetryWait = 800 * time.Millisecond
 	// watchBatchDelay is how long changes to the list of engines are collected before
 	// the next watch, because each watch is a priced call.
 	watchBatchDelay = 150 * time.Millisecond
@@ -45,7 +45,7 @@
 		if !n.mayWatch(ctx) {
 			continue
 		}
-		readBarred = readBarred || n.readBarred(ctx) == nil // after a failure, the next iteration reads them
+		readBarred = readBarred || n.loadQuarantine(ctx) == nil // after a failure, the next iteration reads them
 		err := n.followOnce(ctx, prefix, config, func() {
 			answered(true)
 			wait = minRetryWait
@@ -69,7 +69,7 @@
 			citronevent.Log(ctx, n.log, citronevent.StoreLost, "step", prefix, "err", err)
 		}
 		_ = n.clock.Sleep(ctx, wait/2+rand.N(wait))
-		wait = min(wait*2, retryMost)
+		wait = min(wait*2, maxRetryWait)
 	}
 }
 
@@ -145,7 +145,7 @@
 	if config {
 		n.sendConfig(ctx, items)
 	} else {
-		n.send(ctx, listSeen{items: items, revision: rev, source: sourceStore})
+		n.sendToLoop(ctx, listSnapshot{items: items, revision: rev, source: sourceStore})
 	}
 	return rev, nil
 }
@@ -174,7 +174,7 @@
 			n.sendConfig(ctx, events)
 			continue
 		}
-		n.send(ctx, listChanged{items: events, revision: rev, source: sourceStore})
+		n.sendToLoop(ctx, listDelta{items: events, revision: rev, source: sourceStore})
 		if len(events) > 0 {
 			_ = n.clock.Sleep(ctx, watchBatchDelay)
 		}
@@ -299,7 +299,7 @@
 	}
 }
 
-func (n *Node) send(ctx context.Context, m message) {
+func (n *Node) sendToLoop(ctx context.Context, m message) {
 	select {
 	case n.control <- m:
 	case <-ctx.Done():
@@ -360,7 +360,7 @@
 			continue
 		}
 		citronevent.Log(ctx, n.log, citronevent.GossipFailed, "peer", nodePrefix, "err", err)
-		_ = n.clock.Sleep(ctx, retryMost+rand.N(retryMost))
+		_ = n.clock.Sleep(ctx, maxRetryWait+rand.N(maxRetryWait))
 	}
 }
 
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -29,25 +29,25 @@
 	for i := range size {
 		f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	time.Sleep(2 * time.Second)
 	return f, m
 }
 
-// BenchmarkBarredRequestSpreads measures the time until all nodes quarantine a request
+// BenchmarkQuarantineSpreads measures the time until all nodes quarantine a request
 // that three of them saw crash one engine each, and the bytes sent meanwhile.
-func BenchmarkBarredRequestSpreads(b *testing.B) {
+func BenchmarkQuarantineSpreads(b *testing.B) {
 	for _, size := range spreadSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f, m := fleetOf(b, size)
 			m.bytes.Store(0)
 			b.ResetTimer()
 			for i := range b.N {
-				p := citronquarantine.PrintOf("council", "POST", "h", fmt.Sprint(i), nil)
+				p := citronquarantine.FingerprintOf("council", "POST", "h", fmt.Sprint(i), nil)
 				for k := range 3 {
-					f.nodes[k*size/3].Quarantine().Crashed(p, fmt.Sprintf("i-%d", k), time.Time{})
+					f.nodes[k*size/3].Quarantine().RecordCrash(p, fmt.Sprintf("i-%d", k), time.Time{})
 				}
-				eventually(b, "all nodes quarantine the request", func() bool { return f.barredAt(p) == size })
+				eventually(b, "all nodes quarantine the request", func() bool { return f.quarantinedAt(p) == size })
 			}
 			b.ReportMetric(float64(m.bytes.Load())/1024/float64(size)/float64(b.N), "KB/node")
 		})
@@ -69,11 +69,11 @@
 			before := calls()
 			b.ResetTimer()
 			for i := range b.N {
-				backup := f.store.Copy()
+				backup := f.store.Snapshot()
 				for k := range 20 {
 					f.engine(appEngine(fmt.Sprintf("gap%d", k)))
 				}
-				f.store.Return(backup)
+				f.store.Restore(backup)
 				f.engine(appEngine(fmt.Sprintf("new%d", i)))
 				eventually(b, "all nodes use the list of the new era", func() bool { return f.usableAt(fmt.Sprintf("new%d", i)) == size })
 			}
@@ -94,11 +94,11 @@
 			b.ResetTimer()
 			for i := range b.N {
 				n := f.nodes[i%size]
-				n.Limits().Heard("limited", n.Limits().Of("limited"), citronupstream.PerSecond(1000-float64(i)))
-				version := n.Limits().Of("limited").Version
+				n.Limits().Observe("limited", n.Limits().Get("limited"), citronupstream.PerSecond(1000-float64(i)))
+				version := n.Limits().Get("limited").Version
 				eventually(b, "all nodes know the limit", func() bool {
 					for _, o := range f.nodes {
-						if o.Limits().Of("limited").Version < version {
+						if o.Limits().Get("limited").Version < version {
 							return false
 						}
 					}
@@ -118,14 +118,14 @@
 	f.engine(appEngine("limited"))
 	f.add("a", "z1")
 	f.add("b", "z1")
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	eventually(b, "all nodes know the engine", func() bool { return f.usableAt("limited") == 2 })
-	f.nodes[0].Limits().Heard("limited", citronlimit.Record{}, citronupstream.PerSecond(1e9))
+	f.nodes[0].Limits().Observe("limited", citronlimit.Record{}, citronupstream.PerSecond(1e9))
 	eventually(b, "both nodes know the limit", func() bool { return f.limitedAt("limited") == 2 })
 	e, _ := f.nodes[0].Traffic().View.ByID("limited")
 	requester := f.nodes[0]
 	for _, m := range f.nodes {
-		if issuer, _ := citronpermit.DealerFor("limited", e.Zone, []citronpeer.Member{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z1"}}); m.name != issuer.Name {
+		if issuer, _ := citronpermit.IssuerFor("limited", e.Zone, []citronpeer.Member{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z1"}}); m.name != issuer.Name {
 			requester = m
 		}
 	}
--- a/citronnode/status.go
+++ b/citronnode/status.go
@@ -21,14 +21,14 @@
 	// Unreadable counts the entries in the list that do not describe an engine, written
 	// by some other program.
 	Unreadable int
-	// Kept counts the retained engines: engines in use whose entries are missing.
-	Kept int
-	// Suspects counts the requests under which engines have ended. Barred counts those
+	// Retained counts the retained engines: engines in use whose entries are missing.
+	Retained int
+	// Suspects counts the requests under which engines have ended. Quarantined counts those
 	// of them that are quarantined and not sent to engines. SuspectsRejected counts the
 	// rejected messages of other nodes, and the rejected records in the store, about such
 	// requests.
-	Suspects, Barred int
-	SuspectsRejected int64
+	Suspects, Quarantined int
+	SuspectsRejected      int64
 	// Limited counts the engines that have announced a rate limit. LimitsRejected counts
 	// the rejected messages of other nodes about limits.
 	Limited        int
@@ -42,9 +42,9 @@
 // Status returns the current status of the node.
 func (n *Node) Status() Status {
 	s := n.snap.Load()
-	out := Status{ConfigVersion: s.config.Version, ListRevision: s.list.Revision.Number(), StoreEra: s.list.Revision.Era(), Nodes: len(s.members), Unreadable: s.unreadable, Kept: s.retained, Watching: s.self.Watching, Leads: s.self.Leads, Places: n.places.Load()}
-	out.Suspects, out.Barred = n.quarantine.Count()
-	out.Limited, out.LimitsRejected = n.limits.Limited(), n.limitsRejected.Load()
+	out := Status{ConfigVersion: s.config.Version, ListRevision: s.list.Revision.Number(), StoreEra: s.list.Revision.Era(), Nodes: len(s.members), Unreadable: s.unreadable, Retained: s.retained, Watching: s.self.Watching, Leads: s.self.Leads, Places: n.places.Load()}
+	out.Suspects, out.Quarantined = n.quarantine.Count()
+	out.Limited, out.LimitsRejected = n.limits.CountLimited(), n.limitsRejected.Load()
 	out.SuspectsRejected = n.suspectsRejected.Load()
 	now := n.clock.Now()
 	if !s.configAt.IsZero() {
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -12,20 +12,20 @@
 	"github.com/matryer/is"
 )
 
-var suspect = citronquarantine.PrintOf("council", "POST", "h", "/nest/7", []byte("a plan"))
+var suspect = citronquarantine.FingerprintOf("council", "POST", "h", "/nest/7", []byte("a plan"))
 
-// barredAt returns how many nodes quarantine a request.
-func (f *fleet) barredAt(p citronquarantine.Print) int {
+// quarantinedAt returns how many nodes quarantine a request.
+func (f *fleet) quarantinedAt(p citronquarantine.Fingerprint) int {
 	n := 0
 	for _, m := range f.nodes {
-		if _, barred := m.Quarantine().Blocked(p); barred {
+		if _, quarantined := m.Quarantine().QuarantinedFor(p); quarantined {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *fleet) untilAllKnowAll() {
+func (f *fleet) awaitFullMembership() {
 	f.t.Helper()
 	eventually(f.t, "all nodes know each other", func() bool {
 		for _, n := range f.nodes {
@@ -51,14 +51,14 @@
 	const size = 45
 	for i := range size {
 		m := f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
-		m.gate.closed.Store(i%3 == 1)
+		m.gate.rejecting.Store(i%3 == 1)
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	for i := range 3 {
-		f.nodes[i*size/3].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
+		f.nodes[i*size/3].Quarantine().RecordCrash(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
 	from := time.Now()
-	eventually(t, "all nodes quarantine the request", func() bool { return f.barredAt(suspect) == size })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == size })
 	took := time.Since(from)
 	t.Logf("%d nodes quarantined the request within %v", size, took)
 	is.True(took < knownWithin)
@@ -73,16 +73,16 @@
 	for _, name := range []string{"a", "b", "c"} {
 		f.add(name, "z1")
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	for i := range 3 {
-		f.nodes[0].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
+		f.nodes[0].Quarantine().RecordCrash(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
-	eventually(t, "all nodes quarantine the request", func() bool { return f.barredAt(suspect) == 3 })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == 3 })
 	time.Sleep(2 * time.Second) // its record is no longer recent
 	f.add("d", "z1")
-	eventually(t, "the new node quarantines it too", func() bool { return f.barredAt(suspect) == 4 })
-	f.nodes[3].Quarantine().Succeeded(suspect)
-	eventually(t, "all nodes learn that it succeeded", func() bool { return f.barredAt(suspect) == 0 })
+	eventually(t, "the new node quarantines it too", func() bool { return f.quarantinedAt(suspect) == 4 })
+	f.nodes[3].Quarantine().RecordSuccess(suspect)
+	eventually(t, "all nodes learn that it succeeded", func() bool { return f.quarantinedAt(suspect) == 0 })
 }
 
 // Guards against a request that crashes three more engines after all nodes restarted at
@@ -96,9 +96,9 @@
 	for _, name := range names {
 		f.add(name, "z1")
 	}
-	f.untilAllKnowAll()
+	f.awaitFullMembership()
 	for i := range 3 {
-		f.nodes[i].Quarantine().Crashed(suspect, fmt.Sprintf("i-%d", i), time.Time{})
+		f.nodes[i].Quarantine().RecordCrash(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
 	eventually(t, "the record is in the store", func() bool {
 		items, _, err := f.store.Range(context.Background(), "deck/barred/")
@@ -115,11 +115,11 @@
 	}
 	restart()
 	from := time.Now()
-	eventually(t, "all nodes quarantine the request", func() bool { return f.barredAt(suspect) == len(names) })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == len(names) })
 	is.True(time.Since(from) < knownWithin)
 	// The request turns out to be harmless. No node quarantines it again.
-	f.nodes[0].Quarantine().Succeeded(suspect)
-	eventually(t, "no node quarantines it", func() bool { return f.barredAt(suspect) == 0 })
+	f.nodes[0].Quarantine().RecordSuccess(suspect)
+	eventually(t, "no node quarantines it", func() bool { return f.quarantinedAt(suspect) == 0 })
 }
 
 // Guards against messages that no healthy node sends: impossible counts and ages, or a
@@ -139,23 +139,23 @@
 	}
 	flood := make([]citronpeer.Suspect, citronquarantine.MaxGossipRecords+1)
 	for i := range flood {
-		p := citronquarantine.PrintOf("council", "POST", "h", fmt.Sprint(i), nil)
-		flood[i] = citronpeer.Suspect{Print: p.String(), Crashes: crashes(3, 1)}
+		p := citronquarantine.FingerprintOf("council", "POST", "h", fmt.Sprint(i), nil)
+		flood[i] = citronpeer.Suspect{Fingerprint: p.String(), Crashes: crashes(3, 1)}
 	}
 	client := citronpeer.Client{HC: http.DefaultClient, Timeout: time.Second}
 	invalid := [][]citronpeer.Suspect{
-		{{Print: suspect.String(), Crashes: crashes(3, -5000)}},
-		{{Print: suspect.String(), Crashes: crashes(1000, 1)}},
-		{{Print: suspect.String(), Crashes: crashes(3, 1<<62)}},
-		{{Print: suspect.String()}},
-		{{Print: "no fingerprint", Crashes: crashes(3, 1)}},
+		{{Fingerprint: suspect.String(), Crashes: crashes(3, -5000)}},
+		{{Fingerprint: suspect.String(), Crashes: crashes(1000, 1)}},
+		{{Fingerprint: suspect.String(), Crashes: crashes(3, 1<<62)}},
+		{{Fingerprint: suspect.String()}},
+		{{Fingerprint: "no fingerprint", Crashes: crashes(3, 1)}},
 		flood,
 	}
 	for _, suspects := range invalid {
-		_, err := client.News(context.Background(), m.addr, citronpeer.Knowledge{From: citronpeer.Member{Name: "stranger"}, Suspects: suspects})
+		_, err := client.Update(context.Background(), m.addr, citronpeer.GossipState{From: citronpeer.Member{Name: "stranger"}, Suspects: suspects})
 		is.NoErr(err)
 	}
 	is.Equal(m.Status().SuspectsRejected, int64(len(invalid)))
 	is.Equal(m.Status().Suspects, 0)
-	is.Equal(f.barredAt(suspect), 0)
+	is.Equal(f.quarantinedAt(suspect), 0)
 }
--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -52,19 +52,19 @@
 	// Zone is the zone of the node that received the request.
 	Zone string
 	Now  time.Time
-	// Patient is true if the request can wait for an engine whose rate limit
+	// CanWait is true if the request can wait for an engine whose rate limit
 	// is used up.
-	Patient bool
+	CanWait bool
 	// Avoid holds the IDs of engines that this request must not use.
 	Avoid map[string]bool
-	// First, if set, is the ID of the engine that must be the first hop.
-	First string
-	// Keep is the current path of a running request. An engine that is not on
+	// FirstID, if set, is the ID of the engine that must be the first hop.
+	FirstID string
+	// CurrentPath is the current path of a running request. An engine that is not on
 	// it would first have to process all of the request's tokens so far.
-	Keep Path
-	// Others is the cache, in tokens, that requests of other nodes use in each
-	// zone. Own is the same for the requests of this node.
-	Others, Own map[string]int64
+	CurrentPath Path
+	// OthersTokens is the cache, in tokens, that requests of other nodes use in each
+	// zone. OwnTokens is the same for the requests of this node.
+	OthersTokens, OwnTokens map[string]int64
 	// ZoneCost is the additional cost of starting in each zone other than
 	// Zone. Nodes that all see the same best zone would send all requests there
 	// until the next load update. A cost drawn at random for each request
@@ -72,7 +72,7 @@
 	ZoneCost map[string]float64
 }
 
-// Costs are in milliseconds per token step, like the result of StepTime.
+// Costs are in milliseconds per token step, like the result of StepTimeMS.
 const (
 	// hopCost is the fixed delay of a hop: network latency, and the wait until the
 	// engine ends its current pass, which is half a pass on average.
@@ -102,17 +102,17 @@
 	overloadCost    = 60
 )
 
-// Used returns the share of an engine's capacity that running requests may need.
+// Utilization returns the share of an engine's capacity that running requests may need.
 // The capacity is limited by the engine's cache or by its request slots,
 // whichever is scarcer: small engines with few layers have cache for more
 // requests than they can run at once and would refuse the excess. The load from
 // other nodes is known only as a total per zone.
-func (q Query) Used(e *citronpool.Engine) float64 {
-	capacity := q.Spec.RoomTokens(e.Kind, e.Layers.Len())
+func (q Query) Utilization(e *citronpool.Engine) float64 {
+	capacity := q.Spec.TokenCapacity(e.Kind, e.Layers.Len())
 	if capacity <= 0 {
 		return math.Inf(1)
 	}
-	return (float64(e.Tokens()) + float64(q.Others[e.Zone])*q.trafficShare(e)) / capacity
+	return (float64(e.Tokens()) + float64(q.OthersTokens[e.Zone])*q.trafficShare(e)) / capacity
 }
 
 // priorTokens is the weight, in tokens, of the assumption that requests spread
@@ -126,22 +126,22 @@
 // same layers would hide that all nodes prefer the fastest of them: its streams
 // would be late while the others have free capacity.
 func (q Query) trafficShare(e *citronpool.Engine) float64 {
-	return min(1, (float64(e.Tokens())+priorTokens/max(1, e.Copies))/(float64(q.Own[e.Zone])+priorTokens))
+	return min(1, (float64(e.Tokens())+priorTokens/max(1, e.Replicas))/(float64(q.OwnTokens[e.Zone])+priorTokens))
 }
 
-// Used returns the utilization of the path's most utilized engine.
-func (p Path) Used(q Query) float64 {
+// Utilization returns the utilization of the path's most utilized engine.
+func (p Path) Utilization(q Query) float64 {
 	most := 0.0
 	for _, h := range p {
-		most = max(most, q.Used(h.Engine))
+		most = max(most, q.Utilization(h.Engine))
 	}
 	return most
 }
 
 // layerCost returns the cost of running one layer on an engine.
 func (q Query) layerCost(e *citronpool.Engine) float64 {
-	ms := q.Spec.StepTime(e.Kind, 1, typicalRequests, typicalContext)
-	used := q.Used(e)
+	ms := q.Spec.StepTimeMS(e.Kind, 1, typicalRequests, typicalContext)
+	used := q.Utilization(e)
 	if math.IsInf(used, 1) {
 		return used
 	}
@@ -213,7 +213,7 @@
 
 // usable reports whether the request may run on an engine.
 func (q Query) usable(e *citronpool.Engine) bool {
-	return e.Usable(q.Now) || (q.Patient || q.Keep.Has(e.ID)) && e.Sound(q.Now)
+	return e.Usable(q.Now) || (q.CanWait || q.CurrentPath.Has(e.ID)) && e.Healthy(q.Now)
 }
 
 // search walks the layer boundaries in ascending order. For each boundary and
@@ -226,7 +226,7 @@
 	for at, pos := range boundaries[:len(boundaries)-1] {
 		holders = holders[:0]
 		for i, e := range engines {
-			if e.Layers.From <= pos && pos < e.Layers.To && (pos > 0 || q.First == "" || e.ID == q.First) {
+			if e.Layers.From <= pos && pos < e.Layers.To && (pos > 0 || q.FirstID == "" || e.ID == q.FirstID) {
 				holders = append(holders, i)
 			}
 		}
@@ -279,10 +279,10 @@
 // prefillCost returns the cost of having an engine process a running request's
 // tokens for a layer range. It is zero if the engine has already done so.
 func (q Query) prefillCost(e *citronpool.Engine, span citronmodel.Span) float64 {
-	if len(q.Keep) == 0 {
+	if len(q.CurrentPath) == 0 {
 		return 0
 	}
-	for _, h := range q.Keep {
+	for _, h := range q.CurrentPath {
 		if h.Engine.ID == e.ID && h.Span.Covers(span) {
 			return 0
 		}
--- a/citronpath/path_test.go
+++ b/citronpath/path_test.go
@@ -13,10 +13,10 @@
 )
 
 var spec = citronmodel.Spec{
-	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, PerSeqMS: 0.005, ContextMSPerK: 0.006, ReadPerS: 160_000,
+	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, PerSeqMS: 0.005, ContextMSPerK: 0.006, PromptTokensPerS: 160_000,
 	Kinds: map[string]citronmodel.Kind{
-		"fast": {Name: "fast", MemoryMB: 20_000, StepFactor: 2, ReadFactor: 3},
-		"slow": {Name: "slow", MemoryMB: 20_000, StepFactor: 16, ReadFactor: 8},
+		"fast": {Name: "fast", MemoryMB: 20_000, StepFactor: 2, PromptFactor: 3},
+		"slow": {Name: "slow", MemoryMB: 20_000, StepFactor: 16, PromptFactor: 8},
 	},
 }
 
@@ -111,7 +111,7 @@
 			"surge: requests of other nodes fill the own zone",
 			append(zoneB, engine("a1", "a", "fast", 0, 4), engine("a2", "a", "fast", 4, 8)),
 			func(q *citronpath.Query, _ []*citronpool.Engine) {
-				q.Others = map[string]int64{"a": int64(spec.CacheTokens("fast", 4))}
+				q.OthersTokens = map[string]int64{"a": int64(spec.CacheTokens("fast", 4))}
 			},
 			"b1[0,4) b2[4,8) ",
 		},
@@ -128,12 +128,12 @@
 		{
 			"an engine of the own zone reports a slowdown",
 			append(zoneB, engine("a1", "a", "fast", 0, 4), engine("a2", "a", "fast", 4, 8)),
-			func(_ *citronpath.Query, es []*citronpool.Engine) { es[2].Slow(5, now) }, "b1[0,4) b2[4,8) ",
+			func(_ *citronpath.Query, es []*citronpool.Engine) { es[2].RecordSlowdown(5, now) }, "b1[0,4) b2[4,8) ",
 		},
 		{
 			"a running request keeps its first engine",
 			[]citronmodel.Engine{engine("a1", "a", "slow", 0, 4), engine("a2", "a", "fast", 0, 4), engine("a3", "a", "fast", 4, 8)},
-			func(q *citronpath.Query, _ []*citronpool.Engine) { q.First = "a1" }, "a1[0,4) a3[4,8) ",
+			func(q *citronpath.Query, _ []*citronpool.Engine) { q.FirstID = "a1" }, "a1[0,4) a3[4,8) ",
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -181,12 +181,12 @@
 	es := view(engine("a1", "a", "fast", 0, 8), engine("b1", "b", "fast", 0, 8))
 	q := query()
 	q.Spec.Slots, q.Spec.MeanTokens = 8, 900
-	q.Others = map[string]int64{"a": 7 * 900}
+	q.OthersTokens = map[string]int64{"a": 7 * 900}
 	is.True(q.Spec.CacheTokens("fast", 8) > 100*900)
 	p, ok := citronpath.Choose(es, q)
 	is.True(ok)
 	is.Equal(ids(p), "b1[0,8) ")
-	q.Others["a"] = 2 * 900
+	q.OthersTokens["a"] = 2 * 900
 	p, _ = citronpath.Choose(es, q)
 	is.Equal(ids(p), "a1[0,8) ")
 }
--- a/citronpeer/limit.go
+++ b/citronpeer/limit.go
@@ -33,35 +33,35 @@
 	// engine's rate limit.
 	Node  string `json:"node"`
 	Limit Limit  `json:"limit"`
-	// PatienceMS is how long the request can wait, in milliseconds.
-	PatienceMS int64 `json:"patienceMs,omitempty"`
+	// MaxWaitMS is how long the request can wait, in milliseconds.
+	MaxWaitMS int64 `json:"patienceMs,omitempty"`
 }
 
 // Permit is the answer to a PermitRequest.
 type Permit struct {
 	// Granted reports whether the request may be sent after WaitMS. If not, the
 	// engine has no free capacity for it before WaitMS has passed, and the node
-	// should ask again after AgainMS. Both are in milliseconds.
-	Granted bool  `json:"granted,omitempty"`
-	WaitMS  int64 `json:"waitMs,omitempty"`
-	AgainMS int64 `json:"againMs,omitempty"`
+	// should ask again after AskAgainMS. Both are in milliseconds.
+	Granted    bool  `json:"granted,omitempty"`
+	WaitMS     int64 `json:"waitMs,omitempty"`
+	AskAgainMS int64 `json:"againMs,omitempty"`
 	// Limit is what the permit issuer knows about the engine's rate limit.
 	Limit Limit `json:"limit"`
 }
 
-// PermitDealer is a permit issuer: it serves the permit requests of other
+// PermitIssuer is the issuer of permits: it serves the permit requests of other
 // nodes.
-type PermitDealer interface {
+type PermitIssuer interface {
 	Permit(PermitRequest) Permit
 }
 
 // HandlePermit mounts a permit issuer's procedure on mux.
-func HandlePermit(mux *http.ServeMux, d PermitDealer) {
+func HandlePermit(mux *http.ServeMux, d PermitIssuer) {
 	inner := http.NewServeMux()
 	citronwire.Handle(inner, procedurePermit, func(_ context.Context, r *PermitRequest) (*Permit, error) {
 		p := d.Permit(*r)
 		return &p, nil
-	}, citronwire.Compact())
+	}, citronwire.CBOR())
 	mux.Handle(procedurePermit, limitConcurrency(inner, maxConcurrentPermits))
 }
 
@@ -70,7 +70,7 @@
 func (c *Client) AskPermit(ctx context.Context, addr string, r PermitRequest, timeout time.Duration) (Permit, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	p, err := citronwire.NewUnary[PermitRequest, Permit](c.HC, "http://"+addr, procedurePermit, citronwire.Compact()).Call(ctx, &r)
+	p, err := citronwire.NewUnary[PermitRequest, Permit](c.HC, "http://"+addr, procedurePermit, citronwire.CBOR()).Call(ctx, &r)
 	if err != nil {
 		return Permit{}, err
 	}
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -47,9 +47,9 @@
 	Watching bool `json:"watching,omitempty"`
 	// Store is what the node knows about the availability of the store.
 	Store citronhealth.Status `json:"store,omitzero"`
-	// Goals are target layer ranges (from, to) by engine ID, set by this node
+	// TargetLayers are target layer ranges (from, to) by engine ID, set by this node
 	// as the leader. An entry remains until the engine holds its range.
-	Goals map[string][2]int `json:"goals,omitempty"`
+	TargetLayers map[string][2]int `json:"goals,omitempty"`
 	// Dead are the IDs of engines that have just failed to answer the node.
 	Dead []string `json:"dead,omitempty"`
 	// Starts are start times of engines, by their name in the list of engines.
@@ -59,8 +59,8 @@
 
 // Gauges are the frequently changing values of a member.
 type Gauges struct {
-	// Beat is the heartbeat counter. It grows while the process lives.
-	Beat int64 `json:"beat"`
+	// Heartbeat is the heartbeat counter. It grows while the process lives.
+	Heartbeat int64 `json:"beat"`
 	// Load is the engine cache that the node's requests use, in tokens by zone.
 	Load map[string]int64 `json:"load,omitempty"`
 	// Sent is what the node has sent in the last window, by service.
@@ -76,18 +76,18 @@
 // Sent counts the requests and retries that were sent for a service.
 type Sent struct {
 	Requests float64 `json:"requests"`
-	Repeats  float64 `json:"repeats"`
+	Retries  float64 `json:"repeats"`
 }
 
-// BeatEvery is the minimum average time between two heartbeats of a member.
-const BeatEvery = 100 * time.Millisecond
+// MinHeartbeatInterval is the minimum average time between two heartbeats of a member.
+const MinHeartbeatInterval = 100 * time.Millisecond
 
 // Newer reports whether m is a later state of the same node than o.
 func (m Member) Newer(o Member) bool {
 	if m.Started != o.Started {
 		return m.Started > o.Started
 	}
-	return m.Beat > o.Beat
+	return m.Heartbeat > o.Heartbeat
 }
 
 // Before reports whether m precedes o in the order in which nodes take on the
@@ -103,31 +103,31 @@
 	return a < b || a == b && m.Name < o.Name
 }
 
-// Print is a fingerprint of a member without its gauges (citronroster). In one
+// Fingerprint is a fingerprint of a member without its gauges (citronroster). In one
 // of six thousand fleets of 1,200 nodes two members have the same fingerprint,
 // until one of them changes. Updates about one of them are then missing, and
 // other nodes probe it.
-type Print uint32
+type Fingerprint uint32
 
 // Digest lists the members that a node knows: their fingerprints and, at the
 // same index, their heartbeat counters.
 type Digest struct {
-	Prints []Print `json:"prints,omitempty"`
-	Beats  []int64 `json:"beats,omitempty"`
+	Fingerprints []Fingerprint `json:"prints,omitempty"`
+	Heartbeats   []int64       `json:"beats,omitempty"`
 }
 
-// Beat returns the heartbeat counter for the fingerprint at index i. It returns
+// Heartbeat returns the heartbeat counter for the fingerprint at index i. It returns
 // zero if the digest has fewer counters than fingerprints.
-func (d Digest) Beat(i int) int64 {
-	if i >= len(d.Beats) {
+func (d Digest) Heartbeat(i int) int64 {
+	if i >= len(d.Heartbeats) {
 		return 0
 	}
-	return d.Beats[i]
+	return d.Heartbeats[i]
 }
 
-// Gauge holds new gauges of a member whose details the receiver knows.
-type Gauge struct {
-	Print Print `json:"print"`
+// GaugeUpdate holds new gauges of a member whose details the receiver knows.
+type GaugeUpdate struct {
+	Fingerprint Fingerprint `json:"print"`
 	Gauges
 }
 
@@ -137,8 +137,8 @@
 	Members []Member `json:"members,omitempty"`
 	// AgesMS are the times since the members were last heard of, in
 	// milliseconds, at the same index as in Members.
-	AgesMS []int64 `json:"agesMs,omitempty"`
-	Gauges []Gauge `json:"gauges,omitempty"`
+	AgesMS []int64       `json:"agesMs,omitempty"`
+	Gauges []GaugeUpdate `json:"gauges,omitempty"`
 }
 
 // Age returns the age of the state of Members[i]. A missing or implausible age
@@ -153,8 +153,8 @@
 // maxPlausibleAge is above any age of a state that nodes send.
 const maxPlausibleAge = time.Minute
 
-// Sum holds the zone totals: the load and usage of all nodes of a zone.
-type Sum struct {
+// ZoneTotals holds the zone totals: the load and usage of all nodes of a zone.
+type ZoneTotals struct {
 	Zone string `json:"zone"`
 	// AgeMS is how long ago a node of the zone computed the totals, in
 	// milliseconds. Ages need no synchronized clocks.
@@ -163,15 +163,15 @@
 	Sent  map[string]Sent  `json:"sent,omitempty"`
 }
 
-// Wants lists the missing items that a node requests from a peer, by
+// MissingItems lists the missing items that a node requests from a peer, by
 // fingerprint from the peer's digest.
-type Wants struct {
-	Members []Print `json:"members,omitempty"`
-	Gauges  []Print `json:"gauges,omitempty"`
+type MissingItems struct {
+	Members []Fingerprint `json:"members,omitempty"`
+	Gauges  []Fingerprint `json:"gauges,omitempty"`
 }
 
 // Empty reports whether no item is missing.
-func (w Wants) Empty() bool { return len(w.Members)+len(w.Gauges) == 0 }
+func (w MissingItems) Empty() bool { return len(w.Members)+len(w.Gauges) == 0 }
 
 // ConfigDocument is the configuration as nodes pass it on. The higher version
 // wins.
@@ -190,56 +190,56 @@
 	Body []byte            `json:"body,omitempty"`
 }
 
-// Knowledge is the gossip state that a node sends to another. A document with
+// GossipState is the gossip state that a node sends to another. A document with
 // an empty body only tells which revision the sender has.
-type Knowledge struct {
+type GossipState struct {
 	// From is the sender.
 	From Member
 	// Diff is what the receiver is missing according to the digest that it has
 	// sent, or what it has requested. It is empty in other messages.
 	Diff
-	// Digest lists the members that the sender knows. Sums are the zone totals.
+	// Digest lists the members that the sender knows. ZoneTotals are the zone totals.
 	// Both are empty in updates.
-	Digest Digest
-	Sums   []Sum
-	// Wants are the items of the receiver's digest that the sender is missing.
-	Wants   Wants
+	Digest     Digest
+	ZoneTotals []ZoneTotals
+	// Missing are the items of the receiver's digest that the sender is missing.
+	Missing MissingItems
 	Config  ConfigDocument
 	Engines ListDocument
 	// Accused are the IDs of accused engines: engines that another engine has
 	// just named as the cause of a failed request.
 	Accused []string
-	// Suspects are requests under which engines have crashed. SuspectSum is a
+	// Suspects are requests under which engines have crashed. SuspectChecksum is a
 	// checksum of all suspects that the sender knows. It is set in exchanges.
-	Suspects   []Suspect
-	SuspectSum uint64
-	// Limits are rate limits of engines. LimitSum is a checksum of all limits
+	Suspects        []Suspect
+	SuspectChecksum uint64
+	// Limits are rate limits of engines. LimitChecksum is a checksum of all limits
 	// that the sender knows. It is set in exchanges.
-	Limits   []Limit
-	LimitSum uint64
+	Limits        []Limit
+	LimitChecksum uint64
 }
 
-// exchangeMessage is Knowledge as it is encoded. Both have the same fields, so
+// exchangeMessage is GossipState as it is encoded. Both have the same fields, so
 // that one converts to the other.
 type exchangeMessage struct {
 	From Member `json:"from"`
 	Diff
-	Digest  Digest         `json:"digest,omitzero"`
-	Sums    []Sum          `json:"sums,omitempty"`
-	Wants   Wants          `json:"wants,omitzero"`
-	Config  ConfigDocument `json:"config"`
-	Engines ListDocument   `json:"engines"`
-	Accused []string       `json:"accused,omitempty"`
-
-	Suspects   []Suspect `json:"suspects,omitempty"`
-	SuspectSum uint64    `json:"suspectSum,omitempty"`
-	Limits     []Limit   `json:"limits,omitempty"`
-	LimitSum   uint64    `json:"limitSum,omitempty"`
+	Digest     Digest         `json:"digest,omitzero"`
+	ZoneTotals []ZoneTotals   `json:"sums,omitempty"`
+	Missing    MissingItems   `json:"wants,omitzero"`
+	Config     ConfigDocument `json:"config"`
+	Engines    ListDocument   `json:"engines"`
+	Accused    []string       `json:"accused,omitempty"`
+
+	Suspects        []Suspect `json:"suspects,omitempty"`
+	SuspectChecksum uint64    `json:"suspectSum,omitempty"`
+	Limits          []Limit   `json:"limits,omitempty"`
+	LimitChecksum   uint64    `json:"limitSum,omitempty"`
 }
 
 const (
 	procedureExchange = "/citron.peer/Exchange"
-	procedureNews     = "/citron.peer/News"
+	procedureUpdate   = "/citron.peer/News"
 	// maxConcurrentExchanges is the number of exchanges a node serves
 	// concurrently. Each may hold the decoded members of the whole fleet. A node
 	// that had stalled for a moment ran out of memory when all waiting nodes
@@ -259,25 +259,25 @@
 type Answerer interface {
 	// Exchange receives the digest of another node. It returns what the other
 	// node is missing, and requests what this node is missing.
-	Exchange(Knowledge) Knowledge
-	// News receives another node's update about itself and about the members
+	Exchange(GossipState) GossipState
+	// Update receives another node's update about itself and about the members
 	// that this node has requested. It returns this node's own update, with the
 	// documents that the other node is missing.
-	News(Knowledge) Knowledge
+	Update(GossipState) GossipState
 }
 
 // Handle mounts a node's procedures on mux.
 func Handle(mux *http.ServeMux, a Answerer) {
 	handle(mux, procedureExchange, maxConcurrentExchanges, a.Exchange)
-	handle(mux, procedureNews, maxConcurrentUpdates, a.News)
+	handle(mux, procedureUpdate, maxConcurrentUpdates, a.Update)
 }
 
-func handle(mux *http.ServeMux, procedure string, maxConcurrent int, answer func(Knowledge) Knowledge) {
+func handle(mux *http.ServeMux, procedure string, maxConcurrent int, answer func(GossipState) GossipState) {
 	inner := http.NewServeMux()
 	citronwire.Handle(inner, procedure, func(_ context.Context, m *exchangeMessage) (*exchangeMessage, error) {
-		a := exchangeMessage(answer(Knowledge(*m)))
+		a := exchangeMessage(answer(GossipState(*m)))
 		return &a, nil
-	}, citronwire.Compact(), citronwire.FastGzipHandler, connect.WithCompressMinBytes(minCompressedBytes))
+	}, citronwire.CBOR(), citronwire.FastGzipHandler, connect.WithCompressMinBytes(minCompressedBytes))
 	mux.Handle(procedure, limitConcurrency(inner, maxConcurrent))
 }
 
@@ -304,26 +304,26 @@
 
 // Exchange sends this node's digest to the node at addr. It returns what that
 // node has newer, and what it is missing.
-func (c *Client) Exchange(ctx context.Context, addr string, k Knowledge) (Knowledge, error) {
+func (c *Client) Exchange(ctx context.Context, addr string, k GossipState) (GossipState, error) {
 	return c.call(ctx, addr, procedureExchange, k)
 }
 
-// News sends the node at addr an update about this node and the revisions of
+// Update sends the node at addr an update about this node and the revisions of
 // its documents. It returns that node's update, with the documents that this
 // node is missing.
-func (c *Client) News(ctx context.Context, addr string, k Knowledge) (Knowledge, error) {
-	return c.call(ctx, addr, procedureNews, k)
+func (c *Client) Update(ctx context.Context, addr string, k GossipState) (GossipState, error) {
+	return c.call(ctx, addr, procedureUpdate, k)
 }
 
-func (c *Client) call(ctx context.Context, addr, procedure string, k Knowledge) (Knowledge, error) {
+func (c *Client) call(ctx context.Context, addr, procedure string, k GossipState) (GossipState, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	m := exchangeMessage(k)
 	// The members in a message contain the same names many times. Compression
 	// shrinks a message to a quarter, and traffic between zones is expensive.
-	res, err := citronwire.NewUnary[exchangeMessage, exchangeMessage](c.HC, "http://"+addr, procedure, citronwire.Compact(), citronwire.FastGzipClient, connect.WithSendGzip(), connect.WithCompressMinBytes(minCompressedBytes)).Call(ctx, &m)
+	res, err := citronwire.NewUnary[exchangeMessage, exchangeMessage](c.HC, "http://"+addr, procedure, citronwire.CBOR(), citronwire.FastGzipClient, connect.WithSendGzip(), connect.WithCompressMinBytes(minCompressedBytes)).Call(ctx, &m)
 	if err != nil {
-		return Knowledge{}, err
+		return GossipState{}, err
 	}
-	return Knowledge(*res), nil
+	return GossipState(*res), nil
 }
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -17,8 +17,8 @@
 
 func gauges(i int) citronpeer.Gauges {
 	return citronpeer.Gauges{
-		Beat: int64(1000 + i*37%900), Load: map[string]int64{"hall-0": int64(i * 991), "hall-1": int64(i * 17)},
-		Sent: map[string]citronpeer.Sent{"model": {Requests: float64(i), Repeats: 1}},
+		Heartbeat: int64(1000 + i*37%900), Load: map[string]int64{"hall-0": int64(i * 991), "hall-1": int64(i * 17)},
+		Sent: map[string]citronpeer.Sent{"model": {Requests: float64(i), Retries: 1}},
 	}
 }
 
@@ -31,28 +31,28 @@
 }
 
 // answerFunc answers exchanges and updates alike.
-type answerFunc func(citronpeer.Knowledge) citronpeer.Knowledge
+type answerFunc func(citronpeer.GossipState) citronpeer.GossipState
 
-func (a answerFunc) Exchange(k citronpeer.Knowledge) citronpeer.Knowledge { return a(k) }
-func (a answerFunc) News(k citronpeer.Knowledge) citronpeer.Knowledge     { return a(k) }
+func (a answerFunc) Exchange(k citronpeer.GossipState) citronpeer.GossipState { return a(k) }
+func (a answerFunc) Update(k citronpeer.GossipState) citronpeer.GossipState   { return a(k) }
 
 // Each node receives exactly what the other node sent.
 func TestExchange(t *testing.T) {
 	is := is.New(t)
 	mux := http.NewServeMux()
-	var received citronpeer.Knowledge
-	answer := citronpeer.Knowledge{
-		From: member(2), Diff: citronpeer.Diff{Members: []citronpeer.Member{member(3)}, AgesMS: []int64{70}, Gauges: []citronpeer.Gauge{{Print: 7, Gauges: gauges(7)}}},
-		Wants: citronpeer.Wants{Gauges: []citronpeer.Print{1 << 31}}, Config: citronpeer.ConfigDocument{Version: 9, Body: []byte("nine")},
+	var received citronpeer.GossipState
+	answer := citronpeer.GossipState{
+		From: member(2), Diff: citronpeer.Diff{Members: []citronpeer.Member{member(3)}, AgesMS: []int64{70}, Gauges: []citronpeer.GaugeUpdate{{Fingerprint: 7, Gauges: gauges(7)}}},
+		Missing: citronpeer.MissingItems{Gauges: []citronpeer.Fingerprint{1 << 31}}, Config: citronpeer.ConfigDocument{Version: 9, Body: []byte("nine")},
 	}
-	citronpeer.Handle(mux, answerFunc(func(k citronpeer.Knowledge) citronpeer.Knowledge {
+	citronpeer.Handle(mux, answerFunc(func(k citronpeer.GossipState) citronpeer.GossipState {
 		received = k
 		return answer
 	}))
 	hs := httptest.NewServer(mux)
 	defer hs.Close()
 	c := &citronpeer.Client{HC: hs.Client(), Timeout: 30 * time.Second}
-	sent := citronpeer.Knowledge{From: member(1), Digest: citronpeer.Digest{Prints: []citronpeer.Print{5}, Beats: []int64{9}}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
+	sent := citronpeer.GossipState{From: member(1), Digest: citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{5}, Heartbeats: []int64{9}}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
 	got, err := c.Exchange(context.Background(), strings.TrimPrefix(hs.URL, "http://"), sent)
 	is.NoErr(err)
 	is.Equal(received, sent)
@@ -67,7 +67,7 @@
 	defer hs.Close()
 	defer close(block)
 	c := &citronpeer.Client{HC: hs.Client(), Timeout: 50 * time.Millisecond}
-	_, err := c.Exchange(context.Background(), strings.TrimPrefix(hs.URL, "http://"), citronpeer.Knowledge{})
+	_, err := c.Exchange(context.Background(), strings.TrimPrefix(hs.URL, "http://"), citronpeer.GossipState{})
 	is.True(err != nil)
 }
 
@@ -75,7 +75,7 @@
 func TestNewer(t *testing.T) {
 	is := is.New(t)
 	at := func(started, heartbeat int64) citronpeer.Member {
-		return citronpeer.Member{Started: started, Gauges: citronpeer.Gauges{Beat: heartbeat}}
+		return citronpeer.Member{Started: started, Gauges: citronpeer.Gauges{Heartbeat: heartbeat}}
 	}
 	a := at(5, 10)
 	is.True(at(5, 11).Newer(a))
@@ -109,14 +109,14 @@
 	is.True(!all[0].Before(all[0]))
 }
 
-// BenchmarkNews reports the bytes on the wire of one update: a node and the
+// BenchmarkUpdate reports the bytes on the wire of one update: a node and the
 // revisions of its documents, without the other members of the fleet. The full
 // gossip state of a hundred nodes, which updates used to carry, is 3.8 KB.
-func BenchmarkNews(b *testing.B) {
-	k := citronpeer.Knowledge{From: member(1), Config: citronpeer.ConfigDocument{Version: 9}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
+func BenchmarkUpdate(b *testing.B) {
+	k := citronpeer.GossipState{From: member(1), Config: citronpeer.ConfigDocument{Version: 9}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
 	var size int64
 	mux := http.NewServeMux()
-	citronpeer.Handle(mux, answerFunc(func(citronpeer.Knowledge) citronpeer.Knowledge { return citronpeer.Knowledge{} }))
+	citronpeer.Handle(mux, answerFunc(func(citronpeer.GossipState) citronpeer.GossipState { return citronpeer.GossipState{} }))
 	hs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		size = r.ContentLength
 		mux.ServeHTTP(w, r)
@@ -124,7 +124,7 @@
 	defer hs.Close()
 	c := &citronpeer.Client{HC: hs.Client(), Timeout: 30 * time.Second}
 	for range b.N {
-		if _, err := c.News(context.Background(), strings.TrimPrefix(hs.URL, "http://"), k); err != nil {
+		if _, err := c.Update(context.Background(), strings.TrimPrefix(hs.URL, "http://"), k); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -135,13 +135,13 @@
 // the number of members in it.
 func BenchmarkMessage(b *testing.B) {
 	for _, n := range []int{9, 100, 295, 1200} {
-		k := citronpeer.Knowledge{}
+		k := citronpeer.GossipState{}
 		for i := range n {
 			k.Members = append(k.Members, member(i))
 		}
 		var size int64
 		mux := http.NewServeMux()
-		citronpeer.Handle(mux, answerFunc(func(citronpeer.Knowledge) citronpeer.Knowledge { return citronpeer.Knowledge{} }))
+		citronpeer.Handle(mux, answerFunc(func(citronpeer.GossipState) citronpeer.GossipState { return citronpeer.GossipState{} }))
 		hs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			size = r.ContentLength
 			mux.ServeHTTP(w, r)
--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -13,7 +13,7 @@
 //	                       +-- the issuer's own requests, too
 //
 // The issuer is chosen among the live nodes by their zone, their spare processor time and a
-// rendezvous hash (DealerFor), so nodes that know the same members agree on it without
+// rendezvous hash (IssuerFor), so nodes that know the same members agree on it without
 // communication. Permits are not stored: when an issuer is lost, the next one starts with
 // an empty bucket.
 package citronpermit
@@ -31,15 +31,15 @@
 type Decision interface{ isDecision() }
 
 // Granted allows a request to be sent after a wait.
-type Granted struct{ After time.Duration }
+type Granted struct{ Wait time.Duration }
 
 // Denied does not allow a request to be sent.
 type Denied struct {
-	// Free is the time after which a permit becomes available.
-	Free time.Duration
-	// Again is the time after which the node should ask again. It may differ from Free
-	// because other nodes request the same permits.
-	Again time.Duration
+	// AvailableIn is the time after which a permit becomes available.
+	AvailableIn time.Duration
+	// RetryAfter is the time after which the node should ask again. It may differ from
+	// AvailableIn because other nodes request the same permits.
+	RetryAfter time.Duration
 }
 
 func (Granted) isDecision() {}
@@ -71,8 +71,8 @@
 	bucketTTL = time.Minute
 )
 
-// Dealer issues the permits for the upstreams that are assigned to this node.
-type Dealer struct {
+// Issuer issues the permits for the upstreams that are assigned to this node.
+type Issuer struct {
 	mu      sync.Mutex
 	buckets map[string]*bucket
 	sweptAt time.Time
@@ -90,12 +90,12 @@
 	pause time.Duration
 }
 
-// NewDealer returns a Dealer without buckets.
-func NewDealer() *Dealer { return &Dealer{buckets: map[string]*bucket{}} }
+// NewIssuer returns an Issuer without buckets.
+func NewIssuer() *Issuer { return &Issuer{buckets: map[string]*bucket{}} }
 
-// Deal decides whether a request may be sent to an engine that accepts perSecond requests
+// Issue decides whether a request may be sent to an engine that accepts perSecond requests
 // per second. maxWait is how long the request can wait for its permit.
-func (d *Dealer) Deal(engine string, perSecond float64, maxWait time.Duration, now time.Time) Decision {
+func (d *Issuer) Issue(engine string, perSecond float64, maxWait time.Duration, now time.Time) Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.sweep(now)
@@ -128,10 +128,10 @@
 	permit := b.limiter.ReserveN(now, 1)
 	wait := permit.DelayFrom(now)
 	if wait <= maxWait {
-		return Granted{After: wait}
+		return Granted{Wait: wait}
 	}
 	permit.CancelAt(now)
-	return Denied{Free: wait, Again: b.retryAfter(perSecond, wait)}
+	return Denied{AvailableIn: wait, RetryAfter: b.retryAfter(perSecond, wait)}
 }
 
 // countRequest adds one permit request to the exponentially weighted request rate.
@@ -155,7 +155,7 @@
 }
 
 // sweep drops the buckets for which no node has requested permits lately.
-func (d *Dealer) sweep(now time.Time) {
+func (d *Issuer) sweep(now time.Time) {
 	if now.Sub(d.sweptAt) < bucketTTL {
 		return
 	}
--- a/citronpermit/model_test.go
+++ b/citronpermit/model_test.go
@@ -64,7 +64,7 @@
 
 // singleIssuer makes the nodes ask one permit issuer.
 type singleIssuer struct {
-	issuer    *citronpermit.Dealer
+	issuer    *citronpermit.Issuer
 	perSecond float64
 	// retryAt is when each node may ask again.
 	retryAt   []time.Time
@@ -76,9 +76,9 @@
 		return false
 	}
 	s.requested++
-	d, denied := s.issuer.Deal(engineID, s.perSecond, 0, now).(citronpermit.Denied)
+	d, denied := s.issuer.Issue(engineID, s.perSecond, 0, now).(citronpermit.Denied)
 	if denied {
-		s.retryAt[node] = now.Add(d.Again)
+		s.retryAt[node] = now.Add(d.RetryAfter)
 	}
 	return !denied
 }
@@ -135,7 +135,7 @@
 						return float64(n) / capacity
 					}
 					shares, sender := l.run(newEqualShares(nodes, perSecond), duration), l.run(&oneSender{rate.NewLimiter(rate.Limit(perSecond), 2)}, duration)
-					s := &singleIssuer{issuer: citronpermit.NewDealer(), perSecond: perSecond, retryAt: make([]time.Time, nodes)}
+					s := &singleIssuer{issuer: citronpermit.NewIssuer(), perSecond: perSecond, retryAt: make([]time.Time, nodes)}
 					permits := l.run(s, duration)
 					t.Logf("maximum number of requests in 4 s (%d allowed) and share of the limit used: equal shares %d, %.2f; one sender %d, %.2f; permits %d, %.2f with %.1f permit requests per second", allowed(perSecond), maxInWindow(shares), share(shares), maxInWindow(sender), share(sender), maxInWindow(permits), share(permits), float64(s.permitRequests())/duration.Seconds())
 					is.True(maxInWindow(permits) <= allowed(perSecond))
@@ -149,7 +149,7 @@
 // fleet is a set of nodes, each with its own view of which nodes are alive.
 type fleet struct {
 	members []citronpeer.Member
-	issuers []*citronpermit.Dealer
+	issuers []*citronpermit.Issuer
 	// endedAt is when each node ended, or zero. noticeDelay is how much later each node
 	// learns that another has ended, and frozenUntil is when a frozen node resumes.
 	endedAt     []time.Time
@@ -170,7 +170,7 @@
 
 // ask makes a node ask the issuer for a permit, and reports whether it is granted.
 func (f *fleet) ask(node int, perSecond float64, now time.Time) bool {
-	issuer, ok := citronpermit.DealerFor(engineID, "z0", f.view(node, now))
+	issuer, ok := citronpermit.IssuerFor(engineID, "z0", f.view(node, now))
 	if !ok {
 		return false
 	}
@@ -179,10 +179,10 @@
 	if !alive || now.Before(f.frozenUntil[at]) {
 		return false
 	}
-	if own, ok := citronpermit.DealerFor(engineID, "z0", f.view(at, now)); !ok || own.Name != issuer.Name {
+	if own, ok := citronpermit.IssuerFor(engineID, "z0", f.view(at, now)); !ok || own.Name != issuer.Name {
 		return false
 	}
-	_, granted := f.issuers[at].Deal(engineID, perSecond, 0, now).(citronpermit.Granted)
+	_, granted := f.issuers[at].Issue(engineID, perSecond, 0, now).(citronpermit.Granted)
 	return granted
 }
 
@@ -205,7 +205,7 @@
 		f := &fleet{}
 		for i := range nodes {
 			f.members = append(f.members, citronpeer.Member{Name: fmt.Sprintf("n%d", i), Zone: fmt.Sprintf("z%d", i%3), Weak: i%4 == 3})
-			f.issuers = append(f.issuers, citronpermit.NewDealer())
+			f.issuers = append(f.issuers, citronpermit.NewIssuer())
 			f.endedAt = append(f.endedAt, time.Time{})
 			f.frozenUntil = append(f.frozenUntil, time.Time{})
 			f.noticeDelay = append(f.noticeDelay, make([]time.Duration, nodes))
@@ -224,7 +224,7 @@
 					f.endedAt[node] = now
 				}
 			case 1: // the node restarts
-				f.endedAt[node], f.issuers[node] = time.Time{}, citronpermit.NewDealer()
+				f.endedAt[node], f.issuers[node] = time.Time{}, citronpermit.NewIssuer()
 			case 2:
 				f.frozenUntil[node] = now.Add(2 * time.Second)
 			default:
--- a/citronplace/improve.go
+++ b/citronplace/improve.go
@@ -21,7 +21,7 @@
 // only while no order is pending.
 func improve(spec citronmodel.Spec, engines []Engine, even float64, scope duplicateScope) Plan {
 	for _, e := range engines {
-		if e.Goal != e.Layers {
+		if e.Target != e.Layers {
 			return Plan{}
 		}
 	}
@@ -67,9 +67,9 @@
 // afterPlan returns the engines with the layers they hold after the plan is
 // carried out.
 func afterPlan(engines []Engine, plan Plan) []Engine {
-	out := withGoals(engines, plan)
+	out := withTargets(engines, plan)
 	for i := range out {
-		out[i].Layers = out[i].Goal
+		out[i].Layers = out[i].Target
 	}
 	return out
 }
@@ -146,7 +146,7 @@
 		// A spare that duplicates layers other than the first ones already
 		// helps an engine. If it were moved, it would go from one weak engine
 		// to the next forever.
-		if s.ID == weakest.ID || s.Fresh || capacity < minHelpLayers || !s.Layers.Empty() && (idleOnly || s.Layers.From > 0) {
+		if s.ID == weakest.ID || s.JustJoined || capacity < minHelpLayers || !s.Layers.Empty() && (idleOnly || s.Layers.From > 0) {
 			continue
 		}
 		from := min(weakest.Layers.From, spec.Layers-capacity)
--- a/citronplace/orders.go
+++ b/citronplace/orders.go
@@ -12,21 +12,21 @@
 	Layers citronmodel.Span
 	// Busy is true while the engine carries out an order.
 	Busy bool
-	// Accepted counts the orders that the engine has accepted since it
+	// AcceptedOrders counts the orders that the engine has accepted since it
 	// started.
-	Accepted int64
+	AcceptedOrders int64
 	// Slowdown is greater than 1 when the engine is slower than declared.
 	Slowdown float64
-	// Born is the start time of the engine in Unix milliseconds, or zero if
+	// StartMS is the start time of the engine in Unix milliseconds, or zero if
 	// the engine does not report it.
-	Born int64
+	StartMS int64
 }
 
 // ErrRefused means that the engine did not accept an order.
 var ErrRefused = errors.New("engine refused the order")
 
-// Orders reads the state of engines and tells them which layers to hold.
-type Orders interface {
+// EngineClient reads the state of engines and tells them which layers to hold.
+type EngineClient interface {
 	State(ctx context.Context, addr string) (EngineState, error)
 	// Place orders an engine to hold a layer range. The engine refuses the order
 	// unless it has accepted exactly the given number of orders so far, so an
--- a/citronplace/plan_test.go
+++ b/citronplace/plan_test.go
@@ -13,11 +13,11 @@
 // spec describes an 80-layer model on three kinds of accelerators whose
 // speeds differ by a factor of seven.
 var spec = citronmodel.Spec{
-	Layers: 80, LayerMB: 1750, TokenBytes: 590_000, StepMS: 1.02, PerSeqMS: 0.0046, ContextMSPerK: 0.0062, ReadPerS: 164_000, Slots: 192,
+	Layers: 80, LayerMB: 1750, TokenBytes: 590_000, StepMS: 1.02, PerSeqMS: 0.0046, ContextMSPerK: 0.0062, PromptTokensPerS: 164_000, Slots: 192,
 	Kinds: map[string]citronmodel.Kind{
-		"large": {Name: "large", MemoryMB: 72_000, StepFactor: 2.4, ReadFactor: 3.2},
-		"small": {Name: "small", MemoryMB: 14_400, StepFactor: 5.3, ReadFactor: 7.9},
-		"slow":  {Name: "slow", MemoryMB: 21_600, StepFactor: 16, ReadFactor: 8.2},
+		"large": {Name: "large", MemoryMB: 72_000, StepFactor: 2.4, PromptFactor: 3.2},
+		"small": {Name: "small", MemoryMB: 14_400, StepFactor: 5.3, PromptFactor: 7.9},
+		"slow":  {Name: "slow", MemoryMB: 21_600, StepFactor: 16, PromptFactor: 8.2},
 	},
 }
 
@@ -38,7 +38,7 @@
 	out := append([]citronplace.Engine(nil), engines...)
 	for i, e := range out {
 		if o, ok := plan[e.ID]; ok {
-			out[i].Layers, out[i].Goal = o.Span, o.Span
+			out[i].Layers, out[i].Target = o.Span, o.Span
 		}
 	}
 	return out
@@ -177,7 +177,7 @@
 			// twin.
 			for _, o := range engines {
 				if o.ID == twin {
-					engines[i].Goal = o.Layers
+					engines[i].Target = o.Layers
 				}
 			}
 			engines[i].Layers = citronmodel.Span{}
@@ -224,7 +224,7 @@
 	var left []citronplace.Engine
 	hold := func(id, kind string, from, to int) {
 		s := citronmodel.Span{From: from, To: to}
-		left = append(left, citronplace.Engine{Engine: citronmodel.Engine{ID: id, Zone: "z", Kind: kind, Addr: id, Layers: s}, Goal: s})
+		left = append(left, citronplace.Engine{Engine: citronmodel.Engine{ID: id, Zone: "z", Kind: kind, Addr: id, Layers: s}, Target: s})
 	}
 	hold("slow0", "slow", 0, 6)
 	hold("slow1", "slow", 0, 6) // the spare
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -38,20 +38,20 @@
 	Services map[string]citrontable.Service
 	Engines  []citronmodel.Engine
 	View     *citronpool.View
-	// Whole is set if Engines is complete: it lacks no entry that may return.
-	Whole bool
-	// Dead is the number of nodes that have recently found an engine dead, by
+	// ListComplete is set if Engines is complete: it lacks no entry that may return.
+	ListComplete bool
+	// DeadReports is the number of nodes that have recently found an engine dead, by
 	// engine ID.
-	Dead map[string]int
-	// Goals holds the previous leader's target layer ranges by engine ID.
-	Goals map[string]citronmodel.Span
+	DeadReports map[string]int
+	// Targets holds the previous leader's target layer ranges by engine ID.
+	Targets map[string]citronmodel.Span
 }
 
 // Placer places the layers of all models during one term of a leader.
 type Placer struct {
-	Orders citronplace.Orders
-	Clock  citronclock.Clock
-	Log    *slog.Logger
+	EngineClient citronplace.EngineClient
+	Clock        citronclock.Clock
+	Log          *slog.Logger
 	// Current returns the latest state, or nil before there is one.
 	Current func() *State
 
@@ -90,7 +90,7 @@
 }
 
 // startTerm sets the initial state of a term. It holds the lock because the leading
-// node calls Goals from another goroutine as soon as it leads.
+// node calls Targets from another goroutine as soon as it leads.
 func (p *Placer) startTerm(targets targetSet) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +144,7 @@
 			continue
 		}
 		engines, served := p.placeableEngines(s, svc.Name, now)
-		if !s.Whole || !anyPlaced(engines) && now.Sub(p.listSizeSince) < listStablePeriod {
+		if !s.ListComplete || !anyPlaced(engines) && now.Sub(p.listSizeSince) < listStablePeriod {
 			p.markDirty() // the next round tries again
 			continue
 		}
@@ -161,14 +161,14 @@
 		return targets
 	}
 	now := p.Clock.Now()
-	for id, span := range s.Goals {
+	for id, span := range s.Targets {
 		targets[id] = &target{order: citronplace.Order{Span: span}, nextAttempt: now}
 	}
 	return targets
 }
 
-// Goals returns the target layer ranges that engines don't hold yet, by engine ID.
-func (p *Placer) Goals() map[string]citronmodel.Span {
+// Targets returns the target layer ranges that engines don't hold yet, by engine ID.
+func (p *Placer) Targets() map[string]citronmodel.Span {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.targets) == 0 {
@@ -191,7 +191,7 @@
 			continue
 		}
 		p.dirty = true
-		citronevent.Log(ctx, p.Log, citronevent.PlacePlanned, "engine", e.ID, "peer", e.Addr, "kind", e.Kind, "zone", e.Zone, "from", o.From, "to", o.To, "cut", o.Cut, "hadFrom", e.Layers.From, "hadTo", e.Layers.To, "goalFrom", e.Goal.From, "goalTo", e.Goal.To)
+		citronevent.Log(ctx, p.Log, citronevent.PlacePlanned, "engine", e.ID, "peer", e.Addr, "kind", e.Kind, "zone", e.Zone, "from", o.From, "to", o.To, "cut", o.Cut, "hadFrom", e.Layers.From, "hadTo", e.Layers.To, "goalFrom", e.Target.From, "goalTo", e.Target.To)
 	}
 }
 
@@ -262,7 +262,7 @@
 		if _, ok := p.joined[e.ID]; !ok {
 			p.joined[e.ID] = now
 		}
-		placed[i].Fresh = now.Sub(p.joined[e.ID]) < freshPeriod
+		placed[i].JustJoined = now.Sub(p.joined[e.ID]) < freshPeriod
 	}
 	return placed, served
 }
@@ -312,7 +312,7 @@
 // nodes report them: nodes that are short of processor time miss answers at the same
 // time. Trusting their reports would repartition whole zones of healthy engines.
 func (p *Placer) checkReportedDead(ctx context.Context, s *State, now time.Time) {
-	for id, reports := range s.Dead {
+	for id, reports := range s.DeadReports {
 		e, ok := s.View.ByID(id)
 		if !ok || e.Kind == "" || now.Sub(p.lastCheckedAt(id)) < recheckInterval {
 			continue
@@ -333,7 +333,7 @@
 	start := p.Clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	st, err := p.Orders.State(callCtx, e.Addr)
+	st, err := p.EngineClient.State(callCtx, e.Addr)
 	now := p.Clock.Now()
 	if ctx.Err() != nil {
 		return
@@ -360,8 +360,8 @@
 // if it is idle, holds no layers and has accepted no order although the list says that it
 // holds layers.
 func (p *Placer) detectRestart(e citronmodel.Engine, st citronplace.EngineState, now time.Time) bool {
-	startedLater := e.Born != 0 && st.Born > e.Born
-	lostLayers := !e.Layers.Empty() && st.Layers.Empty() && st.Accepted == 0 && !st.Busy
+	startedLater := e.StartMS != 0 && st.StartMS > e.StartMS
+	lostLayers := !e.Layers.Empty() && st.Layers.Empty() && st.AcceptedOrders == 0 && !st.Busy
 	if !startedLater && !lostLayers {
 		return false
 	}
@@ -369,9 +369,9 @@
 	switch {
 	case !ok:
 	case startedLater:
-		seen.StartedAnew(st.Born, now)
+		seen.MarkRestarted(st.StartMS, now)
 	default:
-		seen.Replace(now)
+		seen.MarkReplaced(now)
 	}
 	p.markDirty()
 	return true
@@ -426,7 +426,7 @@
 // sendOrder asks the engine for its state and sends the order unless the engine has
 // restarted, is busy or already holds the layers.
 func (p *Placer) sendOrder(ctx context.Context, e citronmodel.Engine, o citronplace.Order) error {
-	st, err := p.Orders.State(ctx, e.Addr)
+	st, err := p.EngineClient.State(ctx, e.Addr)
 	if err != nil {
 		return err
 	}
@@ -439,9 +439,9 @@
 	if st.Layers == o.Span {
 		return nil
 	}
-	if err := p.Orders.Place(ctx, e, o, st.Accepted); err != nil {
+	if err := p.EngineClient.Place(ctx, e, o, st.AcceptedOrders); err != nil {
 		return err
 	}
-	citronevent.Log(ctx, p.Log, citronevent.PlaceOrdered, "engine", e.ID, "peer", e.Addr, "from", o.From, "to", o.To, "accepted", st.Accepted)
+	citronevent.Log(ctx, p.Log, citronevent.PlaceOrdered, "engine", e.ID, "peer", e.Addr, "from", o.From, "to", o.To, "accepted", st.AcceptedOrders)
 	return nil
 }
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -19,8 +19,8 @@
 )
 
 var spec = citronmodel.Spec{
-	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, ReadPerS: 1000, Slots: 8,
-	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 9000, StepFactor: 2, ReadFactor: 3}},
+	Layers: 8, LayerMB: 1000, TokenBytes: 8000, StepMS: 1, PromptTokensPerS: 1000, Slots: 8,
+	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 9000, StepFactor: 2, PromptFactor: 3}},
 }
 
 // sentOrder is an order that fakeEngines received.
@@ -30,7 +30,7 @@
 	accepted int64
 }
 
-// fakeEngines implements citronplace.Orders with scripted answers.
+// fakeEngines implements citronplace.EngineClient with scripted answers.
 type fakeEngines struct {
 	mu    sync.Mutex
 	state citronplace.EngineState
@@ -62,7 +62,7 @@
 	}
 	st := e.state
 	if addr != e.restarted {
-		st.Accepted = max(st.Accepted, 1) // the engine has accepted the order for the layers it holds
+		st.AcceptedOrders = max(st.AcceptedOrders, 1) // the engine has accepted the order for the layers it holds
 	}
 	return st, nil
 }
@@ -92,7 +92,7 @@
 func state(es ...citronmodel.Engine) *citronplacer.State {
 	return &citronplacer.State{
 		Services: map[string]citrontable.Service{"m": {Name: "m", Model: &spec}}, Engines: es,
-		View: citronpool.Build(es, nil), Whole: true, Dead: map[string]int{},
+		View: citronpool.Build(es, nil), ListComplete: true, DeadReports: map[string]int{},
 	}
 }
 
@@ -103,7 +103,7 @@
 func run(t *testing.T, e *fakeEngines, s *citronplacer.State) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &citronplacer.Placer{Orders: e, Clock: citronclock.Real{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Current: func() *citronplacer.State { return s }}
+	p := &citronplacer.Placer{EngineClient: e, Clock: citronclock.Real{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Current: func() *citronplacer.State { return s }}
 	done := make(chan struct{})
 	go func() { defer close(done); p.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
@@ -125,7 +125,7 @@
 // executes both late holds the same layers.
 func TestUnansweredOrderIsRetriedForSameState(t *testing.T) {
 	is := is.New(t)
-	e := &fakeEngines{state: citronplace.EngineState{Accepted: 3}, place: func(n int) error {
+	e := &fakeEngines{state: citronplace.EngineState{AcceptedOrders: 3}, place: func(n int) error {
 		if n == 1 {
 			return errors.New("no answer")
 		}
@@ -157,7 +157,7 @@
 // memory of those engines with layers and leave no cache.
 func TestIncompleteListIsNotPlaced(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 0, 0))
-	s.Whole = false
+	s.ListComplete = false
 	e := &fakeEngines{}
 	run(t, e, s)
 	time.Sleep(500 * time.Millisecond)
@@ -169,7 +169,7 @@
 func TestEngineReportedDeadByTwoNodesIsReplaced(t *testing.T) {
 	is := is.New(t)
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 4))
-	s.Dead["e2"] = 2
+	s.DeadReports["e2"] = 2
 	e := &fakeEngines{dead: "e2"}
 	run(t, e, s)
 	gap := citronmodel.Span{From: 4, To: 8}
@@ -191,7 +191,7 @@
 // repartitioned and rejects its callers for seconds.
 func TestEngineThatAnswersLeaderIsNotReplaced(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8))
-	s.Dead["e2"] = 3
+	s.DeadReports["e2"] = 3
 	e := &fakeEngines{}
 	run(t, e, s)
 	time.Sleep(1200 * time.Millisecond)
@@ -205,7 +205,7 @@
 func TestNextLeaderInheritsTargets(t *testing.T) {
 	is := is.New(t)
 	s := state(engine("e1", 0, 4), engine("e2", 0, 0), engine("e3", 0, 0))
-	s.Goals = map[string]citronmodel.Span{"e3": {From: 4, To: 8}}
+	s.Targets = map[string]citronmodel.Span{"e3": {From: 4, To: 8}}
 	e := &fakeEngines{state: citronplace.EngineState{Busy: true}}
 	run(t, e, s)
 	time.Sleep(700 * time.Millisecond)
@@ -242,12 +242,12 @@
 // the view of the node must mark it as restarted.
 func TestRestartedEngineGetsNoOutdatedOrder(t *testing.T) {
 	is := is.New(t)
-	e := &fakeEngines{state: citronplace.EngineState{Born: 200}}
+	e := &fakeEngines{state: citronplace.EngineState{StartMS: 200}}
 	listed := engine("e1", 0, 0)
-	listed.Born = 100
+	listed.StartMS = 100
 	s := state(listed)
 	run(t, e, s)
-	eventually(t, "the restart is recorded in the view", func() bool { return len(s.View.StartedAnew()) == 1 })
+	eventually(t, "the restart is recorded in the view", func() bool { return len(s.View.Restarted()) == 1 })
 	is.Equal(len(e.orders()), 0)
 }
 
@@ -258,7 +258,7 @@
 // replaced within three seconds and their zones repartitioned.
 func TestOneMissedCheckIsNotDeath(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8))
-	s.Dead["e2"] = 1
+	s.DeadReports["e2"] = 1
 	e := &fakeEngines{misses: map[string]int{"e2": 1}}
 	run(t, e, s)
 	time.Sleep(1200 * time.Millisecond)
@@ -269,7 +269,7 @@
 // dead, although only one node reports it, and that its layers are placed.
 func TestTwoMissedChecksAreDeath(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 4))
-	s.Dead["e2"] = 1
+	s.DeadReports["e2"] = 1
 	e := &fakeEngines{dead: "e2"}
 	run(t, e, s)
 	eventually(t, "an order for the gap", func() bool { return len(e.orders()) > 0 })
@@ -282,7 +282,7 @@
 // once and not when its entry expires, or the zone rejects callers for four seconds.
 func TestEngineThatLostItsLayersIsReplaced(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 0))
-	s.Dead["e2"] = 1
+	s.DeadReports["e2"] = 1
 	e := &fakeEngines{restarted: "e2"}
 	run(t, e, s)
 	gap := citronmodel.Span{From: 4, To: 8}
@@ -296,18 +296,18 @@
 	})
 }
 
-// TestGoalsDuringTermStart reads the targets while a term starts: a newly elected node
+// TestTargetsDuringTermStart reads the targets while a term starts: a newly elected node
 // publishes them from another goroutine at that moment. It must read the targets from
 // before or after the start, never a map being written. The race detector finds a
 // violation.
-func TestGoalsDuringTermStart(_ *testing.T) {
+func TestTargetsDuringTermStart(_ *testing.T) {
 	for range 20 {
 		p := &citronplacer.Placer{Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Current: func() *citronplacer.State { return nil }}
 		ctx, cancel := context.WithCancel(context.Background())
 		var wait sync.WaitGroup
 		wait.Go(func() { p.Run(ctx) })
 		for range 100 {
-			_ = p.Goals()
+			_ = p.Targets()
 		}
 		cancel()
 		wait.Wait()
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -16,9 +16,9 @@
 type Engine struct {
 	citronmodel.Engine
 	*State
-	// Copies is the average number of engines in the zone, this one included,
+	// Replicas is the average number of engines in the zone, this one included,
 	// that hold each of the engine's layers.
-	Copies float64
+	Replicas float64
 }
 
 // epoch is the reference for all stored timestamps. Differences to it use the
@@ -102,9 +102,9 @@
 	maxAvoid     = 4 * time.Second
 )
 
-// Failed records a failure and avoids the engine. The time doubles with each
+// RecordFailure records a failure and avoids the engine. The time doubles with each
 // consecutive failure up to maxAvoid.
-func (s *State) Failed(now time.Time) {
+func (s *State) RecordFailure(now time.Time) {
 	n := s.failures.Add(1)
 	wait := maxAvoid
 	if n < 5 {
@@ -113,22 +113,22 @@
 	s.avoidUntil.Store(sinceEpoch(now.Add(wait)))
 }
 
-// Busy avoids the engine for the given time without counting a failure.
-func (s *State) Busy(now time.Time, wait time.Duration) {
+// Avoid avoids the engine for the given time without counting a failure.
+func (s *State) Avoid(now time.Time, wait time.Duration) {
 	s.avoidUntil.Store(sinceEpoch(now.Add(wait)))
 }
 
-// Dead marks an engine that no longer responds. Requests that run through it
+// MarkDead marks an engine that no longer responds. Requests that run through it
 // are moved to other engines.
-func (s *State) Dead(now time.Time) {
-	s.Failed(now)
+func (s *State) MarkDead(now time.Time) {
+	s.RecordFailure(now)
 	s.deadSince.Store(sinceEpoch(now))
 	s.failedStates.add(s)
 }
 
-// Suspect avoids the engine for initialAvoid because another node found it
+// AvoidBriefly avoids the engine for initialAvoid because another node found it
 // dead.
-func (s *State) Suspect(now time.Time) {
+func (s *State) AvoidBriefly(now time.Time) {
 	if until := sinceEpoch(now.Add(initialAvoid)); s.avoidUntil.Load() < until {
 		s.avoidUntil.Store(until)
 	}
@@ -138,8 +138,8 @@
 // only while a path through them is stalled.
 const slowReportTTL = 3 * time.Second
 
-// Slow records how many times slower than declared the engine is.
-func (s *State) Slow(factor float64, now time.Time) {
+// RecordSlowdown records how many times slower than declared the engine is.
+func (s *State) RecordSlowdown(factor float64, now time.Time) {
 	s.slowdown.Store(int64(factor * 100))
 	s.slowAt.Store(sinceEpoch(now))
 }
@@ -153,33 +153,33 @@
 	return 1
 }
 
-// End marks an engine whose process is known to have ended.
-func (s *State) End() { s.ended.Store(true) }
+// MarkEnded marks an engine whose process is known to have ended.
+func (s *State) MarkEnded() { s.ended.Store(true) }
 
-// StartedAnew marks an engine that has restarted: the requests it ran and the
+// MarkRestarted marks an engine that has restarted: the requests it ran and the
 // layers it held are lost. The parameter born is the time of the restart in
 // milliseconds since 1970.
-func (s *State) StartedAnew(born int64, now time.Time) {
+func (s *State) MarkRestarted(born int64, now time.Time) {
 	s.restartedAt.Store(born)
-	s.Replace(now) // also adds s to the failed states
+	s.MarkReplaced(now) // also adds s to the failed states
 }
 
-// Replace marks an engine whose address belongs to a later incarnation or to
+// MarkReplaced marks an engine whose address belongs to a later incarnation or to
 // another engine. Unlike an engine that doesn't respond, it never receives work
 // again. Its next incarnation has a State of its own.
-func (s *State) Replace(now time.Time) {
+func (s *State) MarkReplaced(now time.Time) {
 	s.replaced.Store(true)
-	s.Dead(now)
-	s.End()
+	s.MarkDead(now)
+	s.MarkEnded()
 }
 
 // Replaced reports whether the engine's address belongs to a later incarnation
 // or to another engine.
 func (s *State) Replaced() bool { return s.replaced.Load() }
 
-// LaterStart returns when the engine restarted, in milliseconds since 1970, or
+// RestartedAt returns when the engine restarted, in milliseconds since 1970, or
 // zero if it didn't.
-func (s *State) LaterStart() int64 { return s.restartedAt.Load() }
+func (s *State) RestartedAt() int64 { return s.restartedAt.Load() }
 
 // misplacedPause is how long an engine is avoided that doesn't hold the layers
 // in the list. An engine writes its entry as soon as its layers change, and the
@@ -187,25 +187,25 @@
 // old, so the list may be the newer of the two.
 const misplacedPause = time.Second
 
-// Misplaced avoids an engine that doesn't hold the layers in the list. It would
+// MarkMisplaced avoids an engine that doesn't hold the layers in the list. It would
 // refuse every request that runs through it, from all nodes, until the list is
 // correct.
-func (s *State) Misplaced(now time.Time) {
+func (s *State) MarkMisplaced(now time.Time) {
 	s.misplacedUntil.Store(sinceEpoch(now.Add(misplacedPause)))
 }
 
-// Placed clears the effect of Misplaced.
-func (s *State) Placed() { s.misplacedUntil.Store(0) }
+// ClearMisplaced clears the effect of MarkMisplaced.
+func (s *State) ClearMisplaced() { s.misplacedUntil.Store(0) }
 
 // Ended reports whether the engine's process is known to have ended. An engine
 // that merely doesn't respond may still run the requests sent to it.
 func (s *State) Ended() bool { return s.ended.Load() || s.Replaced() }
 
-// Lives records that the engine has sent data. It clears the ended and the dead
+// RecordAlive records that the engine has sent data. It clears the ended and the dead
 // mark of an engine that End has marked: an engine that refuses connections may
 // be leaving and finishing its running requests. A replaced engine stays
 // replaced, and the dead mark of an engine that isn't marked ended stays.
-func (s *State) Lives() {
+func (s *State) RecordAlive() {
 	if s.ended.Load() && !s.Replaced() {
 		s.ended.Store(false)
 		s.deadSince.Store(0)
@@ -225,11 +225,11 @@
 // latencyWeight is the inverse weight of a new sample in the moving average.
 const latencyWeight = 8
 
-// Answered records a successful response to a request sent at the given time.
-func (s *State) Answered(sent, now time.Time) {
+// RecordResponse records a successful response to a request sent at the given time.
+func (s *State) RecordResponse(sent, now time.Time) {
 	s.failures.Store(0)
 	s.deadSince.Store(0)
-	if s.Admitted(sent) {
+	if s.RecordAdmission(sent) {
 		s.avoidUntil.Store(0)
 	}
 	took := now.Sub(sent)
@@ -260,12 +260,12 @@
 
 // Usable reports whether the engine may receive new work now.
 func (e *Engine) Usable(now time.Time) bool {
-	return e.ThrottledFor(now) == 0 && e.Sound(now)
+	return e.ThrottledFor(now) == 0 && e.Healthy(now)
 }
 
-// Sound reports whether the engine is healthy: it may receive new work as soon
+// Healthy reports whether the engine is healthy: it may receive new work as soon
 // as its rate limit allows it.
-func (e *Engine) Sound(now time.Time) bool {
+func (e *Engine) Healthy(now time.Time) bool {
 	at := sinceEpoch(now)
 	return !e.Leaving && !e.Replaced() && e.avoidUntil.Load() <= at && e.misplacedUntil.Load() <= at
 }
@@ -286,8 +286,8 @@
 // Add adds tokens to the total of a zone. A negative number subtracts.
 func (l *Loads) Add(zone string, tokens int) { l.zone(zone).Add(int64(tokens)) }
 
-// Sums returns the zone totals in tokens.
-func (l *Loads) Sums() map[string]int64 {
+// ZoneTotals returns the zone totals in tokens.
+func (l *Loads) ZoneTotals() map[string]int64 {
 	out := map[string]int64{}
 	l.zones.Range(func(k, v any) bool {
 		out[k.(string)] = v.(*atomic.Int64).Load()
--- a/citronpool/view.go
+++ b/citronpool/view.go
@@ -49,11 +49,11 @@
 	if old.Engine == e {
 		return old
 	}
-	p := &Engine{Engine: e, State: old.State, Copies: old.Copies}
+	p := &Engine{Engine: e, State: old.State, Replicas: old.Replicas}
 	switch {
 	case old.Layers == e.Layers:
 	case !old.Replaced():
-		p.Placed()
+		p.ClearMisplaced()
 		p.refusalPauses.Store(0)
 	default: // the entry belongs to the next incarnation, which doesn't report its start time
 		p.State = newState(e.ID, v.failedStates)
@@ -125,7 +125,7 @@
 	return true
 }
 
-// countReplicas sets Copies of each engine. It copies an Engine before it changes it,
+// countReplicas sets Replicas of each engine. It copies an Engine before it changes it,
 // as earlier views may share it.
 func countReplicas(engines []*Engine) {
 	held := map[string][]int{}
@@ -143,9 +143,9 @@
 		held[e.Zone] = layers
 	}
 	for i, e := range engines {
-		if replicas := averageReplicas(e, held[e.Zone]); replicas != e.Copies {
+		if replicas := averageReplicas(e, held[e.Zone]); replicas != e.Replicas {
 			next := *e
-			next.Copies = replicas
+			next.Replicas = replicas
 			engines[i] = &next
 		}
 	}
@@ -194,8 +194,8 @@
 
 func (s *State) deadOrRestarted() bool { return s.deadSince.Load() != 0 || s.restartedAt.Load() != 0 }
 
-// Dead returns the IDs of engines that were found dead after the given time.
-func (v *View) Dead(after time.Time) []string {
+// DeadAfter returns the IDs of engines that were found dead after the given time.
+func (v *View) DeadAfter(after time.Time) []string {
 	var out []string
 	v.failedStates.forEach(v, func(e *Engine) {
 		if e.DeadSince().After(after) {
@@ -205,11 +205,11 @@
 	return out
 }
 
-// StartedAnew returns the engines of the view that are known to have restarted.
-func (v *View) StartedAnew() []*Engine {
+// Restarted returns the engines of the view that are known to have restarted.
+func (v *View) Restarted() []*Engine {
 	var out []*Engine
 	v.failedStates.forEach(v, func(e *Engine) {
-		if e.LaterStart() > 0 {
+		if e.RestartedAt() > 0 {
 			out = append(out, e)
 		}
 	})
--- a/citronpool/view_test.go
+++ b/citronpool/view_test.go
@@ -17,7 +17,7 @@
 	out := ""
 	for _, name := range []string{"a", "b"} {
 		for _, e := range v.ByService[name] {
-			out += fmt.Sprintf("%+v replicas %.2f\n", e.Engine, e.Copies)
+			out += fmt.Sprintf("%+v replicas %.2f\n", e.Engine, e.Replicas)
 			if found, ok := v.ByID(e.ID); !ok || found != e {
 				out += "not found by its ID\n"
 			}
@@ -100,18 +100,18 @@
 	now := time.Now()
 	one, _ := v.ByID("i1")
 	two, _ := v.ByID("i2")
-	one.Dead(now)
-	two.StartedAnew(7, now)
-	dead := v.Dead(now.Add(-time.Second))
+	one.MarkDead(now)
+	two.MarkRestarted(7, now)
+	dead := v.DeadAfter(now.Add(-time.Second))
 	slices.Sort(dead)
 	is.Equal(dead, []string{"i1", "i2"})
-	is.Equal(len(v.StartedAnew()), 1)
-	is.Equal(len(v.Dead(now.Add(time.Second))), 0)
-	one.Answered(now, now.Add(time.Millisecond))
-	is.Equal(v.Dead(now.Add(-time.Second)), []string{"i2"})
-	one.Dead(now) // dead again, after Dead had removed the recovered engine from the failed states
-	is.Equal(len(v.Dead(now.Add(-time.Second))), 2)
+	is.Equal(len(v.Restarted()), 1)
+	is.Equal(len(v.DeadAfter(now.Add(time.Second))), 0)
+	one.RecordResponse(now, now.Add(time.Millisecond))
+	is.Equal(v.DeadAfter(now.Add(-time.Second)), []string{"i2"})
+	one.MarkDead(now) // dead again, after Dead had removed the recovered engine from the failed states
+	is.Equal(len(v.DeadAfter(now.Add(-time.Second))), 2)
 	v = citronpool.Build(engines[:1], v)
-	is.Equal(v.Dead(now.Add(-time.Second)), []string{"i1"})
-	is.Equal(len(v.StartedAnew()), 0)
+	is.Equal(v.DeadAfter(now.Add(-time.Second)), []string{"i1"})
+	is.Equal(len(v.Restarted()), 0)
 }
--- a/citronprobe/heard_test.go
+++ b/citronprobe/heard_test.go
@@ -15,7 +15,7 @@
 // that restarted at the same address refuses all requests that the list sends
 // through it. The start time and the layers in the report must decide whether the
 // engine remains usable.
-func TestHeard(t *testing.T) {
+func TestRecordReport(t *testing.T) {
 	held := citronmodel.Span{From: 2, To: 6}
 	layers := func(from, to int) *citronmodel.Span { return &citronmodel.Span{From: from, To: to} }
 	for _, c := range []struct {
@@ -23,25 +23,25 @@
 		report        citronupstream.Report
 		usable, ended bool
 	}{
-		{"same start time", citronupstream.Report{Born: 100, Holds: layers(2, 6)}, true, false},
-		{"holds more layers than listed", citronupstream.Report{Born: 100, Holds: layers(0, 8)}, true, false},
-		{"later start time", citronupstream.Report{Born: 200, Holds: layers(0, 0)}, false, true},
-		{"late report of an earlier start", citronupstream.Report{Born: 50, Holds: layers(0, 0)}, true, false},
-		{"no start time, holds fewer layers than listed", citronupstream.Report{Holds: layers(2, 5)}, false, false},
-		{"no start time, holds nothing after some orders", citronupstream.Report{Holds: layers(0, 0), Accepted: 3}, false, false},
-		{"no start time, holds nothing and never accepted an order", citronupstream.Report{Holds: layers(0, 0)}, false, true},
+		{"same start time", citronupstream.Report{StartMS: 100, Layers: layers(2, 6)}, true, false},
+		{"holds more layers than listed", citronupstream.Report{StartMS: 100, Layers: layers(0, 8)}, true, false},
+		{"later start time", citronupstream.Report{StartMS: 200, Layers: layers(0, 0)}, false, true},
+		{"late report of an earlier start", citronupstream.Report{StartMS: 50, Layers: layers(0, 0)}, true, false},
+		{"no start time, holds fewer layers than listed", citronupstream.Report{Layers: layers(2, 5)}, false, false},
+		{"no start time, holds nothing after some orders", citronupstream.Report{Layers: layers(0, 0), AcceptedOrders: 3}, false, false},
+		{"no start time, holds nothing and never accepted an order", citronupstream.Report{Layers: layers(0, 0)}, false, true},
 		{"empty report", citronupstream.Report{}, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			list := []citronmodel.Engine{{ID: "i-1@100", Instance: "i-1", Born: 100, Service: "m", Addr: "a:1", Kind: "fast", Layers: held}}
+			list := []citronmodel.Engine{{ID: "i-1@100", Instance: "i-1", StartMS: 100, Service: "m", Addr: "a:1", Kind: "fast", Layers: held}}
 			v := citronpool.Build(list, nil)
 			e, _ := v.ByID("i-1@100")
 			now := time.Now()
-			citronprobe.Heard(e, c.report, now)
+			citronprobe.RecordReport(e, c.report, now)
 			is.Equal(e.Usable(now), c.usable)
 			is.Equal(e.Ended(), c.ended)
-			is.Equal(len(v.StartedAnew()) > 0, c.report.Born > 100)
+			is.Equal(len(v.Restarted()) > 0, c.report.StartMS > 100)
 			// A list with other layers for the engine is newer than the report and
 			// makes the engine usable again.
 			list[0].Layers = citronmodel.Span{From: 2, To: 5}
--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// Fresh is the usual maximum age of a report that a stream takes over from
+	// MaxReportAge is the usual maximum age of a report that a stream takes over from
 	// another stream's probe.
-	Fresh = 500 * time.Millisecond
+	MaxReportAge = 500 * time.Millisecond
 	// probeTimeout is the time after which an engine that does not respond to a
 	// probe counts as dead. A healthy engine responds within a few milliseconds.
 	probeTimeout = 250 * time.Millisecond
@@ -44,10 +44,10 @@
 	err    error
 }
 
-// Ask returns the report of the engine at addr. It uses the result of the previous
+// Report returns the report of the engine at addr. It uses the result of the previous
 // probe if that probe started at most maxAge ago. The report and the error are both
 // empty if this node was paused during the probe.
-func (p *Prober) Ask(ctx context.Context, up citronupstream.Engines, addr string, maxAge time.Duration) (citronupstream.Report, error) {
+func (p *Prober) Report(ctx context.Context, up citronupstream.Engines, addr string, maxAge time.Duration) (citronupstream.Report, error) {
 	p.mu.Lock()
 	if p.byAddr == nil {
 		p.byAddr = map[string]*sharedProbe{}
@@ -83,51 +83,51 @@
 // none, that the engine is dead. The error says why there is no report. If ctx has
 // ended, a failed probe is not recorded.
 func (p *Prober) Probe(ctx context.Context, up citronupstream.Engines, clock citronclock.Clock, e *citronpool.Engine, maxAge time.Duration) error {
-	r, err := p.Ask(ctx, up, e.Addr, maxAge)
+	r, err := p.Report(ctx, up, e.Addr, maxAge)
 	switch {
 	case err == nil:
-		Heard(e, r, clock.Now())
+		RecordReport(e, r, clock.Now())
 	case ctx.Err() == nil:
-		Dead(e, err, clock.Now())
+		RecordDead(e, err, clock.Now())
 	}
 	return err
 }
 
-// Heard records the report of an engine. An engine may have restarted at the same
+// RecordReport records the report of an engine. An engine may have restarted at the same
 // address. The report is then that of a later incarnation, which holds no layers
 // and runs none of the requests of the earlier one. A report of an earlier
 // incarnation is ignored.
-func Heard(e *citronpool.Engine, r citronupstream.Report, now time.Time) {
-	startsKnown := r.Born != 0 && e.Born != 0
+func RecordReport(e *citronpool.Engine, r citronupstream.Report, now time.Time) {
+	startsKnown := r.StartMS != 0 && e.StartMS != 0
 	switch {
-	case startsKnown && r.Born > e.Born:
-		e.StartedAnew(r.Born, now)
+	case startsKnown && r.StartMS > e.StartMS:
+		e.MarkRestarted(r.StartMS, now)
 		return
-	case startsKnown && r.Born < e.Born:
+	case startsKnown && r.StartMS < e.StartMS:
 		return
-	case !e.Layers.Empty() && r.Holds != nil && r.Holds.Empty() && r.Accepted == 0:
+	case !e.Layers.Empty() && r.Layers != nil && r.Layers.Empty() && r.AcceptedOrders == 0:
 		// According to the list the engine holds layers, so it must have accepted
 		// an order to load them. An engine that has never accepted an order has
 		// restarted without reporting its start time. Requests through it are
 		// refused until its old entry expires after three heartbeats.
-		e.Replace(now)
+		e.MarkReplaced(now)
 		return
 	}
-	e.Slow(r.Slowdown, now)
+	e.RecordSlowdown(r.Slowdown, now)
 	switch {
-	case r.Holds == nil || e.Layers.Empty():
-	case r.Holds.Covers(e.Layers):
-		e.Placed()
+	case r.Layers == nil || e.Layers.Empty():
+	case r.Layers.Covers(e.Layers):
+		e.ClearMisplaced()
 	default:
-		e.Misplaced(now)
+		e.MarkMisplaced(now)
 	}
 }
 
-// Dead records that an engine did not respond to a probe. If the connection was
+// RecordDead records that an engine did not respond to a probe. If the connection was
 // refused, it also records that the engine's process has ended.
-func Dead(e *citronpool.Engine, err error, now time.Time) {
-	e.Dead(now)
+func RecordDead(e *citronpool.Engine, err error, now time.Time) {
+	e.MarkDead(now)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		e.End()
+		e.MarkEnded()
 	}
 }
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -39,7 +39,7 @@
 
 // Entry is the record of one request with its fingerprint.
 type Entry struct {
-	Print Print
+	Fingerprint Fingerprint
 	Record
 }
 
@@ -51,7 +51,7 @@
 	size  atomic.Int64
 
 	mu      sync.Mutex
-	entries map[Print]*entry
+	entries map[Fingerprint]*entry
 	// onChange is called when there is an update for other nodes.
 	onChange func()
 	// summary is the cached summary for other nodes. It is nil after a change.
@@ -80,7 +80,7 @@
 
 // New returns an empty ledger for the node with the given name.
 func New(node string, clock citronclock.Clock) *Ledger {
-	return &Ledger{node: node, clock: clock, entries: map[Print]*entry{}, onChange: func() {}}
+	return &Ledger{node: node, clock: clock, entries: map[Fingerprint]*entry{}, onChange: func() {}}
 }
 
 // Notify sets the function that is called when there is an update for other nodes.
@@ -91,26 +91,26 @@
 func (l *Ledger) Empty() bool { return l.size.Load() == 0 }
 
 // Admit decides whether a request may run.
-func (l *Ledger) Admit(p Print) Verdict {
+func (l *Ledger) Admit(p Fingerprint) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.find(p)
-	if e == nil || e.Standing() < quarantineThreshold-1 {
-		return Free{}
+	if e == nil || e.ActiveCrashes() < quarantineThreshold-1 {
+		return Admitted{}
 	}
 	if left := l.releaseAt(p, e.Record).Sub(l.clock.Now()); left > 0 {
-		return Barred{Left: left, Crashes: e.Standing()}
+		return Quarantined{RetryAfter: left, Crashes: e.ActiveCrashes()}
 	}
 	if e.onTrial {
-		return Barred{Left: trialRetry, Crashes: e.Standing()}
+		return Quarantined{RetryAfter: trialRetry, Crashes: e.ActiveCrashes()}
 	}
 	e.onTrial = true
-	return Trial{End: func() { l.endTrial(p) }}
+	return TrialRun{End: func() { l.endTrial(p) }}
 }
 
-// Blocked reports whether a request that was admitted has been quarantined since, and
-// for how long.
-func (l *Ledger) Blocked(p Print) (time.Duration, bool) {
+// QuarantinedFor reports whether a request that was admitted has been quarantined since,
+// and for how long.
+func (l *Ledger) QuarantinedFor(p Fingerprint) (time.Duration, bool) {
 	if l.Empty() {
 		return 0, false
 	}
@@ -124,19 +124,19 @@
 	return left, left > 0
 }
 
-// Suspect reports whether the request has so many crashes that it is quarantined or
+// IsSuspect reports whether the request has so many crashes that it is quarantined or
 // that one more crash would quarantine it.
-func (l *Ledger) Suspect(p Print) bool {
+func (l *Ledger) IsSuspect(p Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.find(p)
-	return e != nil && e.Standing() >= quarantineThreshold-1
+	return e != nil && e.ActiveCrashes() >= quarantineThreshold-1
 }
 
 // releaseAt returns the time at which this node admits the request again. It is zero
 // if the request is not quarantined. The delay within releaseSpread is a hash of the
 // node name and the fingerprint.
-func (l *Ledger) releaseAt(p Print, r Record) time.Time {
+func (l *Ledger) releaseAt(p Fingerprint, r Record) time.Time {
 	until := r.quarantinedUntil()
 	if until.IsZero() {
 		return until
@@ -145,7 +145,7 @@
 	return until.Add(time.Duration(hash % uint64(releaseSpread)))
 }
 
-func (l *Ledger) endTrial(p Print) {
+func (l *Ledger) endTrial(p Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.entries[p]; e != nil {
@@ -153,10 +153,10 @@
 	}
 }
 
-// Crashed records that an engine ended under a run of the request that had just
+// RecordCrash records that an engine ended under a run of the request that had just
 // begun. engine is the ID of the engine's start, and began is when the run began. It
 // returns the request's record, and whether the record has changed.
-func (l *Ledger) Crashed(p Print, engine string, began time.Time) (r Record, updated bool) {
+func (l *Ledger) RecordCrash(p Fingerprint, engine string, began time.Time) (r Record, updated bool) {
 	l.mu.Lock()
 	e := l.find(p)
 	var known Record
@@ -164,7 +164,7 @@
 		known = e.Record
 	}
 	crash := Record{}.WithCrash(Crash{Engine: known.startKey(engine, began), At: l.clock.Now()})
-	updated = e == nil || !e.WithAll(crash).equal(e.Record)
+	updated = e == nil || !e.Merged(crash).equal(e.Record)
 	if updated {
 		e = l.put(p, crash)
 		e.observed = true
@@ -177,14 +177,14 @@
 	return r, updated
 }
 
-// Succeeded records that the request has run successfully.
-func (l *Ledger) Succeeded(p Print) {
+// RecordSuccess records that the request has run successfully.
+func (l *Ledger) RecordSuccess(p Fingerprint) {
 	if l.Empty() {
 		return
 	}
 	l.mu.Lock()
 	e := l.find(p)
-	updated := e != nil && e.Standing() > 0
+	updated := e != nil && e.ActiveCrashes() > 0
 	if updated {
 		l.set(e, e.WithRefuted())
 	}
@@ -195,10 +195,10 @@
 	}
 }
 
-// Dirty returns the records that this node has to save in durable storage. These are
+// Unsaved returns the records that this node has to save in durable storage. These are
 // the records of requests that were quarantined and of which this node observed a
 // crash, if they differ from the saved records.
-func (l *Ledger) Dirty() []Entry {
+func (l *Ledger) Unsaved() []Entry {
 	if l.Empty() {
 		return nil
 	}
@@ -206,7 +206,7 @@
 	defer l.mu.Unlock()
 	return l.selectEntries(func(e *entry) bool {
 		wasSaved := len(e.saved.crashes) > 0
-		return e.observed && (wasSaved || e.Standing() >= quarantineThreshold) && !e.saved.equal(e.Record)
+		return e.observed && (wasSaved || e.ActiveCrashes() >= quarantineThreshold) && !e.saved.equal(e.Record)
 	})
 }
 
@@ -224,15 +224,15 @@
 func (l *Ledger) MarkSaved(x Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e := l.entries[x.Print]; e != nil {
+	if e := l.entries[x.Fingerprint]; e != nil {
 		e.saved = x.Record
 	}
 }
 
-// Learn merges the records that another node sent, and returns the entries of the
+// Merge merges the records that another node sent, and returns the entries of the
 // requests that are quarantined on this node as a result. Changes that all nodes have to
 // agree on are an update for other nodes.
-func (l *Ledger) Learn(received []Entry) ([]Entry, error) {
+func (l *Ledger) Merge(received []Entry) ([]Entry, error) {
 	if err := l.validate(received); err != nil {
 		return nil, err
 	}
@@ -241,16 +241,16 @@
 	updated := false
 	for _, in := range received {
 		before := 0
-		if e := l.find(in.Print); e != nil {
-			before = e.Standing()
-			if e.WithAll(in.Record).equal(e.Record) {
+		if e := l.find(in.Fingerprint); e != nil {
+			before = e.ActiveCrashes()
+			if e.Merged(in.Record).equal(e.Record) {
 				continue
 			}
 		}
-		after := l.put(in.Print, in.Record).Record
+		after := l.put(in.Fingerprint, in.Record).Record
 		updated = updated || after.significant()
-		if before < quarantineThreshold && after.Standing() >= quarantineThreshold {
-			quarantined = append(quarantined, Entry{in.Print, after})
+		if before < quarantineThreshold && after.ActiveCrashes() >= quarantineThreshold {
+			quarantined = append(quarantined, Entry{in.Fingerprint, after})
 		}
 	}
 	l.mu.Unlock()
@@ -267,12 +267,12 @@
 	}
 	now := l.clock.Now()
 	for _, in := range received {
-		if n := len(in.crashes); n == 0 || n > MostCrashes {
-			return errors.Newf("record has %d crashes, must have 1 to %d", n, MostCrashes)
+		if n := len(in.crashes); n == 0 || n > MaxCrashes {
+			return errors.Newf("record has %d crashes, must have 1 to %d", n, MaxCrashes)
 		}
 		for _, c := range in.crashes {
-			if age := now.Sub(c.At); age < 0 || age > OldestCrash {
-				return errors.Newf("crash has age %v, must be between 0 and %v", age, OldestCrash)
+			if age := now.Sub(c.At); age < 0 || age > MaxCrashAge {
+				return errors.Newf("crash has age %v, must be between 0 and %v", age, MaxCrashAge)
 			}
 		}
 	}
@@ -326,7 +326,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Entry) int {
-		return cmp.Or(cmp.Compare(b.Standing(), a.Standing()), b.lastCrash().Compare(a.lastCrash()), slices.Compare(a.Print[:], b.Print[:]))
+		return cmp.Or(cmp.Compare(b.ActiveCrashes(), a.ActiveCrashes()), b.lastCrash().Compare(a.lastCrash()), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	return out[:min(len(out), MaxGossipRecords)]
 }
@@ -336,7 +336,7 @@
 	var sum uint64
 	for _, e := range entries {
 		h := xxhash.New()
-		_, _ = h.Write(e.Print[:]) // never returns an error
+		_, _ = h.Write(e.Fingerprint[:]) // never returns an error
 		for _, c := range e.Crashes() {
 			word := c.Engine << 1
 			if c.Refuted {
@@ -364,7 +364,7 @@
 
 // find returns the entry of a request, or nil if there is none. It drops the entry if
 // it has expired, unless a trial run is in progress. The caller must hold l.mu.
-func (l *Ledger) find(p Print) *entry {
+func (l *Ledger) find(p Fingerprint) *entry {
 	e := l.entries[p]
 	if e == nil || e.onTrial || l.clock.Now().Before(e.expiresAt()) {
 		return e
@@ -374,7 +374,7 @@
 }
 
 // put merges a record into the ledger. The caller must hold l.mu.
-func (l *Ledger) put(p Print, r Record) *entry {
+func (l *Ledger) put(p Fingerprint, r Record) *entry {
 	e := l.find(p)
 	if e == nil {
 		l.evictIfFull()
@@ -382,7 +382,7 @@
 		l.entries[p] = e
 		l.size.Store(int64(len(l.entries)))
 	}
-	l.set(e, e.WithAll(r))
+	l.set(e, e.Merged(r))
 	return e
 }
 
@@ -403,10 +403,10 @@
 	if len(l.entries) < maxRecords {
 		return
 	}
-	var victim Print
+	var victim Fingerprint
 	var fewest *entry
 	for p, e := range l.entries {
-		if fewest == nil || cmp.Or(cmp.Compare(e.Standing(), fewest.Standing()), e.lastCrash().Compare(fewest.lastCrash())) < 0 {
+		if fewest == nil || cmp.Or(cmp.Compare(e.ActiveCrashes(), fewest.ActiveCrashes()), e.lastCrash().Compare(fewest.lastCrash())) < 0 {
 			victim, fewest = p, e
 		}
 	}
@@ -419,7 +419,7 @@
 	}
 }
 
-func (l *Ledger) drop(p Print) {
+func (l *Ledger) drop(p Fingerprint) {
 	delete(l.entries, p)
 	l.size.Store(int64(len(l.entries)))
 	l.summary = nil
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -16,26 +16,26 @@
 	return citronquarantine.New(node, clock), clock
 }
 
-func request(i int) citronquarantine.Print {
-	return citronquarantine.PrintOf("council", "POST", "h", "/a", fmt.Append(nil, i))
+func request(i int) citronquarantine.Fingerprint {
+	return citronquarantine.FingerprintOf("council", "POST", "h", "/a", fmt.Append(nil, i))
 }
 
 // crash makes count engines end under a request. Their IDs are numbered consecutively,
 // beginning with from.
-func crash(l *citronquarantine.Ledger, p citronquarantine.Print, from, count int) {
+func crash(l *citronquarantine.Ledger, p citronquarantine.Fingerprint, from, count int) {
 	for i := range count {
-		l.Crashed(p, fmt.Sprintf("i-%d", from+i), time.Time{})
+		l.RecordCrash(p, fmt.Sprintf("i-%d", from+i), time.Time{})
 	}
 }
 
 func Example() {
 	l, _ := newLedger("n1")
-	p := citronquarantine.PrintOf("council", "POST", "example.org", "/nest/7", []byte("a plan"))
+	p := citronquarantine.FingerprintOf("council", "POST", "example.org", "/nest/7", []byte("a plan"))
 	for _, engine := range []string{"i-1", "i-2", "i-2", "i-3"} {
-		r, updated := l.Crashed(p, engine, time.Time{})
-		fmt.Println(engine, r.Standing(), updated)
+		r, updated := l.RecordCrash(p, engine, time.Time{})
+		fmt.Println(engine, r.ActiveCrashes(), updated)
 	}
-	_, quarantined := l.Admit(p).(citronquarantine.Barred)
+	_, quarantined := l.Admit(p).(citronquarantine.Quarantined)
 	fmt.Println("quarantined:", quarantined)
 	// Output:
 	// i-1 1 true
@@ -50,14 +50,14 @@
 	l, _ := newLedger("n1")
 	p := request(1)
 	crash(l, p, 1, 2)
-	trial, ok := l.Admit(p).(citronquarantine.Trial)
+	trial, ok := l.Admit(p).(citronquarantine.TrialRun)
 	is.True(ok)
-	_, ok = l.Admit(p).(citronquarantine.Barred)
+	_, ok = l.Admit(p).(citronquarantine.Quarantined)
 	is.True(ok) // a trial run is in progress
 	trial.End()
-	_, ok = l.Admit(p).(citronquarantine.Trial)
+	_, ok = l.Admit(p).(citronquarantine.TrialRun)
 	is.True(ok)
-	_, ok = l.Admit(request(2)).(citronquarantine.Free)
+	_, ok = l.Admit(request(2)).(citronquarantine.Admitted)
 	is.True(ok)
 }
 
@@ -71,8 +71,8 @@
 		began := clock.Now()
 		clock.Advance(100 * time.Millisecond)
 		for range 2 {
-			r, _ := l.Crashed(p, "i-1", began)
-			is.Equal(r.Standing(), i+1)
+			r, _ := l.RecordCrash(p, "i-1", began)
+			is.Equal(r.ActiveCrashes(), i+1)
 		}
 		clock.Advance(3 * time.Second)
 	}
@@ -86,13 +86,13 @@
 	p := request(1)
 	crash(l, p, 1, 3)
 	clock.Advance(2 * time.Minute)
-	_, ok := l.Admit(p).(citronquarantine.Trial)
+	_, ok := l.Admit(p).(citronquarantine.TrialRun)
 	is.True(ok)
-	l.Succeeded(p)
-	_, ok = l.Admit(p).(citronquarantine.Free)
+	l.RecordSuccess(p)
+	_, ok = l.Admit(p).(citronquarantine.Admitted)
 	is.True(ok)
-	l.Crashed(p, "i-2", time.Time{}) // late report of an earlier crash
-	_, ok = l.Admit(p).(citronquarantine.Free)
+	l.RecordCrash(p, "i-2", time.Time{}) // late report of an earlier crash
+	_, ok = l.Admit(p).(citronquarantine.Admitted)
 	is.True(ok)
 }
 
@@ -106,9 +106,9 @@
 	crashes := 3
 	for range 24 * 60 {
 		clock.Advance(time.Minute)
-		if trial, ok := l.Admit(p).(citronquarantine.Trial); ok {
+		if trial, ok := l.Admit(p).(citronquarantine.TrialRun); ok {
 			crashes++
-			l.Crashed(p, fmt.Sprintf("i-%d", crashes), time.Time{})
+			l.RecordCrash(p, fmt.Sprintf("i-%d", crashes), time.Time{})
 			trial.End()
 		}
 	}
@@ -116,9 +116,9 @@
 	l, clock = newLedger("n1")
 	crash(l, p, 1, 3)
 	clock.Advance(30 * time.Second)
-	v, ok := l.Admit(p).(citronquarantine.Barred)
+	v, ok := l.Admit(p).(citronquarantine.Quarantined)
 	is.True(ok)
-	is.True(v.Left >= 30*time.Second && v.Left <= time.Minute)
+	is.True(v.RetryAfter >= 30*time.Second && v.RetryAfter <= time.Minute)
 	is.Equal(v.Crashes, 3)
 }
 
@@ -133,7 +133,7 @@
 			l, clock := newLedger(fmt.Sprintf("n%d", i))
 			crash(l, p, 1, 3)
 			clock.Advance(time.Minute + time.Duration(s)*time.Second)
-			if _, ok := l.Admit(p).(citronquarantine.Trial); ok {
+			if _, ok := l.Admit(p).(citronquarantine.TrialRun); ok {
 				n++
 			}
 		}
@@ -155,7 +155,7 @@
 	is.Equal(known, 1024)
 	is.Equal(quarantined, 1) // records with the most crashes are dropped last
 	is.Equal(len(l.All()), citronquarantine.MaxGossipRecords)
-	is.Equal(l.All()[0].Print, crashing)
+	is.Equal(l.All()[0].Fingerprint, crashing)
 	clock.Advance(time.Hour)
 	is.Equal(len(l.All()), 0)
 	is.True(l.Empty())
@@ -174,16 +174,16 @@
 	}
 	oversized := make([]citronquarantine.Entry, citronquarantine.MaxGossipRecords+1)
 	for i := range oversized {
-		oversized[i] = citronquarantine.Entry{Print: request(i), Record: record(0)}
+		oversized[i] = citronquarantine.Entry{Fingerprint: request(i), Record: record(0)}
 	}
 	for _, received := range [][]citronquarantine.Entry{
-		{{Print: request(1)}},
-		{{Print: request(1), Record: record(0, 0, 0)}, {Print: request(2), Record: record(0, -time.Second)}},
-		{{Print: request(1), Record: record(0, 0, 48*time.Hour)}},
+		{{Fingerprint: request(1)}},
+		{{Fingerprint: request(1), Record: record(0, 0, 0)}, {Fingerprint: request(2), Record: record(0, -time.Second)}},
+		{{Fingerprint: request(1), Record: record(0, 0, 48*time.Hour)}},
 		oversized,
 	} {
 		l, _ := newLedger("n1")
-		_, err := l.Learn(received)
+		_, err := l.Merge(received)
 		is.True(err != nil)
 		is.True(l.Empty())
 	}
@@ -199,7 +199,7 @@
 			nodes[i] = citronquarantine.New(fmt.Sprintf("n%d", i), clock)
 		}
 		send := func(from, to int) {
-			if _, err := nodes[to].Learn(nodes[from].All()); err != nil {
+			if _, err := nodes[to].Merge(nodes[from].All()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -207,9 +207,9 @@
 		which := rapid.IntRange(0, 4)
 		t.Repeat(map[string]func(*rapid.T){
 			"crash": func(t *rapid.T) {
-				nodes[node.Draw(t, "node")].Crashed(request(which.Draw(t, "request")), fmt.Sprintf("i-%d", rapid.IntRange(0, 9).Draw(t, "engine")), time.Time{})
+				nodes[node.Draw(t, "node")].RecordCrash(request(which.Draw(t, "request")), fmt.Sprintf("i-%d", rapid.IntRange(0, 9).Draw(t, "engine")), time.Time{})
 			},
-			"run":  func(t *rapid.T) { nodes[node.Draw(t, "node")].Succeeded(request(which.Draw(t, "request"))) },
+			"run":  func(t *rapid.T) { nodes[node.Draw(t, "node")].RecordSuccess(request(which.Draw(t, "request"))) },
 			"tell": func(t *rapid.T) { send(node.Draw(t, "from"), node.Draw(t, "to")) },
 			"wait": func(*rapid.T) { clock.Advance(time.Second) },
 		})
@@ -230,7 +230,7 @@
 	f.Add("")
 	f.Add(request(1).String())
 	f.Fuzz(func(t *testing.T, text string) {
-		var p citronquarantine.Print
+		var p citronquarantine.Fingerprint
 		if p.UnmarshalText([]byte(text)) == nil && len(text) != len(p.String()) {
 			t.Fatalf("fingerprint %q of invalid length was accepted", text)
 		}
@@ -248,7 +248,7 @@
 		crash(l, request(i), i%8, 1)
 	}
 	for i := range 200 {
-		l.Succeeded(request(i))
+		l.RecordSuccess(request(i))
 	}
 	is.Equal(updates, 0)
 	is.True(len(l.Recent()) <= 8)
@@ -256,7 +256,7 @@
 	is.Equal(l.Sum(), uint64(0))
 	crash(l, request(299), 20, 1)
 	is.Equal(updates, 1)
-	is.Equal(l.Recent()[0].Print, request(299)) // records with more crashes come first
+	is.Equal(l.Recent()[0].Fingerprint, request(299)) // records with more crashes come first
 	clock.Advance(3 * time.Second)
 	is.Equal(len(l.Recent()), 0)
 	is.Equal(len(l.All()), 1)
--- a/citronquarantine/model_test.go
+++ b/citronquarantine/model_test.go
@@ -18,10 +18,10 @@
 	modelStep    = 20 * time.Millisecond
 	modelTime    = 3 * time.Minute
 	// A run sends its first event firstEvent after it starts. It counts as just started
-	// until provenRun after that, and ends after runTime.
-	firstEvent = 300 * time.Millisecond
-	provenRun  = 500 * time.Millisecond
-	runTime    = 5 * time.Second
+	// until minSuccessfulRun after that, and ends after runTime.
+	firstEvent       = 300 * time.Millisecond
+	minSuccessfulRun = 500 * time.Millisecond
+	runTime          = 5 * time.Second
 	// restartTime is how long a crashed engine is unavailable.
 	restartTime = 3 * time.Second
 	// maxRetryDelay is the maximum delay before a caller retries a failed request.
@@ -35,7 +35,7 @@
 // caller to retry it, and since is the time of the retry. Otherwise since is the start of
 // the run.
 type modelRun struct {
-	fingerprint citronquarantine.Print
+	fingerprint citronquarantine.Fingerprint
 	crashing    bool
 	engine      int
 	since       time.Time
@@ -53,19 +53,19 @@
 	runs        []*modelRun
 	sent        int
 	// quarantined holds the harmless requests that were quarantined.
-	quarantined map[citronquarantine.Print]bool
+	quarantined map[citronquarantine.Fingerprint]bool
 	// ended counts the engines that crashing requests have ended.
 	ended int
 }
 
 func newModel(seed uint64) *model {
 	clock := citronclock.NewManual(time.Unix(1_000_000, 0))
-	return &model{rand: rand.New(rand.NewPCG(seed, 1)), clock: clock, ledger: citronquarantine.New("n", clock), quarantined: map[citronquarantine.Print]bool{}}
+	return &model{rand: rand.New(rand.NewPCG(seed, 1)), clock: clock, ledger: citronquarantine.New("n", clock), quarantined: map[citronquarantine.Fingerprint]bool{}}
 }
 
 // send runs a request on a random available engine, unless it is quarantined.
 func (m *model) send(r *modelRun) {
-	if v, ok := m.ledger.Admit(r.fingerprint).(citronquarantine.Barred); ok && v.Crashes > 2 {
+	if v, ok := m.ledger.Admit(r.fingerprint).(citronquarantine.Quarantined); ok && v.Crashes > 2 {
 		if !r.crashing {
 			m.quarantined[r.fingerprint] = true
 		}
@@ -99,12 +99,12 @@
 	}
 	m.runs = others
 	for _, r := range ended {
-		if now.Sub(r.since) < firstEvent+provenRun {
-			m.ledger.Crashed(r.fingerprint, fmt.Sprintf("%d@%d", engine, m.starts[engine]), r.since)
+		if now.Sub(r.since) < firstEvent+minSuccessfulRun {
+			m.ledger.RecordCrash(r.fingerprint, fmt.Sprintf("%d@%d", engine, m.starts[engine]), r.since)
 		}
 		r.attempts++
 		switch {
-		case r.attempts < 2 && !m.ledger.Suspect(r.fingerprint):
+		case r.attempts < 2 && !m.ledger.IsSuspect(r.fingerprint):
 			m.send(r)
 		case r.attempts < 4 && !r.crashing:
 			r.engine, r.since = -1, now.Add(time.Duration(m.rand.Int64N(int64(maxRetryDelay))))
@@ -130,8 +130,8 @@
 			continue
 		case r.crashing && age > firstEvent/2:
 			crashes = append(crashes, r.engine)
-		case r.engine >= 0 && age > firstEvent+provenRun:
-			m.ledger.Succeeded(r.fingerprint)
+		case r.engine >= 0 && age > firstEvent+minSuccessfulRun:
+			m.ledger.RecordSuccess(r.fingerprint)
 		}
 		if r.engine < 0 || age < runTime {
 			m.runs = append(m.runs, r)
--- a/citronquarantine/print_test.go
+++ b/citronquarantine/print_test.go
@@ -9,10 +9,10 @@
 
 func TestFingerprintDistinguishesRequests(t *testing.T) {
 	is := is.New(t)
-	of := citronquarantine.PrintOf
+	of := citronquarantine.FingerprintOf
 	p := of("council", "POST", "h", "/a/b", []byte("text"))
 	is.Equal(p, of("council", "POST", "h", "/a/b", []byte("text")))
-	for _, other := range []citronquarantine.Print{
+	for _, other := range []citronquarantine.Fingerprint{
 		of("shire", "POST", "h", "/a/b", []byte("text")),
 		of("council", "PUT", "h", "/a/b", []byte("text")),
 		of("council", "POST", "i", "/a/b", []byte("text")),
@@ -25,10 +25,10 @@
 
 func TestFingerprintTextRoundTrip(t *testing.T) {
 	is := is.New(t)
-	p := citronquarantine.PrintOf("council", "POST", "h", "/a", nil)
+	p := citronquarantine.FingerprintOf("council", "POST", "h", "/a", nil)
 	text, err := p.MarshalText()
 	is.NoErr(err)
-	var decoded citronquarantine.Print
+	var decoded citronquarantine.Fingerprint
 	is.NoErr(decoded.UnmarshalText(text))
 	is.Equal(decoded, p)
 	for _, invalid := range []string{"", "00", string(text) + "00", "x" + string(text[1:])} {
--- a/citronquarantine/record.go
+++ b/citronquarantine/record.go
@@ -24,10 +24,10 @@
 	// record expires at once.
 	retention        = 10 * time.Minute
 	clearedRetention = time.Minute
-	// MostCrashes is the maximum number of crashes in a record.
-	MostCrashes = 8
-	// OldestCrash is the maximum age of a crash. Older crashes have no effect.
-	OldestCrash = maxQuarantine + retention
+	// MaxCrashes is the maximum number of crashes in a record.
+	MaxCrashes = 8
+	// MaxCrashAge is the maximum age of a crash. Older crashes have no effect.
+	MaxCrashAge = maxQuarantine + retention
 )
 
 // Crash is the end of an engine under a run that had just started.
@@ -47,7 +47,7 @@
 // the run began.
 func (r Record) startKey(id string, began time.Time) uint64 {
 	key := EngineKey(id)
-	for start := 2; r.endedBefore(key, began) && start <= MostCrashes; start++ {
+	for start := 2; r.endedBefore(key, began) && start <= MaxCrashes; start++ {
 		key = EngineKey(id + "#" + strconv.Itoa(start))
 	}
 	return key
@@ -75,10 +75,10 @@
 	return Record{all}
 }
 
-// truncate reduces crashes to MostCrashes. It drops refuted crashes first, then the
+// truncate reduces crashes to MaxCrashes. It drops refuted crashes first, then the
 // oldest ones.
 func truncate(all []Crash) []Crash {
-	if len(all) <= MostCrashes {
+	if len(all) <= MaxCrashes {
 		return all
 	}
 	slices.SortFunc(all, func(a, b Crash) int {
@@ -90,11 +90,11 @@
 		}
 		return cmp.Or(b.At.Compare(a.At), cmp.Compare(a.Engine, b.Engine))
 	})
-	return all[:MostCrashes]
+	return all[:MaxCrashes]
 }
 
-// WithAll returns the record with all crashes of another record added.
-func (r Record) WithAll(o Record) Record {
+// Merged returns the record with all crashes of another record added.
+func (r Record) Merged(o Record) Record {
 	for _, c := range o.crashes {
 		r = r.WithCrash(c)
 	}
@@ -115,8 +115,8 @@
 	return slices.SortedFunc(slices.Values(r.crashes), func(a, b Crash) int { return cmp.Compare(a.Engine, b.Engine) })
 }
 
-// Standing returns the number of crashes that are not refuted.
-func (r Record) Standing() int {
+// ActiveCrashes returns the number of crashes that are not refuted.
+func (r Record) ActiveCrashes() int {
 	n := 0
 	for _, c := range r.crashes {
 		if !c.Refuted {
@@ -136,7 +136,7 @@
 func (r Record) lastCrash() time.Time {
 	var lastCrash time.Time
 	for _, c := range r.crashes {
-		if c.At.After(lastCrash) && (!c.Refuted || r.Standing() == 0) {
+		if c.At.After(lastCrash) && (!c.Refuted || r.ActiveCrashes() == 0) {
 			lastCrash = c.At
 		}
 	}
@@ -146,7 +146,7 @@
 // quarantinedUntil returns the time at which the quarantine ends. It is zero if the
 // request has too few crashes for a quarantine.
 func (r Record) quarantinedUntil() time.Time {
-	n := r.Standing()
+	n := r.ActiveCrashes()
 	if n < quarantineThreshold {
 		return time.Time{}
 	}
@@ -155,7 +155,7 @@
 
 // expiresAt returns the time at which the record is no longer needed.
 func (r Record) expiresAt() time.Time {
-	if r.Standing() == 0 {
+	if r.ActiveCrashes() == 0 {
 		return r.lastCrash().Add(clearedRetention)
 	}
 	if until := r.quarantinedUntil(); !until.IsZero() {
--- a/citronquarantine/verdict.go
+++ b/citronquarantine/verdict.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Verdict says whether a request may run. It is one of Free, Trial and Barred.
+// Verdict says whether a request may run. It is one of Admitted, TrialRun and Quarantined.
 type Verdict interface{ verdict() }
 
-// Free admits a request that has too few crashes to restrict it.
-type Free struct{}
+// Admitted admits a request that has too few crashes to restrict it.
+type Admitted struct{}
 
-// Trial admits a trial run of a request that one more crash would quarantine.
+// TrialRun admits a trial run of a request that one more crash would quarantine.
 // Requests with the same fingerprint have to wait until the trial run ends.
-type Trial struct {
+type TrialRun struct {
 	// End ends the trial run.
 	End func()
 }
 
-// Barred rejects a request that is quarantined, or that has to wait for the end of a
+// Quarantined rejects a request that is quarantined, or that has to wait for the end of a
 // trial run.
-type Barred struct {
-	// Left is the time after which the request may be retried.
-	Left time.Duration
+type Quarantined struct {
+	// RetryAfter is the time after which the request may be retried.
+	RetryAfter time.Duration
 	// Crashes is the number of engines that have crashed under the request.
 	Crashes int
 }
 
-func (Free) verdict()   {}
-func (Trial) verdict()  {}
-func (Barred) verdict() {}
+func (Admitted) verdict()    {}
+func (TrialRun) verdict()    {}
+func (Quarantined) verdict() {}
--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -16,7 +16,7 @@
 // other zones a node knows the zone totals, computed by some node of that zone,
 // with their ages. There are few of these, however many nodes the fleet has.
 //
-// The package does no input or output. A Roster is a value, a Table and Sums
+// The package does no input or output. A Roster is a value, a Table and ZoneTotals
 // hold the state of one node, and each message is a function of these.
 package citronroster
 
@@ -33,19 +33,19 @@
 // gauges that are newer by less than half a second is of no use.
 const minHeartbeatLead = 5
 
-// Of returns the fingerprint of a member's details.
-func Of(m citronpeer.Member) citronpeer.Print {
+// Fingerprint returns the fingerprint of a member's details.
+func Fingerprint(m citronpeer.Member) citronpeer.Fingerprint {
 	text, err := json.Marshal(m.WithGauges(citronpeer.Gauges{}))
 	if err != nil {
 		panic(err) // A member holds only types that JSON can encode.
 	}
-	return citronpeer.Print(xxhash.Sum64(text))
+	return citronpeer.Fingerprint(xxhash.Sum64(text))
 }
 
 // Entry is a member and the fingerprint of its details.
 type Entry struct {
 	citronpeer.Member
-	Print citronpeer.Print
+	Fingerprint citronpeer.Fingerprint
 	// Age is how long ago the member was last heard of when the entry was made.
 	Age time.Duration
 }
@@ -54,24 +54,24 @@
 type Roster struct {
 	zone    string
 	entries []Entry
-	// indexByPrint holds indexes into entries.
-	indexByPrint map[citronpeer.Print]int
+	// indexByFingerprint holds indexes into entries.
+	indexByFingerprint map[citronpeer.Fingerprint]int
 }
 
 // New returns a roster of entries. It takes ownership of entries.
 func New(zone string, entries []Entry) Roster {
-	r := Roster{zone: zone, entries: entries, indexByPrint: make(map[citronpeer.Print]int, len(entries))}
+	r := Roster{zone: zone, entries: entries, indexByFingerprint: make(map[citronpeer.Fingerprint]int, len(entries))}
 	for i, e := range entries {
-		r.indexByPrint[e.Print] = i
+		r.indexByFingerprint[e.Fingerprint] = i
 	}
 	return r
 }
 
 // Digest returns the fingerprints and heartbeat counters of all members.
 func (r Roster) Digest() citronpeer.Digest {
-	d := citronpeer.Digest{Prints: make([]citronpeer.Print, len(r.entries)), Beats: make([]int64, len(r.entries))}
+	d := citronpeer.Digest{Fingerprints: make([]citronpeer.Fingerprint, len(r.entries)), Heartbeats: make([]int64, len(r.entries))}
 	for i, e := range r.entries {
-		d.Prints[i], d.Beats[i] = e.Print, e.Beat
+		d.Fingerprints[i], d.Heartbeats[i] = e.Fingerprint, e.Heartbeat
 	}
 	return d
 }
@@ -79,50 +79,50 @@
 // Diff returns what the sender of digest d is missing. sameZone reports whether
 // the sender is in the roster's zone.
 func (r Roster) Diff(d citronpeer.Digest, sameZone bool) citronpeer.Diff {
-	theirs := make(map[citronpeer.Print]int64, len(d.Prints))
-	for i, p := range d.Prints {
-		theirs[p] = d.Beat(i)
+	theirs := make(map[citronpeer.Fingerprint]int64, len(d.Fingerprints))
+	for i, p := range d.Fingerprints {
+		theirs[p] = d.Heartbeat(i)
 	}
 	var out citronpeer.Diff
 	for _, e := range r.entries {
-		heartbeat, known := theirs[e.Print]
+		heartbeat, known := theirs[e.Fingerprint]
 		switch {
 		case !known:
 			out = e.appendTo(out)
-		case sameZone && e.Zone == r.zone && e.Beat >= heartbeat+minHeartbeatLead:
+		case sameZone && e.Zone == r.zone && e.Heartbeat >= heartbeat+minHeartbeatLead:
 			out.Gauges = append(out.Gauges, e.gauge())
 		}
 	}
 	return out
 }
 
-// Wants returns the items of digest d that this roster is missing. sameZone
+// Missing returns the items of digest d that this roster is missing. sameZone
 // reports whether the sender of d is in the roster's zone.
-func (r Roster) Wants(d citronpeer.Digest, sameZone bool) citronpeer.Wants {
-	var out citronpeer.Wants
-	for i, p := range d.Prints {
-		index, known := r.indexByPrint[p]
+func (r Roster) Missing(d citronpeer.Digest, sameZone bool) citronpeer.MissingItems {
+	var out citronpeer.MissingItems
+	for i, p := range d.Fingerprints {
+		index, known := r.indexByFingerprint[p]
 		switch {
 		case !known:
 			out.Members = append(out.Members, p)
-		case sameZone && r.entries[index].Zone == r.zone && d.Beat(i) >= r.entries[index].Beat+minHeartbeatLead:
+		case sameZone && r.entries[index].Zone == r.zone && d.Heartbeat(i) >= r.entries[index].Heartbeat+minHeartbeatLead:
 			out.Gauges = append(out.Gauges, p)
 		}
 	}
 	return out
 }
 
-// Wanted returns the items that another node requests. It leaves out items that
+// Requested returns the items that another node requests. It leaves out items that
 // are no longer in the roster.
-func (r Roster) Wanted(w citronpeer.Wants) citronpeer.Diff {
+func (r Roster) Requested(w citronpeer.MissingItems) citronpeer.Diff {
 	var out citronpeer.Diff
 	for _, p := range w.Members {
-		if index, ok := r.indexByPrint[p]; ok {
+		if index, ok := r.indexByFingerprint[p]; ok {
 			out = r.entries[index].appendTo(out)
 		}
 	}
 	for _, p := range w.Gauges {
-		if index, ok := r.indexByPrint[p]; ok {
+		if index, ok := r.indexByFingerprint[p]; ok {
 			out.Gauges = append(out.Gauges, r.entries[index].gauge())
 		}
 	}
@@ -136,6 +136,6 @@
 	return d
 }
 
-func (e Entry) gauge() citronpeer.Gauge {
-	return citronpeer.Gauge{Print: e.Print, Gauges: e.Gauges}
+func (e Entry) gauge() citronpeer.GaugeUpdate {
+	return citronpeer.GaugeUpdate{Fingerprint: e.Fingerprint, Gauges: e.Gauges}
 }
--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -15,14 +15,14 @@
 func member(name, zone string, details, heartbeat int64) citronpeer.Member {
 	return citronpeer.Member{
 		Name: name, Zone: zone, Peer: name + ":1", Started: 1, Ready: details%2 == 0, Store: statusOf(details),
-		Gauges: citronpeer.Gauges{Beat: heartbeat, Load: map[string]int64{zone: heartbeat}},
+		Gauges: citronpeer.Gauges{Heartbeat: heartbeat, Load: map[string]int64{zone: heartbeat}},
 	}
 }
 
 func roster(zone string, members ...citronpeer.Member) citronroster.Roster {
 	entries := make([]citronroster.Entry, len(members))
 	for i, m := range members {
-		entries[i] = citronroster.Entry{Member: m, Print: citronroster.Of(m)}
+		entries[i] = citronroster.Entry{Member: m, Fingerprint: citronroster.Fingerprint(m)}
 	}
 	return citronroster.New(zone, entries)
 }
@@ -32,10 +32,10 @@
 func TestFingerprintIgnoresGauges(t *testing.T) {
 	is := is.New(t)
 	a := member("a", "z1", 0, 5)
-	is.Equal(citronroster.Of(a), citronroster.Of(a.WithGauges(citronpeer.Gauges{Beat: 99})))
+	is.Equal(citronroster.Fingerprint(a), citronroster.Fingerprint(a.WithGauges(citronpeer.Gauges{Heartbeat: 99})))
 	b := a
 	b.Leaving = true
-	is.True(citronroster.Of(a) != citronroster.Of(b))
+	is.True(citronroster.Fingerprint(a) != citronroster.Fingerprint(b))
 }
 
 // Two nodes of a fleet of three hundred that have the same knowledge of it send
@@ -48,7 +48,7 @@
 	}
 	a, b := roster("z1", all...), roster("z1", all...)
 	is.Equal(b.Diff(a.Digest(), true), citronpeer.Diff{})
-	is.True(b.Wants(a.Digest(), true).Empty())
+	is.True(b.Missing(a.Digest(), true).Empty())
 }
 
 // Only the heartbeat counter of a newer member of another zone is sent. The
@@ -62,7 +62,7 @@
 	is.Equal(len(diff.Gauges), 1)
 	is.Equal(diff.Gauges[0].Load, map[string]int64{"z1": 20})
 	is.Equal(newer.Diff(older.Digest(), false), citronpeer.Diff{})
-	is.Equal(older.Wants(newer.Digest(), true).Gauges, []citronpeer.Print{citronroster.Of(member("near", "z1", 0, 1))})
+	is.Equal(older.Missing(newer.Digest(), true).Gauges, []citronpeer.Fingerprint{citronroster.Fingerprint(member("near", "z1", 0, 1))})
 }
 
 // A digest with fewer heartbeat counters than fingerprints, or with unknown
@@ -71,10 +71,10 @@
 func TestMalformedDigest(t *testing.T) {
 	is := is.New(t)
 	r := roster("z1", member("a", "z1", 0, 10))
-	d := citronpeer.Digest{Prints: []citronpeer.Print{citronroster.Of(member("a", "z1", 0, 1)), 77}}
+	d := citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(member("a", "z1", 0, 1)), 77}}
 	is.Equal(len(r.Diff(d, true).Gauges), 1) // a missing heartbeat counter counts as zero
-	is.Equal(r.Wants(d, true), citronpeer.Wants{Members: []citronpeer.Print{77}})
-	is.Equal(r.Wanted(citronpeer.Wants{Members: []citronpeer.Print{77}, Gauges: []citronpeer.Print{78}}), citronpeer.Diff{})
+	is.Equal(r.Missing(d, true), citronpeer.MissingItems{Members: []citronpeer.Fingerprint{77}})
+	is.Equal(r.Requested(citronpeer.MissingItems{Members: []citronpeer.Fingerprint{77}, Gauges: []citronpeer.Fingerprint{78}}), citronpeer.Diff{})
 }
 
 // Whatever two nodes know about a fleet, after one exchange both know the newest
@@ -92,7 +92,7 @@
 				}
 				details := rapid.Int64Range(0, 3).Draw(t, "details")
 				m := member(fmt.Sprint(i), zone(i), details, 100*details+rapid.Int64Range(0, 99).Draw(t, "beat"))
-				tb.Take(m, now, now)
+				tb.RecordMember(m, now, now)
 				if old, ok := newest[m.Name]; !ok || m.Newer(old) {
 					newest[m.Name] = m
 				}
@@ -103,21 +103,21 @@
 		rosterA, rosterB := citronroster.New("z0", a.Alive(now)), citronroster.New("z1", b.Alive(now))
 		take := func(tb *citronroster.Table, d citronpeer.Diff) {
 			for _, m := range d.Members {
-				tb.Take(m, now, now)
+				tb.RecordMember(m, now, now)
 			}
 			for _, g := range d.Gauges {
-				tb.TakeGauge(g, now)
+				tb.RecordGauges(g, now)
 			}
 		}
 		take(a, rosterB.Diff(rosterA.Digest(), sameZone))
-		take(b, rosterA.Wanted(rosterB.Wants(rosterA.Digest(), sameZone)))
+		take(b, rosterA.Requested(rosterB.Missing(rosterA.Digest(), sameZone)))
 		for _, tb := range tables {
 			known := map[string]citronpeer.Member{}
 			for _, e := range tb.Alive(now) {
 				known[e.Name] = e.Member
 			}
 			for name, m := range newest {
-				if citronroster.Of(known[name]) != citronroster.Of(m) {
+				if citronroster.Fingerprint(known[name]) != citronroster.Fingerprint(m) {
 					t.Fatalf("member %s: known details are %v, want %v", name, known[name], m)
 				}
 			}
--- a/citronroster/sums.go
+++ b/citronroster/sums.go
@@ -11,32 +11,34 @@
 // a few times a second; older ones describe nodes that are cut off or gone.
 const maxTotalsAge = 3 * time.Second
 
-// Sums holds the zone totals that one node knows. It is not safe for concurrent
+// ZoneTotals holds the zone totals that one node knows. It is not safe for concurrent
 // use.
-type Sums struct {
+type ZoneTotals struct {
 	zone   string
-	byZone map[string]timedSum
+	byZone map[string]timedTotals
 }
 
-type timedSum struct {
-	citronpeer.Sum
+type timedTotals struct {
+	citronpeer.ZoneTotals
 	// computed is when the totals were computed, by this node's clock.
 	computed time.Time
 }
 
-// NewSums returns empty zone totals for a node of zone.
-func NewSums(zone string) *Sums { return &Sums{zone: zone, byZone: map[string]timedSum{}} }
+// NewZoneTotals returns empty zone totals for a node of zone.
+func NewZoneTotals(zone string) *ZoneTotals {
+	return &ZoneTotals{zone: zone, byZone: map[string]timedTotals{}}
+}
 
 // Set stores the totals of the node's own zone, computed by this node.
-func (s *Sums) Set(sum citronpeer.Sum, now time.Time) {
+func (s *ZoneTotals) Set(sum citronpeer.ZoneTotals, now time.Time) {
 	sum.Zone = s.zone
-	s.byZone[s.zone] = timedSum{Sum: sum, computed: now}
+	s.byZone[s.zone] = timedTotals{ZoneTotals: sum, computed: now}
 }
 
-// Take stores the totals of another zone, as received from another node, if
+// Merge stores the totals of another zone, as received from another node, if
 // they are newer than the known ones. It ignores totals with a negative age,
 // which no later ones would replace.
-func (s *Sums) Take(sum citronpeer.Sum, now time.Time) {
+func (s *ZoneTotals) Merge(sum citronpeer.ZoneTotals, now time.Time) {
 	if sum.Zone == s.zone || sum.AgeMS < 0 {
 		return
 	}
@@ -44,16 +46,16 @@
 	if old, ok := s.byZone[sum.Zone]; ok && !computed.After(old.computed) {
 		return
 	}
-	s.byZone[sum.Zone] = timedSum{Sum: sum, computed: computed}
+	s.byZone[sum.Zone] = timedTotals{ZoneTotals: sum, computed: computed}
 }
 
-// Tell returns the totals of all zones that are at most maxTotalsAge old, with
+// Current returns the totals of all zones that are at most maxTotalsAge old, with
 // their current ages.
-func (s *Sums) Tell(now time.Time) []citronpeer.Sum {
-	var out []citronpeer.Sum
+func (s *ZoneTotals) Current(now time.Time) []citronpeer.ZoneTotals {
+	var out []citronpeer.ZoneTotals
 	for _, t := range s.byZone {
 		if age := now.Sub(t.computed); age <= maxTotalsAge {
-			sum := t.Sum
+			sum := t.ZoneTotals
 			sum.AgeMS = max(0, age.Milliseconds())
 			out = append(out, sum)
 		}
@@ -80,7 +82,7 @@
 	for service, u := range sent {
 		sum := t.Sent[service]
 		sum.Requests += u.Requests
-		sum.Repeats += u.Repeats
+		sum.Retries += u.Retries
 		t.Sent[service] = sum
 	}
 }
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -47,10 +47,10 @@
 	stallThreshold = 500 * time.Millisecond
 )
 
-// Known is a member in a table, and when it was last heard of.
-type Known struct {
+// TrackedMember is a member in a table, and when it was last heard of.
+type TrackedMember struct {
 	Entry
-	Heard time.Time
+	LastHeard time.Time
 	// latestHeartbeat is the latest known heartbeat counter. Within a zone the gauges
 	// may be older.
 	latestHeartbeat int64
@@ -73,9 +73,9 @@
 // allocate retries and to choose paths.
 type Table struct {
 	// self is the name of the node that owns the table, and zone is its zone.
-	self, zone string
-	members    map[string]*Known
-	byPrint    map[citronpeer.Print]*Known
+	self, zone    string
+	members       map[string]*TrackedMember
+	byFingerprint map[citronpeer.Fingerprint]*TrackedMember
 	// agedAt is when Age was last called.
 	agedAt time.Time
 	// sameZoneGap is the mean time between two updates about a member of this
@@ -91,23 +91,23 @@
 	return m + runningMean(gapWeight*float64(d-time.Duration(m)))
 }
 
-// NearGap returns the mean time between two updates about a member of this
+// MeanUpdateInterval returns the mean time between two updates about a member of this
 // zone. What is known of such a member is usually at most twice as old.
-func (t *Table) NearGap() time.Duration { return time.Duration(t.sameZoneGap) }
+func (t *Table) MeanUpdateInterval() time.Duration { return time.Duration(t.sameZoneGap) }
 
 // NewTable returns the empty table of the node self in zone.
 func NewTable(self, zone string) *Table {
-	return &Table{self: self, zone: zone, members: map[string]*Known{}, byPrint: map[citronpeer.Print]*Known{}}
+	return &Table{self: self, zone: zone, members: map[string]*TrackedMember{}, byFingerprint: map[citronpeer.Fingerprint]*TrackedMember{}}
 }
 
-// Take records a full member from a node that last heard of it at heard. It
+// RecordMember records a full member from a node that last heard of it at heard. It
 // reports whether the state was new, and whether the member thereby joined,
 // came back, or changed its Ready or Leaving state.
 //
 // A member that is new to this node is not counted as heard of just now.
 // Otherwise nodes that start one after the other would keep a dead member alive
 // for each other.
-func (t *Table) Take(m citronpeer.Member, heard, now time.Time) (isNew, changed bool) {
+func (t *Table) RecordMember(m citronpeer.Member, heard, now time.Time) (isNew, changed bool) {
 	if m.Name == "" || m.Name == t.self {
 		return false, false
 	}
@@ -119,41 +119,41 @@
 		return false, false
 	}
 	if ok {
-		delete(t.byPrint, old.Print)
+		delete(t.byFingerprint, old.Fingerprint)
 	}
 	if ok && old.Alive {
 		heard = now // The heartbeat has advanced since this node last heard of the member.
 	}
-	k := &Known{Entry: Entry{Member: m, Print: Of(m)}, latestHeartbeat: m.Beat, Heard: heard, Alive: true}
+	k := &TrackedMember{Entry: Entry{Member: m, Fingerprint: Fingerprint(m)}, latestHeartbeat: m.Heartbeat, LastHeard: heard, Alive: true}
 	t.members[m.Name] = k
-	t.byPrint[k.Print] = k
+	t.byFingerprint[k.Fingerprint] = k
 	return true, !ok || !old.Alive || old.Leaving != m.Leaving || old.Ready != m.Ready
 }
 
-// TakeGauge records new gauges of a member whose details are known. It returns
+// RecordGauges records new gauges of a member whose details are known. It returns
 // the member, and whether the member thereby came back. It returns nil if the
 // gauges are not new or the member is unknown.
-func (t *Table) TakeGauge(g citronpeer.Gauge, now time.Time) (of *Known, back bool) {
-	k := t.byPrint[g.Print]
-	if k == nil || g.Beat <= k.Beat || g.Beat > k.latestHeartbeat+maxHeartbeatLead {
+func (t *Table) RecordGauges(g citronpeer.GaugeUpdate, now time.Time) (of *TrackedMember, back bool) {
+	k := t.byFingerprint[g.Fingerprint]
+	if k == nil || g.Heartbeat <= k.Heartbeat || g.Heartbeat > k.latestHeartbeat+maxHeartbeatLead {
 		return nil, false
 	}
 	k.Gauges = g.Gauges
-	return k, t.noteHeartbeat(k, g.Beat, now)
+	return k, t.noteHeartbeat(k, g.Heartbeat, now)
 }
 
-// TakeDigest records from another node's digest which members are alive, and
+// RecordDigest records from another node's digest which members are alive, and
 // returns the members that thereby came back. Beat of a member of this zone
 // stays unchanged: it belongs to the gauges, which a digest does not carry.
-func (t *Table) TakeDigest(d citronpeer.Digest, now time.Time) (back []*Known) {
-	for i, p := range d.Prints {
-		k := t.byPrint[p]
-		heartbeat := d.Beat(i)
+func (t *Table) RecordDigest(d citronpeer.Digest, now time.Time) (back []*TrackedMember) {
+	for i, p := range d.Fingerprints {
+		k := t.byFingerprint[p]
+		heartbeat := d.Heartbeat(i)
 		if k == nil || heartbeat > k.latestHeartbeat+maxHeartbeatLead {
 			continue
 		}
 		if k.Zone != t.zone {
-			k.Beat = max(k.Beat, heartbeat)
+			k.Heartbeat = max(k.Heartbeat, heartbeat)
 		}
 		if t.noteHeartbeat(k, heartbeat, now) {
 			back = append(back, k)
@@ -166,8 +166,8 @@
 // counter, from the last known counter and the minimum heartbeat interval. If
 // now were used instead, heartbeats of a dead member that travel from node to
 // node would keep it alive for another second.
-func (k *Known) heardAt(heartbeat int64, now time.Time) time.Time {
-	at := k.Heard.Add(time.Duration(heartbeat-k.latestHeartbeat) * citronpeer.BeatEvery)
+func (k *TrackedMember) heardAt(heartbeat int64, now time.Time) time.Time {
+	at := k.LastHeard.Add(time.Duration(heartbeat-k.latestHeartbeat) * citronpeer.MinHeartbeatInterval)
 	if oldest := now.Add(-maxReportAge); at.Before(oldest) {
 		return oldest
 	}
@@ -179,34 +179,34 @@
 
 // noteHeartbeat records that a member reached a heartbeat counter, and reports
 // whether the member was lost before.
-func (t *Table) noteHeartbeat(k *Known, heartbeat int64, now time.Time) bool {
+func (t *Table) noteHeartbeat(k *TrackedMember, heartbeat int64, now time.Time) bool {
 	if heartbeat <= k.latestHeartbeat {
 		return false
 	}
 	wasLost := !k.Alive
 	if !wasLost && k.Zone == t.zone {
-		t.sameZoneGap = t.sameZoneGap.with(now.Sub(k.Heard))
+		t.sameZoneGap = t.sameZoneGap.with(now.Sub(k.LastHeard))
 	}
-	k.Heard = k.heardAt(heartbeat, now)
+	k.LastHeard = k.heardAt(heartbeat, now)
 	k.latestHeartbeat, k.Alive, k.Stale, k.probed = heartbeat, true, false, false
 	return wasLost
 }
 
 // Age returns the members to probe and the members that have just become lost.
 // It removes members that have been lost for long.
-func (t *Table) Age(now time.Time) (probe, lost []*Known) {
+func (t *Table) Age(now time.Time) (probe, lost []*TrackedMember) {
 	sinceLast := now.Sub(t.agedAt)
 	if !t.agedAt.IsZero() && sinceLast > stallThreshold {
 		t.discountStall(sinceLast)
 	}
 	t.agedAt = now
 	for name, k := range t.members {
-		age, limit := now.Sub(k.Heard), t.probeAfter(k)
+		age, limit := now.Sub(k.LastHeard), t.probeAfter(k)
 		k.Stale = k.Stale || age > FreshFor
 		switch {
 		case age > forgetAfter:
 			delete(t.members, name)
-			delete(t.byPrint, k.Print)
+			delete(t.byFingerprint, k.Fingerprint)
 		case k.Alive && (k.probed && age > limit+probeTimeout || age > limit+unprobedTimeout):
 			k.Alive = false
 			lost = append(lost, k)
@@ -219,7 +219,7 @@
 }
 
 // probeAfter returns how long after a member was last heard of it is probed.
-func (t *Table) probeAfter(k *Known) time.Duration {
+func (t *Table) probeAfter(k *TrackedMember) time.Duration {
 	if k.Zone == t.zone {
 		return probeAfter
 	}
@@ -231,15 +231,15 @@
 func (t *Table) discountStall(d time.Duration) {
 	for _, k := range t.members {
 		if k.Alive {
-			k.Heard = k.Heard.Add(d)
+			k.LastHeard = k.LastHeard.Add(d)
 		}
 	}
 }
 
 // All iterates over the known members, including lost ones, in no particular
 // order.
-func (t *Table) All() iter.Seq[*Known] {
-	return func(yield func(*Known) bool) {
+func (t *Table) All() iter.Seq[*TrackedMember] {
+	return func(yield func(*TrackedMember) bool) {
 		for _, k := range t.members {
 			if !yield(k) {
 				return
@@ -254,7 +254,7 @@
 	for _, k := range t.members {
 		if k.Alive {
 			e := k.Entry
-			e.Age = max(0, now.Sub(k.Heard))
+			e.Age = max(0, now.Sub(k.LastHeard))
 			out = append(out, e)
 		}
 	}
--- a/citronroster/table_test.go
+++ b/citronroster/table_test.go
@@ -52,13 +52,13 @@
 func TestDeadMemberIsLostInTime(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
-	tb.Take(member("b", "z1", 0, 1), now, now)
+	tb.RecordMember(member("b", "z1", 0, 1), now, now)
 	probed, lost := age(tb, &now, 3*time.Second)
 	is.Equal(probed, []string{"b"})
 	is.Equal(lost, []string{"b"})
 	is.Equal(len(tb.Alive(now)), 0)
 	// It comes back: an update about it counts as one about a member that was absent.
-	_, back := tb.TakeGauge(citronpeer.Gauge{Print: citronroster.Of(member("b", "z1", 0, 1)), Gauges: citronpeer.Gauges{Beat: 50}}, now)
+	_, back := tb.RecordGauges(citronpeer.GaugeUpdate{Fingerprint: citronroster.Fingerprint(member("b", "z1", 0, 1)), Gauges: citronpeer.Gauges{Heartbeat: 50}}, now)
 	is.True(back)
 	is.Equal(len(tb.Alive(now)), 1)
 }
@@ -69,13 +69,13 @@
 	is := is.New(t)
 	now := start
 	first := citronroster.NewTable("a", "z1")
-	first.Take(member("b", "z1", 0, 1), now, now)
+	first.RecordMember(member("b", "z1", 0, 1), now, now)
 	_, lost := age(first, &now, 1900*time.Millisecond)
 	is.Equal(len(lost), 0)
 	report := citronroster.New("z1", first.Alive(now)).Diff(citronpeer.Digest{}, true)
 	is.Equal(len(report.Members), 1)
 	second := citronroster.NewTable("c", "z1")
-	second.Take(report.Members[0], now.Add(-report.Age(0)), now)
+	second.RecordMember(report.Members[0], now.Add(-report.Age(0)), now)
 	_, lost = age(second, &now, 600*time.Millisecond)
 	is.Equal(lost, []string{"b"})
 }
@@ -85,10 +85,10 @@
 func TestMemberThatAnswersProbeStays(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
-	tb.Take(member("b", "z1", 0, 1), now, now)
+	tb.RecordMember(member("b", "z1", 0, 1), now, now)
 	probed, _ := age(tb, &now, 1600*time.Millisecond)
 	is.Equal(probed, []string{"b"})
-	tb.Take(member("b", "z1", 0, 17), now, now)
+	tb.RecordMember(member("b", "z1", 0, 17), now, now)
 	_, lost := age(tb, &now, 1500*time.Millisecond)
 	is.Equal(len(lost), 0)
 }
@@ -99,7 +99,7 @@
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	for i := range 200 {
-		tb.Take(member(fmt.Sprint(i), []string{"z1", "z2"}[i%2], 0, 1), now, now)
+		tb.RecordMember(member(fmt.Sprint(i), []string{"z1", "z2"}[i%2], 0, 1), now, now)
 	}
 	_, lost := age(tb, &now, 2200*time.Millisecond+tick)
 	is.Equal(len(lost), 100)
@@ -113,7 +113,7 @@
 func TestStalledNodeLosesNoMember(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
-	tb.Take(member("b", "z1", 0, 1), now, now)
+	tb.RecordMember(member("b", "z1", 0, 1), now, now)
 	age(tb, &now, tick)
 	now = now.Add(5 * time.Second)
 	_, lost := age(tb, &now, time.Second)
@@ -129,13 +129,13 @@
 func TestSlowUpdatesDoNotKeepDeadMember(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
-	tb.Take(member("b", "z2", 0, 1), now, now)
+	tb.RecordMember(member("b", "z2", 0, 1), now, now)
 	for heartbeat := int64(10); heartbeat < 10000; heartbeat += 10 {
 		now = now.Add(400 * time.Millisecond)
 		tb.Age(now)
 		now = now.Add(400 * time.Millisecond)
 		tb.Age(now)
-		tb.TakeDigest(citronpeer.Digest{Prints: []citronpeer.Print{citronroster.Of(member("b", "z2", 0, 1))}, Beats: []int64{heartbeat}}, now)
+		tb.RecordDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(member("b", "z2", 0, 1))}, Heartbeats: []int64{heartbeat}}, now)
 	}
 	is.Equal(advertised(tb, now), []string{"b"})
 	age(tb, &now, 2200*time.Millisecond+tick)
@@ -151,9 +151,9 @@
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	b := member("b", "z1", 0, 1)
-	tb.Take(b, now, now)
+	tb.RecordMember(b, now, now)
 	age(tb, &now, time.Second)
-	tb.TakeDigest(citronpeer.Digest{Prints: []citronpeer.Print{citronroster.Of(b)}, Beats: []int64{4}}, now)
+	tb.RecordDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(b)}, Heartbeats: []int64{4}}, now)
 	_, lost := age(tb, &now, 2*time.Second)
 	is.Equal(lost, []string{"b"})
 }
@@ -163,8 +163,8 @@
 func TestMemberOfAnotherZoneIsProbedLater(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
-	tb.Take(member("near", "z1", 0, 1), now, now)
-	tb.Take(member("far", "z2", 0, 1), now, now)
+	tb.RecordMember(member("near", "z1", 0, 1), now, now)
+	tb.RecordMember(member("far", "z2", 0, 1), now, now)
 	probed, lost := age(tb, &now, 2200*time.Millisecond+tick)
 	is.Equal(probed, []string{"near"})
 	is.Equal(lost, []string{"near"})
@@ -180,11 +180,11 @@
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	b := member("b", "z2", 0, 1)
-	tb.Take(b, now, now)
+	tb.RecordMember(b, now, now)
 	for heartbeat := int64(1); heartbeat < 500; heartbeat += 2 {
 		probed, _ := age(tb, &now, 4*tick)
 		is.Equal(len(probed), 0)
-		tb.TakeDigest(citronpeer.Digest{Prints: []citronpeer.Print{citronroster.Of(b)}, Beats: []int64{heartbeat}}, now)
+		tb.RecordDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(b)}, Heartbeats: []int64{heartbeat}}, now)
 	}
 }
 
@@ -194,13 +194,13 @@
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
 	b := member("b", "z1", 0, 1)
-	tb.Take(b, now, now)
-	tb.TakeDigest(citronpeer.Digest{Prints: []citronpeer.Print{citronroster.Of(b)}, Beats: []int64{1 << 60}}, now)
-	k, _ := tb.TakeGauge(citronpeer.Gauge{Print: citronroster.Of(b), Gauges: citronpeer.Gauges{Beat: 1 << 60}}, now)
+	tb.RecordMember(b, now, now)
+	tb.RecordDigest(citronpeer.Digest{Fingerprints: []citronpeer.Fingerprint{citronroster.Fingerprint(b)}, Heartbeats: []int64{1 << 60}}, now)
+	k, _ := tb.RecordGauges(citronpeer.GaugeUpdate{Fingerprint: citronroster.Fingerprint(b), Gauges: citronpeer.Gauges{Heartbeat: 1 << 60}}, now)
 	is.True(k == nil)
-	k, _ = tb.TakeGauge(citronpeer.Gauge{Print: citronroster.Of(b), Gauges: citronpeer.Gauges{Beat: 2}}, now)
+	k, _ = tb.RecordGauges(citronpeer.GaugeUpdate{Fingerprint: citronroster.Fingerprint(b), Gauges: citronpeer.Gauges{Heartbeat: 2}}, now)
 	is.True(k != nil)
-	k, _ = tb.TakeGauge(citronpeer.Gauge{Print: 77, Gauges: citronpeer.Gauges{Beat: 2}}, now)
+	k, _ = tb.RecordGauges(citronpeer.GaugeUpdate{Fingerprint: 77, Gauges: citronpeer.Gauges{Heartbeat: 2}}, now)
 	is.True(k == nil) // unknown fingerprint
 }
 
@@ -208,27 +208,27 @@
 // older than three seconds do not count: the zone's nodes may be cut off.
 func TestMostRecentZoneTotalsCount(t *testing.T) {
 	is := is.New(t)
-	s := citronroster.NewSums("z1")
+	s := citronroster.NewZoneTotals("z1")
 	tokens := func(now time.Time) int64 {
 		total := citronroster.NewTotal()
-		for _, sum := range s.Tell(now) {
+		for _, sum := range s.Current(now) {
 			total.Add(sum.Load, sum.Sent)
 		}
 		return total.Load["z2"]
 	}
-	sum := func(ageMS, tokens int64) citronpeer.Sum {
-		return citronpeer.Sum{Zone: "z2", AgeMS: ageMS, Load: map[string]int64{"z2": tokens}}
+	sum := func(ageMS, tokens int64) citronpeer.ZoneTotals {
+		return citronpeer.ZoneTotals{Zone: "z2", AgeMS: ageMS, Load: map[string]int64{"z2": tokens}}
 	}
-	s.Take(sum(500, 1), start)
+	s.Merge(sum(500, 1), start)
 	is.Equal(tokens(start), int64(1))
-	s.Take(sum(900, 2), start) // older
+	s.Merge(sum(900, 2), start) // older
 	is.Equal(tokens(start), int64(1))
-	s.Take(sum(300, 3), start)
+	s.Merge(sum(300, 3), start)
 	is.Equal(tokens(start), int64(3))
-	s.Take(sum(-1, 4), start) // from the future
+	s.Merge(sum(-1, 4), start) // from the future
 	is.Equal(tokens(start), int64(3))
-	is.Equal(s.Tell(start.Add(time.Second))[0].AgeMS, int64(1300))
-	is.Equal(len(s.Tell(start.Add(3*time.Second))), 0)
-	s.Take(citronpeer.Sum{Zone: "z1", Load: map[string]int64{"z2": 9}}, start) // a node does not accept totals of its own zone
-	is.Equal(len(s.Tell(start)), 1)
+	is.Equal(s.Current(start.Add(time.Second))[0].AgeMS, int64(1300))
+	is.Equal(len(s.Current(start.Add(3*time.Second))), 0)
+	s.Merge(citronpeer.ZoneTotals{Zone: "z1", Load: map[string]int64{"z2": 9}}, start) // a node does not accept totals of its own zone
+	is.Equal(len(s.Current(start)), 1)
 }
--- a/citronroute/backend.go
+++ b/citronroute/backend.go
@@ -73,9 +73,9 @@
 // report in its snapshots by then.
 const leavingTTL = 2 * time.Second
 
-// SaidLeaving records that b has answered a request with the report that it
+// MarkLeaving records that b has answered a request with the report that it
 // is leaving, and keeps further requests away from b for leavingTTL.
-func (b *Backend) SaidLeaving(now time.Time) { b.reportedLeaving.Store(now.UnixNano()) }
+func (b *Backend) MarkLeaving(now time.Time) { b.reportedLeaving.Store(now.UnixNano()) }
 
 func (a *activity) isLeaving(now time.Time) bool {
 	at := a.reportedLeaving.Load()
@@ -100,10 +100,10 @@
 	return err
 }
 
-// DoPatiently runs fn as Do does, but if b freezes it calls onFrozen and
+// DoWithoutCancel runs fn as Do does, but if b freezes it calls onFrozen and
 // continues to wait. A call that must not run twice cannot be sent elsewhere,
 // and its answer is worth recording if b recovers.
-func (b *Backend) DoPatiently(clock citronclock.Clock, onFrozen func(), fn func() error) error {
+func (b *Backend) DoWithoutCancel(clock citronclock.Clock, onFrozen func(), fn func() error) error {
 	return b.track(clock, onFrozen, fn)
 }
 
--- a/citronroute/snapshot.go
+++ b/citronroute/snapshot.go
@@ -59,9 +59,9 @@
 	return c, ok
 }
 
-// Lives reports whether the snapshot lists an entry process with the given
+// HasEntry reports whether the snapshot lists an entry process with the given
 // name and incarnation.
-func (s *Snapshot) Lives(name, incarnation string) bool {
+func (s *Snapshot) HasEntry(name, incarnation string) bool {
 	return slices.ContainsFunc(s.Entries, func(e EntryAddr) bool { return e.Name == name && e.Incarnation == incarnation })
 }
 
@@ -71,7 +71,7 @@
 // engines busy without making that time longer. The entries share this number
 // evenly. Window returns fallback if no capacity is declared.
 func (s *Snapshot) Window(svc citronfleet.Service, tokenGap time.Duration, fallback int) int {
-	bound := svc.Bound()
+	bound := svc.MaxTokenRate()
 	if bound <= 0 {
 		return fallback
 	}
@@ -163,9 +163,9 @@
 	return nil
 }
 
-// Twin returns the least loaded usable engine, other than b, that holds
+// SameLayers returns the least loaded usable engine, other than b, that holds
 // exactly b's layers. It returns nil if there is none.
-func (p *Picker) Twin(svc citronfleet.Service, b *Backend) *Backend {
+func (p *Picker) SameLayers(svc citronfleet.Service, b *Backend) *Backend {
 	var best *Backend
 	for _, e := range svc.Engines {
 		if e.Name == b.Spec.Name || e.Range != b.Spec.Range {
--- a/citronsoak/return_test.go
+++ b/citronsoak/return_test.go
@@ -44,7 +44,7 @@
 // restoreStore repeatedly copies the store and restores it from that copy, until end.
 func (w *world) restoreStore(r *rand.Rand, end time.Time) {
 	for time.Now().Before(end) {
-		snapshot := w.store.Copy()
+		snapshot := w.store.Snapshot()
 		time.Sleep(time.Duration(r.Int64N(int64(maxCopyAge))))
 		w.restoreFrom(snapshot)
 	}
@@ -52,13 +52,13 @@
 
 // restoreFrom cuts all nodes off from the store, restores it from a copy, and then has
 // engines and the operator write again what the copy lacks.
-func (w *world) restoreFrom(snapshot citronkv.Copy) {
+func (w *world) restoreFrom(snapshot citronkv.Snapshot) {
 	for _, n := range w.nodes {
 		n.proxy.set(stalled)
 		n.recordLinkFault()
 	}
 	time.Sleep(outageTime)
-	w.store.Return(snapshot)
+	w.store.Restore(snapshot)
 	for _, n := range w.nodes {
 		n.proxy.set(healthy)
 		n.recordLinkFault()
--- a/citronstat/node.go
+++ b/citronstat/node.go
@@ -5,9 +5,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Node registers gauges of a node's state with r. Each gauge calls status when it
+// RegisterNode registers gauges of a node's state with r. Each gauge calls status when it
 // is collected.
-func Node(status func() citronnode.Status, r prometheus.Registerer) {
+func RegisterNode(status func() citronnode.Status, r prometheus.Registerer) {
 	gauge := func(name, help string, value func(citronnode.Status) float64) {
 		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "citrondeck_" + name, Help: help}, func() float64 { return value(status()) }))
 	}
@@ -25,10 +25,10 @@
 	gauge("engines_ready", "Engines that take new work.", func(s citronnode.Status) float64 { return float64(s.Ready) })
 	gauge("engines_leaving", "Engines that are leaving.", func(s citronnode.Status) float64 { return float64(s.Leaving) })
 	gauge("entries_unreadable", "Entries of the list that name no engine, of another writer.", func(s citronnode.Status) float64 { return float64(s.Unreadable) })
-	gauge("engines_kept", "Engines that stay in use although their entries are missing.", func(s citronnode.Status) float64 { return float64(s.Kept) })
+	gauge("engines_kept", "Engines that stay in use although their entries are missing.", func(s citronnode.Status) float64 { return float64(s.Retained) })
 	gauge("nodes_heard", "Other nodes that are heard.", func(s citronnode.Status) float64 { return float64(s.Nodes) })
 	gauge("suspects", "Requests under which engines have ended.", func(s citronnode.Status) float64 { return float64(s.Suspects) })
-	gauge("requests_barred", "Requests that are not sent to engines because they crash them.", func(s citronnode.Status) float64 { return float64(s.Barred) })
+	gauge("requests_barred", "Requests that are not sent to engines because they crash them.", func(s citronnode.Status) float64 { return float64(s.Quarantined) })
 	gauge("limited_engines", "Engines that name a rate limit.", func(s citronnode.Status) float64 { return float64(s.Limited) })
 	gauge("limits_rejected", "Messages of other nodes about rate limits of which nothing was taken.", func(s citronnode.Status) float64 { return float64(s.LimitsRejected) })
 	gauge("suspects_rejected", "Messages of other nodes about suspects of which nothing was taken.", func(s citronnode.Status) float64 { return float64(s.SuspectsRejected) })
--- a/citrontable/table.go
+++ b/citrontable/table.go
@@ -29,9 +29,9 @@
 	return [...]string{"unsafe", "safe", "streaming"}[k]
 }
 
-// Weighted is one of the services over which a route distributes its requests,
+// WeightedService is one of the services over which a route distributes its requests,
 // with its relative weight.
-type Weighted struct {
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -40,13 +40,13 @@
 type Route struct {
 	Name, Host, Prefix string
 	Kind               Kind
-	// Timeout is the maximum time that a caller waits. Target is the target
+	// Timeout is the maximum time that a caller waits. TargetLatency is the target
 	// latency: a later response, or a later first event of a stream, counts as
-	// late. MaxGap is the maximum time between two events of a stream before it
+	// late. MaxEventGap is the maximum time between two events of a stream before it
 	// counts as late.
-	Timeout, Target, MaxGap time.Duration
-	Priority                int
-	Services                []Weighted
+	Timeout, TargetLatency, MaxEventGap time.Duration
+	Priority                            int
+	Services                            []WeightedService
 	// MaxAttempts is the maximum number of runs of an idempotent request.
 	MaxAttempts int
 	// Public routes need no API key.
@@ -61,8 +61,8 @@
 	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
 
-// Pick chooses a service by weight. draw is a random number in [0, 1).
-func (r Route) Pick(draw float64) string {
+// PickService chooses a service by weight. draw is a random number in [0, 1).
+func (r Route) PickService(draw float64) string {
 	total := 0
 	for _, w := range r.Services {
 		total += w.Weight
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -56,14 +56,14 @@
 	// services.
 	Hops     citronpath.Path
 	Customer string
-	// Left is the remaining time that the engine may use.
-	Left time.Duration
-	// After is the ID of the last event that the caller has received by the time
+	// TimeLeft is the remaining time that the engine may use.
+	TimeLeft time.Duration
+	// AfterEvent is the ID of the last event that the caller has received by the time
 	// of the call, or ResumeAfter if it has received none since its request.
-	After string
-	// Once is true if the transport must not retry the call and must not reuse
+	AfterEvent string
+	// NoRetry is true if the transport must not retry the call and must not reuse
 	// a connection of an earlier call.
-	Once bool
+	NoRetry bool
 	// Urgent is true if the engine should run the call before others.
 	Urgent bool
 }
@@ -73,14 +73,14 @@
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// NotRun is true if the engine reports that it did not run the request.
-	NotRun bool
-	// Fault is the address of the accused engine: the engine on the path that the
+	// NotExecuted is true if the engine reports that it did not run the request.
+	NotExecuted bool
+	// FaultAddr is the address of the accused engine: the engine on the path that the
 	// response names as the cause of the failure.
-	Fault string
-	// Signed is true if the response carries the stamp of an engine, so that it
+	FaultAddr string
+	// FromEngine is true if the response carries the stamp of an engine, so that it
 	// was not produced by a proxy in between.
-	Signed bool
+	FromEngine bool
 	// RateLimit is the rate limit that the response declares. It is nil if
 	// nothing is known about it.
 	RateLimit RateLimit
@@ -91,8 +91,8 @@
 var (
 	// ErrNotSent reports that no byte of the request left this node.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrForeign reports that the response belongs to another request.
-	ErrForeign = errors.New("response belongs to another request")
+	// ErrWrongResponse reports that the response belongs to another request.
+	ErrWrongResponse = errors.New("response belongs to another request")
 )
 
 // Report is the state that an engine reports about itself.
@@ -102,15 +102,15 @@
 	Stalled map[string]string
 	// Slowdown is greater than 1 if the engine is slower than declared.
 	Slowdown float64
-	// Born is the engine's start time in Unix milliseconds, or zero if the
+	// StartMS is the engine's start time in Unix milliseconds, or zero if the
 	// engine does not report it.
-	Born int64
-	// Holds is the layer range that the engine holds, or nil if the engine does
+	StartMS int64
+	// Layers is the layer range that the engine holds, or nil if the engine does
 	// not report it.
-	Holds *citronmodel.Span
-	// Accepted is the number of orders that the engine has accepted since it
+	Layers *citronmodel.Span
+	// AcceptedOrders is the number of orders that the engine has accepted since it
 	// started.
-	Accepted int64
+	AcceptedOrders int64
 }
 
 // Engines sends calls and orders to engines.
@@ -121,7 +121,7 @@
 	Report(ctx context.Context, addr string) (Report, error)
 	// Repath moves the running request with this ID to another path with the
 	// same first engine, whose address is first. It returns ErrUnknownRequest
-	// or a *PartError if the engines decline the move.
+	// or a *HopError if the engines decline the move.
 	Repath(ctx context.Context, first, id string, path citronpath.Path) error
 }
 
@@ -129,9 +129,9 @@
 // does not run.
 var ErrUnknownRequest = errors.New("engine does not run this request")
 
-// PartError reports that the engine at Addr cannot take its hop of a path.
-type PartError struct{ Addr string }
+// HopError reports that the engine at Addr cannot take its hop of a path.
+type HopError struct{ Addr string }
 
-func (e *PartError) Error() string {
+func (e *HopError) Error() string {
 	return "engine cannot take its hop, no free capacity or a different layer range: " + e.Addr
 }
