--- a/design/design.go
+++ b/design/design.go
@@ -1,7 +1,6 @@
-// Package design is the goa description of citrondeck's caller API. The
-// code under gen/ is generated from it with `goa gen
-// citrondeck.dev/citrondeck/design` and committed, so the build needs no
-// generator.
+// Package design describes citrondeck's caller API for goa. The code under
+// gen/ is generated from it with `goa gen citrondeck.dev/citrondeck/design` and
+// committed, so the build needs no generator.
 package design
 
 import (
@@ -16,8 +15,8 @@
 	})
 })
 
-// Refusal is every error answer: a stable code, a message, and when to
-// come back.
+// Refusal is the body of every error response: a stable code, a message, and
+// how long to wait before a retry.
 var Refusal = Type("Refusal", func() {
 	Attribute("code", String, "Stable error code", func() {
 		Meta("struct:error:name")
@@ -52,8 +51,9 @@
 	Required("service", "customer")
 })
 
-// TokenEvent is one event of a stream. Offsets count tokens from zero
-// without gaps, so a caller can tell a whole answer from a cut one.
+// TokenEvent is one event of a stream. The offsets of tokens start at 0 and rise
+// by 1, and a done event has the number of tokens, so a caller can tell a
+// complete answer from a truncated one.
 var TokenEvent = Type("TokenEvent", func() {
 	Attribute("type", String, "token, done or failed", func() { Enum("token", "done", "failed") })
 	Attribute("offset", Int, "Position of the token; in done, how many tokens the answer has")
@@ -65,8 +65,8 @@
 	Required("type", "offset", "request_id")
 })
 
-// refusalStatuses gives each refusal its HTTP status; those that may help
-// to ask again carry Retry-After.
+// refusalStatuses sets the HTTP status of each refusal. Refusals after which a
+// retry may succeed also have a Retry-After header.
 func refusalStatuses() {
 	Response("bad_request", StatusBadRequest)
 	Response("unknown_service", StatusNotFound)
@@ -147,7 +147,7 @@
 	})
 })
 
-// EntryAddr is one entry instance a caller may use.
+// EntryAddr is the name, address and zone of one entry that a caller may use.
 var EntryAddr = Type("EntryAddr", func() {
 	Attribute("name", String)
 	Attribute("addr", String, "host:port")
