--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,5 +1,6 @@
-# Shared by the scripts here: start and stop the processes of one fleet on
-# loopback. Each role is its own process. Source it; call build once.
+# Functions that the scripts in this folder share: they start and stop the
+# processes of one fleet on loopback, one process per role. Source this file and
+# call build once.
 bin=""
 pids=()
 declare -A pid_of
@@ -18,16 +19,18 @@
   pids+=($!); pid_of[$name]=$!
 }
 
-# start_kv: the KV stand-in and instance list, ready to answer.
+# start_kv: start the KV stand-in, which also serves the instance list, and wait
+# until it answers.
 start_kv() {
   start kv kv --listen 127.0.0.1:7000 --instance-lag "${LAG:-1s}"
   until curl -sf http://127.0.0.1:7000/debug/vars >/dev/null; do sleep 0.05; done
 }
 
-# start_backends FLEET: every engine and plain upstream of the fleet text.
+# start_backends FLEET: start every engine and plain upstream of the fleet text.
 start_backends() {
   local kind name addr zone layers cap
-  # A leftover process on one of the addresses would answer in place of ours.
+  # A process left over on one of the addresses would answer instead of the one
+  # started here.
   while read -r kind name addr zone layers cap; do
     if curl -s -o /dev/null --max-time 0.2 "http://$addr/"; then echo "$addr is in use" >&2; return 1; fi
     if [ "$kind" = model ]; then
@@ -38,8 +41,8 @@
   done < <("$bin" check -f "$1" --list | sort -u -k2,2)
 }
 
-# start_entries N FLEET: entries in the fleet's zones in turn, ready once
-# discovery lists them all.
+# start_entries N FLEET: start N entries, assigned to the fleet's zones in turn,
+# and wait until the first entry lists at least N.
 start_entries() {
   local n=$1 zones i
   zones=($(grep '^zones:' "$2" | tr -d '[],' | cut -d: -f2))
@@ -49,10 +52,11 @@
   until [ "$(curl -s http://127.0.0.1:8081/v1/entries | grep -o '"addr"' | wc -l)" -ge "$n" ]; do sleep 0.05; done
 }
 
-# var PORT NAME: one number out of an entry's metrics.
+# var PORT NAME: print one number from the metrics of the entry on PORT.
 var() { curl -s "http://127.0.0.1:$1/debug/vars" | tr -d ' \n' | grep -o "\"$2\":[0-9]*" | head -1 | cut -d: -f2; }
 
-# cpu_ticks PID and rss_kb PID, from /proc.
+# cpu_ticks PID: print the CPU time used, in clock ticks. rss_kb PID: print the
+# resident memory in kB. Both read /proc.
 cpu_ticks() { awk '{print $14+$15}' "/proc/$1/stat"; }
 rss_kb() { awk '/VmRSS/{print $2}' "/proc/$1/status"; }
 
