--- a/design/design.go
+++ b/design/design.go
@@ -15,8 +15,10 @@
 	})
 })
 
-// Refusal is the body of every error response: a stable code, a message, and
-// how long to wait before a retry.
+// Refusal is the body of every error response of the services: a stable code, a
+// message, and how long to wait before a retry. Two kinds of error have another
+// body: goa answers requests that don't match this description itself, and the
+// entry answers an oversized body (too_large) with code and message only.
 var Refusal = Type("Refusal", func() {
 	Attribute("code", String, "Stable error code", func() {
 		Meta("struct:error:name")
@@ -52,8 +54,8 @@
 })
 
 // TokenEvent is one event of a stream. The offsets of tokens start at 0 and rise
-// by 1, and a done event has the number of tokens, so a caller can tell a
-// complete answer from a truncated one.
+// by 1, and the offset of a done event is the number of tokens, so a caller can
+// tell a complete answer from a truncated one.
 var TokenEvent = Type("TokenEvent", func() {
 	Attribute("type", String, "token, done or failed", func() { Enum("token", "done", "failed") })
 	Attribute("offset", Int, "Position of the token; in done, how many tokens the answer has")
