--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -42,7 +42,8 @@
 }
 
 # start_entries N FLEET: start N entries, assigned to the fleet's zones in turn,
-# and wait until the first entry lists at least N.
+# and wait until the first entry lists at least N. A discovery response has at most
+# 12 entries, so a larger N waits forever.
 start_entries() {
   local n=$1 zones i
   zones=($(grep '^zones:' "$2" | tr -d '[],' | cut -d: -f2))
