--- a/citronforward/admit.go
+++ b/citronforward/admit.go
@@ -8,7 +8,7 @@
 // is completed overall. A stream that finds no path with free capacity therefore waits
 // briefly, since streams end all the time. If no capacity becomes free, it is refused
 // with a delay after which capacity is likely to be free. Streams that have begun are
-// always admitted, because the client already has part of the response.
+// always admitted, because the caller already has part of the response.
 
 import (
 	"context"
@@ -28,17 +28,17 @@
 	capacityWaitShare = 0.12
 	// capacityPollInterval is how often a waiting stream checks for free capacity.
 	capacityPollInterval = 20 * time.Millisecond
-	// minRetryShare and maxRetryShare bound the retry delay given to a refused client,
-	// as a share of the time that it has left. Clients wait for a third of that time at
-	// most. Full caches take some seconds to drain, and a client that retries sooner is
+	// minRetryShare and maxRetryShare bound the retry delay given to a refused caller,
+	// as a share of the time that it has left. Callers wait for a third of that time at
+	// most. Full caches take some seconds to drain, and a caller that retries sooner is
 	// likely to be refused a second time and to give up.
 	minRetryShare = 0.15
 	maxRetryShare = 0.32
 )
 
-// spreadRetryAfter returns the retry delay for a refused client that has the given time
-// left. drawn is a random number from 0 to 1, a new one for each client, so that
-// clients refused together do not return together.
+// spreadRetryAfter returns the retry delay for a refused caller that has the given time
+// left. drawn is a random number from 0 to 1, a new one for each caller, so that
+// callers refused together do not return together.
 func spreadRetryAfter(left time.Duration, drawn float64) time.Duration {
 	share := minRetryShare + (maxRetryShare-minRetryShare)*drawn
 	return time.Duration(share * float64(max(0, left)))
--- a/citronforward/admit_test.go
+++ b/citronforward/admit_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// refusedAgain simulates clients that are refused during a surge and returns how many
+// refusedAgain simulates callers that are refused during a surge and returns how many
 // of them retry before it ends.
 func refusedAgain(surge time.Duration, after func(drawn float64) time.Duration) int {
 	const callers = 100_000
@@ -22,7 +22,7 @@
 	return n
 }
 
-// Guards against refusing clients twice, after which they give up: caches stay full for
+// Guards against refusing callers twice, after which they give up: caches stay full for
 // as long as most streams last.
 func TestRefusedCallersReturnAfterTheSurge(t *testing.T) {
 	is := is.New(t)
@@ -35,7 +35,7 @@
 	is.True(late < early/2)
 }
 
-// Guards against a retry delay that is longer than clients wait, and against clients
+// Guards against a retry delay that is longer than callers wait, and against callers
 // that all retry at the same moment.
 func TestTimeToReturnIsSpreadOverWhatCallersWait(t *testing.T) {
 	is := is.New(t)
--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -2,7 +2,7 @@
 
 // Requests that crash engines.
 //
-// A client may send a request that crashes every engine that begins to run it, and may
+// A caller may send a request that crashes every engine that begins to run it, and may
 // send it again to any node. Retried from engine to engine, such a request stops the
 // engines of one zone after the other. Each engine whose process ends shortly after it
 // began a run is therefore recorded under the request's fingerprint and shared with all
@@ -36,8 +36,8 @@
 const reasonQuarantined = "engines ended under this request"
 
 // checkQuarantine reports whether the request may run, and refuses it if not. A refused
-// request has not run under this ID and can be sent again once the quarantine ends. The
-// caller must call end when the request is finished.
+// request has not run under this ID and can be sent again once the quarantine ends. end
+// must be called when the request is finished.
 func (j *job) checkQuarantine() (end func(), ok bool) {
 	end = func() {}
 	if j.f.Quarantine.Empty() {
--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -64,7 +64,7 @@
 }
 
 // Guards against a quarantined request that still reaches engines, waits for its
-// response, or whose client is told to retry soon.
+// response, or whose caller is told to retry soon.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, fourEngines()...)
@@ -84,7 +84,7 @@
 }
 
 // Guards against missing the crashes of a request that is not idempotent: it runs once
-// per ID, and its client sends it again under new IDs.
+// per ID, and its caller sends it again under new IDs.
 func TestCrashesOfAnUnsafeRequestAreCounted(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, plain("p1", "a"), plain("p2", "a"), plain("p3", "a"), plain("p4", "a"))
--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -1,11 +1,11 @@
-// Package citronforward forwards client requests to engines and returns the
+// Package citronforward forwards callers' requests to engines and returns the
 // final response. It selects the engine or path, sends the request, classifies
 // the result, and retries where a retry is allowed and useful.
 //
 // The life of a request:
 //
-//	route and key -> engine or path -> send -> unary response  -> client
-//	                      ^               |-> stream of events -> client
+//	route and key -> engine or path -> send -> unary response  -> caller
+//	                      ^               |-> stream of events -> caller
 //	                      |               |                |
 //	                      +-- did not run-+   hop failed---+ (repair.go)
 //
@@ -38,18 +38,18 @@
 	"citrondeck.dev/citrondeck/citronupstream"
 )
 
-// Sink writes the response to the client.
+// Sink writes the response to the caller.
 type Sink interface {
 	// Answer sends a complete unary response with the engine's status and header.
 	Answer(status int, header http.Header, body []byte)
 	// Refuse sends an error response that this node generated. A retryAfter of zero or
-	// more tells the client when to retry; a negative value omits it.
+	// more tells the caller when to retry; a negative value omits it.
 	Refuse(status int, retryAfter time.Duration, reason string)
 	// Begin starts a stream.
 	Begin(status int, header http.Header)
 	// Event sends one complete event.
 	Event([]byte) error
-	// Abort terminates a stream in a way that the client cannot mistake for a complete
+	// Abort terminates a stream in a way that the caller cannot mistake for a complete
 	// one.
 	Abort()
 }
@@ -144,7 +144,7 @@
 	// cacheUsage is the cache usage of the fullest engine on the best path, set if the
 	// request is refused because of it.
 	cacheUsage float64
-	// retryAfter is the delay that a refusal tells the client to wait before it
+	// retryAfter is the delay that a refusal tells the caller to wait before it
 	// retries.
 	retryAfter time.Duration
 	// permits tracks the permits requested from engines that have a rate limit.
@@ -155,7 +155,7 @@
 	cachedFingerprint *citronquarantine.Fingerprint
 }
 
-// fingerprint returns the fingerprint that identifies the request when the client sends
+// fingerprint returns the fingerprint that identifies the request when the caller sends
 // it again. It is computed on first use, because most requests never need it.
 func (j *job) fingerprint() citronquarantine.Fingerprint {
 	if j.cachedFingerprint == nil {
@@ -180,7 +180,7 @@
 	refusalsUsed retryLimit = "refusals"
 )
 
-// Delays after which a client is told to retry when no engine can run its request now,
+// Delays after which a caller is told to retry when no engine can run its request now,
 // and related bounds.
 const (
 	// retryNoState applies while a node that has just started has no configuration.
@@ -191,9 +191,9 @@
 	retryBusy = 400 * time.Millisecond
 	// maxRefused is the number of engines that may refuse a request before the node
 	// gives up. Beyond it the engines are assumed to be full, and further attempts cost
-	// the client time that it could use elsewhere.
+	// the caller time that it could use elsewhere.
 	maxRefused = 4
-	// answerMargin is reserved so that the final response reaches the client before its
+	// answerMargin is reserved so that the final response reaches the caller before its
 	// deadline.
 	answerMargin = 15 * time.Millisecond
 	// defaultWait is the time limit of requests that state none.
@@ -237,16 +237,16 @@
 	// Since is the time since the shutdown began; Left is how long the node will still
 	// serve.
 	Since, Left time.Duration
-	// OtherNodeServing reports whether another node accepts client requests.
+	// OtherNodeServing reports whether another node accepts callers' requests.
 	OtherNodeServing bool
 }
 
 const (
-	// stopAccept is how long a stopping node still accepts all streams. Clients keep
+	// stopAccept is how long a stopping node still accepts all streams. Callers keep
 	// using its address for a while and have only one other attempt.
 	stopAccept = 2500 * time.Millisecond
-	// stopAcceptAlone replaces stopAccept while no other node accepts clients, for
-	// example when all nodes are restarted faster than they can drain. A client can
+	// stopAcceptAlone replaces stopAccept while no other node accepts callers, for
+	// example when all nodes are restarted faster than they can drain. A caller can
 	// resume a stream that outlasts the node, but a stream that every node refuses is
 	// lost.
 	stopAcceptAlone = 2800 * time.Millisecond
@@ -320,7 +320,7 @@
 	return j, true
 }
 
-// refuse sends a refusal to the client, and counts and logs it. A negative after sends
+// refuse sends a refusal to the caller, and counts and logs it. A negative after sends
 // no retry delay; more holds further keys and values for the log line.
 func (f *Forwarder) refuse(r *citronupstream.Request, out Sink, status int, after time.Duration, reason string, more ...any) {
 	f.Metrics.Refusals.WithLabelValues(reason).Inc()
--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -7,7 +7,7 @@
 // request sent to it requires a permit first (citronpermit): a first attempt, a retry,
 // and a stream that is resumed on or moved to that engine. A request that is denied a
 // permit goes to another engine at once. If there is no other engine, it waits for a
-// permit for part of the time that the client has left, or is refused.
+// permit for part of the time that the caller has left, or is refused.
 
 import (
 	"context"
@@ -26,11 +26,11 @@
 
 const (
 	reasonLimited = "upstreams' rate limits are used up"
-	// maxPermitWaitShare is the share of the client's remaining time that a request may
+	// maxPermitWaitShare is the share of the caller's remaining time that a request may
 	// spend waiting for a permit.
 	maxPermitWaitShare = 0.5
 	// maxPermitWaitTargets bounds how long a stream may wait for a permit, in multiples
-	// of its target time to the first event. Clients leave a stream that sends nothing
+	// of its target time to the first event. Callers leave a stream that sends nothing
 	// for a few of these, and the prompt has to be read in the remaining time.
 	maxPermitWaitTargets = 2
 	// maxDenials is the number of denied permits after which a request uses only
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -75,7 +75,7 @@
 			is.True(c.retryAfter > busy.AvailableIn-time.Second) // part of the delay has passed
 			is.True(route != "stream" || len(asked["m1"]) == 2)  // the second permit request may wait
 			for _, maxWait := range asked["m1"] {
-				is.True(maxWait <= 200*time.Millisecond) // clients leave a stalled stream
+				is.True(maxWait <= 200*time.Millisecond) // callers leave a stalled stream
 			}
 			is.True(time.Since(from) < 300*time.Millisecond)
 			is.Equal(len(r.engines.seen()), 0)
--- a/citronforward/list_test.go
+++ b/citronforward/list_test.go
@@ -20,7 +20,7 @@
 
 // Guards against a retry that uses an outdated engine list. The list changes while a
 // request fails at its first engine: of the two other engines, the preferred one begins
-// to leave. The third engine must serve the client, and the log must name the list that
+// to leave. The third engine must serve the caller, and the log must name the list that
 // each engine was selected from.
 func TestRetryUsesTheActiveList(t *testing.T) {
 	is := is.New(t)
--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -72,7 +72,7 @@
 	return append([]sent(nil), f.calls...)
 }
 
-// caller records the response that the client gets.
+// caller is a Sink that records the response to one request.
 type caller struct {
 	status     int
 	retryAfter time.Duration
@@ -141,7 +141,7 @@
 	return r
 }
 
-// ask sends a request to a route and returns what the client got.
+// ask sends a request to a route and returns what the caller got.
 func (r *rig) ask(route string, wait time.Duration, change ...func(*citronupstream.Request)) *caller {
 	req := &citronupstream.Request{
 		ID: "r1", Method: "POST", Host: "h", Path: "/" + route + "/x", Target: "/" + route + "/x", Header: http.Header{},
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -94,7 +94,7 @@
 			continue
 		}
 		// Count the run before anything else: once a call may have run, no exit from
-		// this loop may tell the client that the request did not run.
+		// this loop may tell the caller that the request did not run.
 		j.runs++
 		switch {
 		case res.outcome == failed:
@@ -165,7 +165,7 @@
 		citronprobe.RecordDead(e, err, j.f.Clock.Now())
 		return result{outcome: notRun, err: err}
 	case errors.Is(err, context.Canceled):
-		return result{outcome: unknown, err: err} // the client canceled the request
+		return result{outcome: unknown, err: err} // the caller canceled the request
 	default:
 		e.RecordFailure(j.f.Clock.Now())
 		return result{outcome: unknown, err: err}
--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -14,9 +14,9 @@
 
 var errReset = errors.New("connection reset")
 
-// Guards against telling the client that a request did not run when it may have run. An
+// Guards against telling the caller that a request did not run when it may have run. An
 // engine accepts a request and never answers. If the response at the deadline said that the
-// request had not run, the client would send it again and it would be executed twice.
+// request had not run, the caller would send it again and it would be executed twice.
 func TestAnswerLostUntilDeadlineIsNeverNotRun(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, plain("e1", "a"), plain("e2", "b"))
@@ -26,11 +26,11 @@
 	}
 	got := r.ask("unsafe", 150*time.Millisecond)
 	is.Equal(got.status, http.StatusGatewayTimeout)
-	is.True(got.retryAfter < 0) // the client is not invited to retry
+	is.True(got.retryAfter < 0) // the caller is not invited to retry
 	is.Equal(len(r.engines.seen()), 1)
 }
 
-// Guards against telling the client that a stream did not run when its engines accepted
+// Guards against telling the caller that a stream did not run when its engines accepted
 // it and sent nothing until the deadline.
 func TestSilentStreamAtDeadlineIsNeverNotRun(t *testing.T) {
 	is := is.New(t)
@@ -44,7 +44,7 @@
 
 // TestRetriesByKindAndOutcome covers what is retried for each kind of request and each
 // outcome of the first call. A row gives the first engine's response, the number of
-// engines that see the request, and the status that the client gets.
+// engines that see the request, and the status that the caller gets.
 func TestRetriesByKindAndOutcome(t *testing.T) {
 	lost := func() (*citronupstream.Reply, error) { return nil, errReset }
 	notSent := func() (*citronupstream.Reply, error) { return nil, errors.Mark(errReset, citronupstream.ErrNotSent) }
@@ -107,7 +107,7 @@
 }
 
 // Guards against holding a request until its deadline if there is no engine: it did not
-// run, so the client is told at once when to retry.
+// run, so the caller is told at once when to retry.
 func TestNoEngineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
@@ -159,7 +159,7 @@
 }
 
 // Guards against a node without a configuration that reports a route or key as unknown:
-// clients would give up permanently.
+// callers would give up permanently.
 func TestNoConfigurationIsNeverNotFound(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
