--- a/citronlist/lapse.go
+++ b/citronlist/lapse.go
@@ -22,7 +22,7 @@
 	// defaultDrain applies if the settings give no DrainWithin.
 	defaultDrain = 2 * time.Second
 	// unprovenRetainShare is the fraction of DrainWithin for which engines stay in use
-	// after a mass removal without proof of an outage, but at most for LapseGrace. Half
+	// after a mass removal without proof of an outage, but at most for ExpiryGrace. Half
 	// of a fleet may really leave at once; the rest of DrainWithin is for the update to
 	// reach all nodes and for requests in flight.
 	unprovenRetainShare = 0.6
--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -72,7 +72,7 @@
 	// are logged only then; otherwise every node would log the same changes again.
 	fromStore bool
 	// outage is true if the store is unreachable for all nodes, or was within the last
-	// LapseGrace.
+	// ExpiryGrace.
 	outage bool
 	// removalTimes are the times of the latest removals. reason says why engines with
 	// missing entries stay in use, and retained is the number of such engines.
--- a/citronnode/node_test.go
+++ b/citronnode/node_test.go
@@ -135,7 +135,7 @@
 // Nothing proves a store outage, but the engines are healthy: callers must not be
 // rejected because the list is empty. The engines are retained for three fifths of
 // DrainWithin, after which a leaving engine must get no new work, but at most for
-// LapseGrace. Here that is 2.5 s, because three fifths of five seconds are longer.
+// ExpiryGrace. Here that is 2.5 s, because three fifths of five seconds are longer.
 func TestEnginesStayInUseWhenEntriesExpireTogether(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -143,7 +143,7 @@
 }
 
 // RecordDigest records from another node's digest which members are alive, and
-// returns the members that thereby came back. Beat of a member of this zone
+// returns the members that thereby came back. Heartbeat of a member of this zone
 // stays unchanged: it belongs to the gauges, which a digest does not carry.
 func (t *Table) RecordDigest(d citronpeer.Digest, now time.Time) (back []*TrackedMember) {
 	for i, p := range d.Fingerprints {
