--- a/citronengine/client.go
+++ b/citronengine/client.go
@@ -75,7 +75,7 @@
 type Status struct {
 	From, To int
 	Leaving  bool
-	// Waiting is the number of queued steps, with the delay of Settings.LoadLag.
+	// Waiting is the number of queued steps at an earlier time, see Settings.LoadLag.
 	Waiting int
 }
 
@@ -90,8 +90,8 @@
 }
 
 // MoveCache exports the KV cache of a request from the engine of c and imports it into the
-// engine of to, under the given attempt number. The engine of c keeps its copy. Move
-// returns the next position of the request.
+// engine of to, under the given attempt number. The engine of c keeps its copy.
+// MoveCache returns the next position of the request.
 func (c *Client) MoveCache(ctx context.Context, to *Client, request string, attempt int) (int, error) {
 	st, err := c.exportCache.Call(ctx, &sequenceRequest{Request: request})
 	if err != nil {
--- a/citronengine/engine.go
+++ b/citronengine/engine.go
@@ -34,7 +34,8 @@
 	// PrefixSlots is the maximum number of cached prompt prefixes.
 	PrefixSlots int
 	Fence       FenceMode
-	// LoadLag is the age of the load that Status reports.
+	// LoadLag is the minimum age of the load that Status reports. The load is sampled
+	// with each status request, so it may be older.
 	LoadLag time.Duration
 }
 
@@ -131,7 +132,7 @@
 		e.Rejected.Add(1)
 		return 0, citronwire.LeavingError(e.settings.Name)
 	case r.Pos > 0 && r.Prefill == 0 && (!ok || held.next != r.Pos):
-		return 0, citronwire.Errorf(connect.CodeFailedPrecondition, "engine %s: kv cache lacks %s before position %d", e.settings.Name, r.Request, r.Pos)
+		return 0, citronwire.Errorf(connect.CodeFailedPrecondition, "engine %s: position %d does not follow the kv cache of %s", e.settings.Name, r.Pos, r.Request)
 	}
 	cost := 1 + r.Prefill
 	if r.Prompt != "" {
@@ -190,7 +191,7 @@
 // importCache stores a KV cache exported by an engine with the same layer range.
 func (e *Engine) importCache(_ context.Context, r *sequenceState) (*sequenceState, error) {
 	if r.From != e.settings.From || r.To != e.settings.To {
-		return nil, citronwire.Errorf(connect.CodeInvalidArgument, "engine %s holds [%d,%d), the kv cache is of [%d,%d)", e.settings.Name, e.settings.From, e.settings.To, r.From, r.To)
+		return nil, citronwire.Errorf(connect.CodeInvalidArgument, "engine %s holds layers [%d,%d), the kv cache is of layers [%d,%d)", e.settings.Name, e.settings.From, e.settings.To, r.From, r.To)
 	}
 	if e.leaving.Load() {
 		return nil, citronwire.LeavingError(e.settings.Name)
@@ -213,7 +214,7 @@
 	if r.Fence < e.fence {
 		e.StaleOrders.Add(1)
 		if e.settings.Fence == FenceRefuse {
-			return nil, citronwire.Errorf(connect.CodeFailedPrecondition, "engine %s: fence %d is older than %d", e.settings.Name, r.Fence, e.fence)
+			return nil, citronwire.Errorf(connect.CodeFailedPrecondition, "engine %s: fencing number %d of the order is lower than %d, the highest one seen", e.settings.Name, r.Fence, e.fence)
 		}
 	}
 	e.fence = max(e.fence, r.Fence)
--- a/citronengine/prefix.go
+++ b/citronengine/prefix.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// at returns the load at the time lag before now, or zero if no sample is that old.
+// at returns the newest sample that is at least lag old, or zero if there is none.
 func (l *laggedLoad) at(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/citronengine/wire.go
+++ b/citronengine/wire.go
@@ -53,7 +53,7 @@
 const (
 	ActionLoad   = "load"   // load the target: a model, adapter or version
 	ActionUnload = "unload" // unload the target
-	ActionLeave  = "leave"  // change role: accept no new requests
+	ActionLeave  = "leave"  // accept no new requests
 )
 
 type orderRequest struct {
@@ -72,7 +72,7 @@
 	From    int  `json:"from"`
 	To      int  `json:"to"`
 	Leaving bool `json:"leaving"`
-	// Waiting is the number of steps that were queued LoadLag ago.
+	// Waiting is the number of queued steps at an earlier time, see Settings.LoadLag.
 	Waiting int `json:"waiting"`
 }
 
