--- a/citronledger/ledger.go
+++ b/citronledger/ledger.go
@@ -82,8 +82,8 @@
 	KV    citronkv.Store
 	Clock citronclock.Clock
 	Log   *slog.Logger
-	// OnWrite is called before each write and OnReadBack before each read-back
-	// of a claim; they update the metrics.
+	// OnWrite is called before each write, OnReadBack before Claim reads back a
+	// key because the reply to its create was lost. They update the metrics.
 	OnWrite, OnReadBack func()
 
 	breaker breaker
@@ -144,8 +144,8 @@
 //
 // While the KV service does not answer, Claim returns ErrUnavailable at once, except
 // for one trial claim at a time, which detects that the service is back. A
-// trial starts at the earliest retryInitialDelay after the last claim has
-// failed. Without the breaker each request would wait for the timeouts of its
+// trial starts no sooner than retryInitialDelay after the last failed claim.
+// Without the breaker each request would wait for the timeouts of its
 // claim and its read-back, only to fail with the same error.
 func (l *Ledger) Claim(ctx context.Context, service, customer, idempotencyKey string, rec Record) (Claim, error) {
 	if !l.breaker.allow(l.Clock.Now()) {
@@ -201,9 +201,9 @@
 		return Claim{Key: k, Owned: true, Revision: it.Revision}, nil
 	}
 	if it.Revision.IsZero() {
-		// The key does not exist, so the create has not taken effect. A
-		// delayed write may still take effect later; the key is then
-		// "started", and its request does not run.
+		// The key does not exist, so the create has not taken effect. It may
+		// still do so later if its reply was lost. Its request does not run
+		// even then, and undoClaim deletes the key.
 		return Claim{}, errors.Mark(errors.New("read back idempotency key: the key does not exist, its create has not taken effect"), ErrUnavailable)
 	}
 	var rec Record
