--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -8,27 +8,30 @@
 )
 
 const (
-	// probeAfter is how long after a member was last heard of this node probes
-	// it. Updates about a member are second-hand reports and old when they
-	// arrive: with a longer limit, callers were sent to nodes that had stopped
-	// long before.
+	// probeAfter is the time since a member was last heard of after which this
+	// node probes it. Updates about a member are second-hand reports and old when
+	// they arrive: with a longer limit, callers were sent to nodes that had
+	// stopped long before.
 	probeAfter = 1500 * time.Millisecond
 	// remoteProbeAfter is the same for a member of another zone. Callers of this
 	// zone are hardly ever sent there, and second-hand reports from there are
 	// older.
 	remoteProbeAfter = 3 * time.Second
-	// FreshFor is the time since a member was last heard of within which callers
-	// may be sent to it.
+	// FreshFor is how long callers may be sent to a member after it was last
+	// heard of.
 	FreshFor = probeAfter + probeTimeout
-	// probeTimeout is how long after probeAfter or remoteProbeAfter a probed
-	// member that does not answer is lost.
+	// probeTimeout is the time that a probed member has to answer: it is considered
+	// lost when it has not been heard of for probeAfter (or remoteProbeAfter) plus
+	// probeTimeout.
 	probeTimeout = 500 * time.Millisecond
-	// unprobedTimeout is the same for a member that was not probed: a node that
-	// is cut off from a whole zone has more members to probe than it can.
+	// unprobedTimeout takes the place of probeTimeout for a member that was not
+	// probed: a node that is cut off from a whole zone has more members to probe
+	// than it can probe in time.
 	unprobedTimeout = 700 * time.Millisecond
-	// maxReportAge is the maximum age that is assumed for a heartbeat in a
-	// second-hand report: a healthy member that is short of processor time sends
-	// its heartbeats late.
+	// maxReportAge is the upper limit of the age that heardAt estimates for a
+	// heartbeat in a second-hand report. The heartbeats of a healthy member that
+	// is short of processor time are further apart than MinHeartbeatInterval, so
+	// that the estimate would be too high.
 	maxReportAge = probeAfter / 2
 	// maxHeartbeatLead is how far a heartbeat counter may be ahead of the last
 	// known one. A counter further ahead cannot be the member's own, and would
@@ -36,8 +39,8 @@
 	maxHeartbeatLead = 1000
 	// gapWeight is the weight of one interval in the running mean.
 	gapWeight = 0.01
-	// forgetAfter is how long after it was last heard of a member is removed
-	// from the table.
+	// forgetAfter is the time since a member was last heard of after which it is
+	// removed from the table.
 	forgetAfter = 20 * time.Second
 	// maxProbesPerAging is the number of members probed in one call of Age.
 	maxProbesPerAging = 8
@@ -51,8 +54,8 @@
 type TrackedMember struct {
 	Entry
 	LastHeard time.Time
-	// latestHeartbeat is the latest known heartbeat counter. Within a zone the gauges
-	// may be older.
+	// latestHeartbeat is the latest known heartbeat counter. For a member of this
+	// zone, Heartbeat may be lower: it belongs to the gauges (see RecordDigest).
 	latestHeartbeat int64
 	// Alive reports that the member is not lost. Stale reports that it has not
 	// been heard of for longer than FreshFor, so that its last known state may
@@ -100,13 +103,13 @@
 	return &Table{self: self, zone: zone, members: map[string]*TrackedMember{}, byFingerprint: map[citronpeer.Fingerprint]*TrackedMember{}}
 }
 
-// RecordMember records a full member from a node that last heard of it at heard. It
-// reports whether the state was new, and whether the member thereby joined,
-// came back, or changed its Ready or Leaving state.
+// RecordMember records a full member, received from a node that last heard of it
+// at the time heard. It reports whether the state was new, and whether the member
+// thereby joined, came back, or changed its Ready or Leaving state.
 //
-// A member that is new to this node is not counted as heard of just now.
-// Otherwise nodes that start one after the other would keep a dead member alive
-// for each other.
+// A member that is new to this node, or was lost, counts as last heard of at the
+// time heard, not now. Otherwise nodes that start one after the other would keep
+// a dead member alive for each other.
 func (t *Table) RecordMember(m citronpeer.Member, heard, now time.Time) (isNew, changed bool) {
 	if m.Name == "" || m.Name == t.self {
 		return false, false
@@ -132,7 +135,8 @@
 
 // RecordGauges records new gauges of a member whose details are known. It returns
 // the member, and whether the member thereby came back. It returns nil if the
-// gauges are not new or the member is unknown.
+// member is unknown, or if the gauges are not new or their heartbeat counter is
+// too far ahead (maxHeartbeatLead).
 func (t *Table) RecordGauges(g citronpeer.GaugeUpdate, now time.Time) (of *TrackedMember, back bool) {
 	k := t.byFingerprint[g.Fingerprint]
 	if k == nil || g.Heartbeat <= k.Heartbeat || g.Heartbeat > k.latestHeartbeat+maxHeartbeatLead {
@@ -193,7 +197,7 @@
 }
 
 // Age returns the members to probe and the members that have just become lost.
-// It removes members that have been lost for long.
+// It removes members that have not been heard of for longer than forgetAfter.
 func (t *Table) Age(now time.Time) (probe, lost []*TrackedMember) {
 	sinceLast := now.Sub(t.agedAt)
 	if !t.agedAt.IsZero() && sinceLast > stallThreshold {
--- a/citronroster/table_test.go
+++ b/citronroster/table_test.go
@@ -57,7 +57,7 @@
 	is.Equal(probed, []string{"b"})
 	is.Equal(lost, []string{"b"})
 	is.Equal(len(tb.Alive(now)), 0)
-	// It comes back: an update about it counts as one about a member that was absent.
+	// A later heartbeat brings the member back, and RecordGauges reports it.
 	_, back := tb.RecordGauges(citronpeer.GaugeUpdate{Fingerprint: citronroster.Fingerprint(member("b", "z1", 0, 1)), Gauges: citronpeer.Gauges{Heartbeat: 50}}, now)
 	is.True(back)
 	is.Equal(len(tb.Alive(now)), 1)
