--- a/design/design.go
+++ b/design/design.go
@@ -15,10 +15,10 @@
 	})
 })
 
-// Refusal is the body of every error response of the services: a stable code, a
-// message, and how long to wait before a retry. Two kinds of error have another
-// body: goa answers requests that don't match this description itself, and the
-// entry answers an oversized body (too_large) with code and message only.
+// Refusal is the body of error responses: a stable code, a message, and how long
+// to wait before a retry. There are two exceptions. A request that does not match
+// this API description gets goa's own error body. A request whose declared length
+// is over the limit gets a body with only the code too_large and a message.
 var Refusal = Type("Refusal", func() {
 	Attribute("code", String, "Stable error code", func() {
 		Meta("struct:error:name")
