--- a/citronpath/path_test.go
+++ b/citronpath/path_test.go
@@ -174,8 +174,8 @@
 // When a zone loses one of its replicas at peak load, the engines that hold the
 // same layers get its streams too. They have cache for a hundred requests but run
 // only eight at once. They refuse the excess, which costs a retry or fails the
-// request although another zone has free slots. So request slots limit an
-// engine's capacity as well as its cache does.
+// request although another zone has free slots. An engine's capacity is
+// therefore limited by its request slots too, not only by its cache.
 func TestSlotsLimitEngineCapacity(t *testing.T) {
 	is := is.New(t)
 	es := view(engine("a1", "a", "fast", 0, 8), engine("b1", "b", "fast", 0, 8))
