--- a/citronwire/wire.go
+++ b/citronwire/wire.go
@@ -82,18 +82,18 @@
 
 // Unary is a typed client for one procedure at one peer.
 type Unary[Req, Res any] struct {
-	client *connect.Client[Req, Res]
-	peer   string
-	step   string // the procedure, as errors name it
+	client    *connect.Client[Req, Res]
+	peer      string
+	procedure string
 }
 
 // NewUnary returns a client for procedure at the base URL, such as
 // http://127.0.0.1:7000.
 func NewUnary[Req, Res any](hc connect.HTTPClient, base, procedure string, opts ...connect.ClientOption) *Unary[Req, Res] {
 	return &Unary[Req, Res]{
-		client: connect.NewClient[Req, Res](hc, base+procedure, append([]connect.ClientOption{JSON()}, opts...)...),
-		peer:   base,
-		step:   procedure,
+		client:    connect.NewClient[Req, Res](hc, base+procedure, append([]connect.ClientOption{JSON()}, opts...)...),
+		peer:      base,
+		procedure: procedure,
 	}
 }
 
@@ -102,18 +102,18 @@
 func (u *Unary[Req, Res]) Call(ctx context.Context, req *Req) (*Res, error) {
 	res, err := u.client.CallUnary(ctx, connect.NewRequest(req))
 	if err != nil {
-		return nil, Wrap(err, u.step, u.peer)
+		return nil, Wrap(err, u.procedure, u.peer)
 	}
 	return res.Msg, nil
 }
 
-// Wrap adds the step and the peer to the message of err. connect.CodeOf still
+// Wrap adds the procedure and the peer to the message of err. connect.CodeOf still
 // returns the code of err.
-func Wrap(err error, step, peer string) error {
+func Wrap(err error, procedure, peer string) error {
 	if err == nil {
 		return nil
 	}
-	return errors.Wrapf(err, "%s at %s", step, peer)
+	return errors.Wrapf(err, "%s at %s", procedure, peer)
 }
 
 // Code returns the connect code of err, or connect.CodeUnknown if it has none.
