--- a/citronpath/path.go
+++ b/citronpath/path.go
@@ -220,7 +220,7 @@
 // zone it keeps the cheapest partial path that ends there.
 func search(engines []candidate, boundaries []int, zones int, q Query) (Path, bool) {
 	partials := []partialPath{{prev: -1}}
-	best := make([]int, len(boundaries)*zones) // index in partials plus one, 0 if there is none
+	best := make([]int, len(boundaries)*zones) // ordinals in partials: index plus one, 0 if there is none
 	best[0] = 1
 	holders := make([]int, 0, len(engines))
 	for at, pos := range boundaries[:len(boundaries)-1] {
@@ -230,14 +230,14 @@
 				holders = append(holders, i)
 			}
 		}
-		for zone, si := range best[at*zones : (at+1)*zones] {
-			if si == 0 {
+		for zone, ordinal := range best[at*zones : (at+1)*zones] {
+			if ordinal == 0 {
 				continue
 			}
-			s := partials[si-1]
+			partial := partials[ordinal-1]
 			for _, i := range holders {
 				e := &engines[i]
-				base := s.cost + hopCost + q.transferCost(pos, zone, e)
+				base := partial.cost + hopCost + q.transferCost(pos, zone, e)
 				for next := at + 1; next <= e.endIndex; next++ {
 					span := citronmodel.Span{From: pos, To: boundaries[next]}
 					c := base + e.layerCost*float64(span.Len()) + q.prefillCost(e.Engine, span)
@@ -245,16 +245,16 @@
 					if *known > 0 && partials[*known-1].cost <= c {
 						continue
 					}
-					partials = append(partials, partialPath{cost: c, prev: si - 1, hop: Hop{e.Engine, span}})
+					partials = append(partials, partialPath{cost: c, prev: ordinal - 1, hop: Hop{e.Engine, span}})
 					*known = len(partials)
 				}
 			}
 		}
 	}
 	last := -1
-	for _, si := range best[(len(boundaries)-1)*zones:] {
-		if si > 0 && (last < 0 || partials[si-1].cost < partials[last].cost) {
-			last = si - 1
+	for _, ordinal := range best[(len(boundaries)-1)*zones:] {
+		if ordinal > 0 && (last < 0 || partials[ordinal-1].cost < partials[last].cost) {
+			last = ordinal - 1
 		}
 	}
 	if last < 0 || math.IsInf(partials[last].cost, 1) {
