--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -137,7 +137,7 @@
 // the member, and whether the member thereby came back. It returns nil if the
 // member is unknown, or if the gauges are not new or their heartbeat counter is
 // too far ahead (maxHeartbeatLead).
-func (t *Table) RecordGauges(g citronpeer.GaugeUpdate, now time.Time) (of *TrackedMember, back bool) {
+func (t *Table) RecordGauges(g citronpeer.GaugeUpdate, now time.Time) (member *TrackedMember, back bool) {
 	k := t.byFingerprint[g.Fingerprint]
 	if k == nil || g.Heartbeat <= k.Heartbeat || g.Heartbeat > k.latestHeartbeat+maxHeartbeatLead {
 		return nil, false
