--- a/citronexplain/explain.go
+++ b/citronexplain/explain.go
@@ -2,10 +2,10 @@
 // happened to one request, one engine or one version of the configuration;
 // Losses counts the requests that were not served in time, by cause.
 //
-// A node's log has one JSON object per line, with the time, the node, the
-// numbered event and the values that led to it. The lines of one request may be
-// spread over the logs of several nodes because a caller may retry at another
-// node.
+// A node's log has one JSON object per line, with the time, the node, the name
+// and number of the event and the values that explain it. The lines of one
+// request may be spread over the logs of several nodes because a caller may retry
+// at another node.
 package citronexplain
 
 import (
