--- a/citronexplain/explain.go
+++ b/citronexplain/explain.go
@@ -62,7 +62,7 @@
 	}
 	selected := selectLines(all, s)
 	if len(selected) == 0 {
-		return errors.Newf("no line of %d tells of this; requests that went well are logged one in fifty", len(all))
+		return errors.Newf("none of %d log lines matches; only one in fifty successful requests is logged", len(all))
 	}
 	for _, l := range selected {
 		if err := l.print(out, selected[0].at); err != nil {
