--- a/citronexplain/kept_test.go
+++ b/citronexplain/kept_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// TestRequestIncludesWhyItsEngineWasRetained explains a request that was sent to an
+// TestExplanationOfRequestIncludesRetainReason explains a request that was sent to an
 // engine which the node retained although the engine's entry was missing. The output
 // must include this node's reason, but not what another node decided about the engine.
-func TestRequestIncludesWhyItsEngineWasRetained(t *testing.T) {
+func TestExplanationOfRequestIncludesRetainReason(t *testing.T) {
 	is := is.New(t)
 	log := `{"time":"2026-01-01T00:00:14.810Z","level":"INFO","msg":"engines.changed","node":"n1","event":602,"engine":"e3","missing":true}
 {"time":"2026-01-01T00:00:14.811Z","level":"INFO","msg":"entries.kept","node":"n1","event":619,"kept":1,"changed":1,"engines":["e3"],"reason":"the store was away"}
