--- a/citronfleet/check.go
+++ b/citronfleet/check.go
@@ -202,31 +202,31 @@
 // from which ones the end of the last layer can be reached. A boundary for
 // which both hold is part of an exact cover of [0, layers).
 func ReachableBoundaries(layers int, engines []Backend) Boundaries {
-	to := make([]bool, layers+1)
-	from := make([]bool, layers+1)
-	to[0], from[layers] = true, true
+	fromStart := make([]bool, layers+1)
+	toEnd := make([]bool, layers+1)
+	fromStart[0], toEnd[layers] = true, true
 	valid := func(e Backend) bool { return e.Range[0] >= 0 && e.Range[1] <= layers && e.Range[0] < e.Range[1] }
 	for b := 0; b <= layers; b++ {
-		if !to[b] {
+		if !fromStart[b] {
 			continue
 		}
 		for _, e := range engines {
 			if valid(e) && e.Range[0] == b {
-				to[e.Range[1]] = true
+				fromStart[e.Range[1]] = true
 			}
 		}
 	}
 	for b := layers; b >= 0; b-- {
-		if !from[b] {
+		if !toEnd[b] {
 			continue
 		}
 		for _, e := range engines {
 			if valid(e) && e.Range[1] == b {
-				from[e.Range[0]] = true
+				toEnd[e.Range[0]] = true
 			}
 		}
 	}
-	return Boundaries{FromStart: to, ToEnd: from}
+	return Boundaries{FromStart: fromStart, ToEnd: toEnd}
 }
 
 // findCycle returns the names of the services on a dependency cycle, with the
