--- a/citronlist/index.go
+++ b/citronlist/index.go
@@ -2,8 +2,9 @@
 
 // This file tracks which entries of the list have changed and which need attention. Each
 // node checks this ten times a second, and in a large fleet engines join and leave all
-// the time, so neither a check nor a change may take time proportional to the length of
-// the list.
+// the time. So a check must not go through the whole list, and a change must not rebuild
+// the results entry by entry. After a change, the previous result is copied once and then
+// patched, because callers may still use it.
 
 import (
 	"cmp"
