--- a/citronlog/log.go
+++ b/citronlog/log.go
@@ -5,9 +5,9 @@
 // a direct write to a full pipe would block every request of the node, and a
 // fault that fails every request would log a line for each of them. Lines
 // therefore pass through a bounded queue that a separate goroutine writes out,
-// and each numbered event has a rate limit. Dropped lines are counted, and the
-// count is logged before the next line that passes once a report is due (see
-// takeDropped).
+// and each numbered event has a rate limit. Dropped lines are counted. As soon as
+// a report of the count is due (see takeDropped), it is logged before the next
+// line that is not dropped.
 package citronlog
 
 import (
