--- a/citronplace/repair.go
+++ b/citronplace/repair.go
@@ -57,12 +57,12 @@
 // holds nothing.
 //
 // A release replaces engines one after the other, each by a new engine of the
-// same kind that starts a second earlier. A single load then restores the
-// zone, often before the old engine has left. When each gap was divided among
-// several engines for an even cache, every engine of the zone had been moved
-// by the end of a release, and the zone had gaps meanwhile. The engine with
-// the smallest capacity that fits is taken: it is of the kind that held the
-// gap before.
+// same kind that starts a second before the old one announces that it leaves.
+// A single load then restores the zone, often before the old engine has left.
+// When each gap was divided among several engines for an even cache, every
+// engine of the zone had been moved by the end of a release, and the zone had
+// gaps meanwhile. The engine with the smallest capacity that fits is taken: it
+// is of the kind that held the gap before.
 func fillWithIdle(spec citronmodel.Spec, engines []Engine, gaps []citronmodel.Span, tokens float64) Plan {
 	plan := Plan{}
 	for _, g := range gaps {
