--- a/citronplace/plan_test.go
+++ b/citronplace/plan_test.go
@@ -161,35 +161,35 @@
 }
 
 // TestEngineWithPendingOrderIsNoDuplicate checks that an engine that has not
-// yet loaded its target layers does not count as a substitute for the engine
-// whose layers it is to duplicate. If the latter engine were moved away, its
+// yet loaded its target layers does not count as a second holder of them. If
+// it did, their only holder could be moved away to fill another gap, and its
 // layers would become a gap.
 func TestEngineWithPendingOrderIsNoDuplicate(t *testing.T) {
 	is := is.New(t)
 	engines := decideUntilStable(t, fleet("z", 2, 4, 4))
-	var twin, victim string
+	var holder, lost string
 	for i, e := range engines {
 		switch {
-		case e.Kind == "large" && twin == "":
-			twin = e.ID
+		case e.Kind == "large" && holder == "":
+			holder = e.ID
 		case e.Kind == "large":
-			// This engine is empty and has been ordered to duplicate its
-			// twin.
+			// This engine is empty and has been ordered to duplicate the
+			// layers of the other large engine.
 			for _, o := range engines {
-				if o.ID == twin {
+				if o.ID == holder {
 					engines[i].Target = o.Layers
 				}
 			}
 			engines[i].Layers = citronmodel.Span{}
 		case e.Kind == "slow" && e.Layers.From > 40:
-			victim = e.ID
+			lost = e.ID
 		}
 	}
-	left := without(engines, func(e citronplace.Engine) bool { return e.ID == victim })
+	left := without(engines, func(e citronplace.Engine) bool { return e.ID == lost })
 	plan := citronplace.Decide(spec, left, nil)
-	if o, ok := plan[twin]; ok {
+	if o, ok := plan[holder]; ok {
 		for _, e := range left {
-			if e.ID == twin {
+			if e.ID == holder {
 				is.True(o.Covers(e.Layers)) // it may add layers, but not give any up
 			}
 		}
