--- a/citronplace/copies.go
+++ b/citronplace/copies.go
@@ -174,7 +174,7 @@
 		}
 	}
 	plan, ok := addHelper(spec, slices.DeleteFunc(all, func(e Engine) bool { return e.Layers.Empty() && e.JustJoined }), even, true)
-	if !ok || !lowersStrain(spec, all, plan, even) {
+	if !ok || !lowersCachePressure(spec, all, plan, even) {
 		return Plan{}
 	}
 	return plan
--- a/citronplace/cover.go
+++ b/citronplace/cover.go
@@ -78,28 +78,27 @@
 // from a layer's total, because that engine may be lost.
 const lossShare = 0.5
 
-// layerStrain returns the fraction that one token takes of a layer's cache,
+// layerPressure returns the fraction that one token takes of a layer's cache,
 // after lossShare of the largest engine's cache is subtracted from it.
-func layerStrain(total, largest float64) float64 { return 1 / max(1, total-lossShare*largest) }
+func layerPressure(total, largest float64) float64 { return 1 / max(1, total-lossShare*largest) }
 
-// strainReduction returns how much the strain of a span falls if one more
-// engine of the given kind holds it.
-func (z *zoneCache) strainReduction(kind string, s citronmodel.Span) float64 {
+// pressureReduction returns how much the cache pressure of a span falls if one
+// more engine of the given kind holds it.
+func (z *zoneCache) pressureReduction(kind string, s citronmodel.Span) float64 {
 	tokens, sum := z.spec.TokenCapacity(kind, s.Len()), 0.0
 	for l := s.From; l < s.To; l++ {
 		if z.total[l] == 0 {
 			return 0 // a gap; repair fills it
 		}
-		sum += layerStrain(z.total[l], z.largest[l]) - layerStrain(z.total[l]+tokens, max(z.largest[l], tokens))
+		sum += layerPressure(z.total[l], z.largest[l]) - layerPressure(z.total[l]+tokens, max(z.largest[l], tokens))
 	}
 	return sum
 }
 
-// bestDuplicate returns the range of at most maxLen layers whose strain an
-// engine of the given kind reduces most. Only ranges that begin or end at a
-// boundary of some engine are considered. Of equal ranges it returns the
-// first one, since the first engine of a path limits how many requests run at
-// once.
+// bestDuplicate returns the range of at most maxLen layers whose cache pressure
+// an engine of the given kind reduces most. Only ranges that begin or end at a
+// boundary of some engine are considered. Of equal ranges it returns the first
+// one, since the first engine of a path limits how many requests run at once.
 func (z *zoneCache) bestDuplicate(engines []Engine, plan Plan, kind string, maxLen int, scope duplicateScope) citronmodel.Span {
 	var best citronmodel.Span
 	bestGain := 0.0
@@ -109,7 +108,7 @@
 			continue
 		}
 		for _, s := range candidateSpans(held, maxLen, z.spec.Layers, scope) {
-			if gain := z.strainReduction(kind, s); gain > bestGain || gain == bestGain && gain > 0 && s.From < best.From {
+			if gain := z.pressureReduction(kind, s); gain > bestGain || gain == bestGain && gain > 0 && s.From < best.From {
 				best, bestGain = s, gain
 			}
 		}
--- a/citronplace/improve.go
+++ b/citronplace/improve.go
@@ -28,10 +28,10 @@
 	if plan := dropRepeated(spec, engines, even); len(plan) > 0 {
 		return plan
 	}
-	if plan, ok := addHelper(spec, engines, even, false); ok && lowersStrain(spec, engines, plan, even) {
+	if plan, ok := addHelper(spec, engines, even, false); ok && lowersCachePressure(spec, engines, plan, even) {
 		return plan
 	}
-	if plan := balance(spec, engines, even); lowersStrain(spec, engines, plan, even) {
+	if plan := balance(spec, engines, even); lowersCachePressure(spec, engines, plan, even) {
 		return plan
 	}
 	return duplicateLayers(spec, engines, Plan{}, scope)
@@ -48,20 +48,20 @@
 	return dropOverlap(spec, engines, even)
 }
 
-// maxStrainRatio is the ratio of new to old strain that a step must stay
-// below.
-const maxStrainRatio = 0.99
+// maxPressureRatio is the ratio of new to old cache pressure that a step must
+// stay below.
+const maxPressureRatio = 0.99
 
-// lowersStrain reports whether the zone's strain is lower after the plan is
-// carried out and the duplicated layers have been given up. Every step lowers
-// the strain, so the sequence of steps ends.
-func lowersStrain(spec citronmodel.Spec, engines []Engine, plan Plan, even float64) bool {
+// lowersCachePressure reports whether the zone's cache pressure is lower after
+// the plan is carried out and the duplicated layers have been given up. Every
+// step lowers the cache pressure, so the sequence of steps ends.
+func lowersCachePressure(spec citronmodel.Spec, engines []Engine, plan Plan, even float64) bool {
 	if len(plan) == 0 {
 		return false
 	}
 	after := afterPlan(engines, plan)
 	after = afterPlan(after, dropRepeated(spec, after, even))
-	return strain(spec, after) < maxStrainRatio*strain(spec, engines)
+	return cachePressure(spec, after) < maxPressureRatio*cachePressure(spec, engines)
 }
 
 // afterPlan returns the engines with the layers they hold after the plan is
@@ -74,11 +74,11 @@
 	return out
 }
 
-// strain sums, over all layers, the fraction that one token takes of the
+// cachePressure sums, over all layers, the fraction that one token takes of the
 // combined cache of the engines that hold the layer. The weakest engine
 // counts most, but relieving one of two equally weak engines lowers the sum
 // too.
-func strain(spec citronmodel.Spec, engines []Engine) float64 {
+func cachePressure(spec citronmodel.Spec, engines []Engine) float64 {
 	cache := make([]float64, spec.Layers)
 	for _, e := range engines {
 		tokens := spec.CacheTokens(e.Kind, e.Layers.Len())
