--- a/citronquarantine/model_test.go
+++ b/citronquarantine/model_test.go
@@ -13,10 +13,10 @@
 const (
 	// The simulated fleet: the number of engines that run first hops, the requests per
 	// second, the length of a simulation step and the simulated time.
-	modelEngines = 6
-	modelRate    = 100
-	modelStep    = 20 * time.Millisecond
-	modelTime    = 3 * time.Minute
+	simEngines = 6
+	simRate    = 100
+	simStep    = 20 * time.Millisecond
+	simTime    = 3 * time.Minute
 	// A run sends its first event firstEvent after it starts. It counts as just started
 	// until minSuccessfulRun after that, and ends after runTime.
 	firstEvent       = 300 * time.Millisecond
@@ -31,10 +31,10 @@
 	maxQuarantinedShare = 0.001
 )
 
-// modelRun is a request in progress. If engine is negative, the request waits for its
-// caller to retry it, and since is the time of the retry. Otherwise since is the start of
-// the run.
-type modelRun struct {
+// simulatedRequest is a request in progress. If engine is negative, the request waits for
+// its caller to retry it, and since is the time of the retry. Otherwise since is the start
+// of the run.
+type simulatedRequest struct {
 	fingerprint citronquarantine.Fingerprint
 	crashing    bool
 	engine      int
@@ -42,15 +42,15 @@
 	attempts    int
 }
 
-type model struct {
+type simulation struct {
 	rand   *rand.Rand
 	clock  *citronclock.Manual
 	ledger *citronquarantine.Ledger
-	// starts counts the crashes of each engine and is part of the engine's ID.
+	// crashCounts counts the crashes of each engine. The count is part of the engine's ID.
 	// availableAt is when the engine is available again after a crash.
-	starts      [modelEngines]int
-	availableAt [modelEngines]time.Time
-	runs        []*modelRun
+	crashCounts [simEngines]int
+	availableAt [simEngines]time.Time
+	requests    []*simulatedRequest
 	sent        int
 	// quarantined holds the harmless requests that were quarantined.
 	quarantined map[citronquarantine.Fingerprint]bool
@@ -58,24 +58,24 @@
 	ended int
 }
 
-func newModel(seed uint64) *model {
+func newSimulation(seed uint64) *simulation {
 	clock := citronclock.NewManual(time.Unix(1_000_000, 0))
-	return &model{rand: rand.New(rand.NewPCG(seed, 1)), clock: clock, ledger: citronquarantine.New("n", clock), quarantined: map[citronquarantine.Fingerprint]bool{}}
+	return &simulation{rand: rand.New(rand.NewPCG(seed, 1)), clock: clock, ledger: citronquarantine.New("n", clock), quarantined: map[citronquarantine.Fingerprint]bool{}}
 }
 
 // send runs a request on a random available engine, unless it is quarantined.
-func (m *model) send(r *modelRun) {
+func (m *simulation) send(r *simulatedRequest) {
 	if v, ok := m.ledger.Admit(r.fingerprint).(citronquarantine.Quarantined); ok && v.Crashes > 2 {
 		if !r.crashing {
 			m.quarantined[r.fingerprint] = true
 		}
 		return
 	}
-	for range 4 * modelEngines {
-		e := m.rand.IntN(modelEngines)
+	for range 4 * simEngines {
+		e := m.rand.IntN(simEngines)
 		if m.clock.Now().After(m.availableAt[e]) {
 			r.engine, r.since = e, m.clock.Now()
-			m.runs = append(m.runs, r)
+			m.requests = append(m.requests, r)
 			return
 		}
 	}
@@ -85,22 +85,22 @@
 // A request is retried at once after its first attempt, unless it is a suspect.
 // Otherwise the caller of a harmless request retries it later, up to four attempts in
 // total.
-func (m *model) crash(engine int) {
+func (m *simulation) crash(engine int) {
 	now := m.clock.Now()
-	m.starts[engine]++
+	m.crashCounts[engine]++
 	m.availableAt[engine] = now.Add(restartTime)
-	var ended, others []*modelRun
-	for _, r := range m.runs {
+	var ended, others []*simulatedRequest
+	for _, r := range m.requests {
 		if r.engine == engine {
 			ended = append(ended, r)
 		} else {
 			others = append(others, r)
 		}
 	}
-	m.runs = others
+	m.requests = others
 	for _, r := range ended {
 		if now.Sub(r.since) < firstEvent+minSuccessfulRun {
-			m.ledger.RecordCrash(r.fingerprint, fmt.Sprintf("%d@%d", engine, m.starts[engine]), r.since)
+			m.ledger.RecordCrash(r.fingerprint, fmt.Sprintf("%d@%d", engine, m.crashCounts[engine]), r.since)
 		}
 		r.attempts++
 		switch {
@@ -108,19 +108,19 @@
 			m.send(r)
 		case r.attempts < 4 && !r.crashing:
 			r.engine, r.since = -1, now.Add(time.Duration(m.rand.Int64N(int64(maxRetryDelay))))
-			m.runs = append(m.runs, r)
+			m.requests = append(m.requests, r)
 		}
 	}
 }
 
-// step advances the simulation by modelStep: runs continue, and crashing requests
+// step advances the simulation by simStep: runs continue, and crashing requests
 // crash their engines.
-func (m *model) step() {
-	m.clock.Advance(modelStep)
+func (m *simulation) step() {
+	m.clock.Advance(simStep)
 	now := m.clock.Now()
-	runs := m.runs
-	m.runs = nil
-	var retries []*modelRun
+	runs := m.requests
+	m.requests = nil
+	var retries []*simulatedRequest
 	var crashes []int
 	for _, r := range runs {
 		age := now.Sub(r.since)
@@ -134,7 +134,7 @@
 			m.ledger.RecordSuccess(r.fingerprint)
 		}
 		if r.engine < 0 || age < runTime {
-			m.runs = append(m.runs, r)
+			m.requests = append(m.requests, r)
 		}
 	}
 	for _, r := range retries {
@@ -144,17 +144,17 @@
 		m.ended++
 		m.crash(e)
 	}
-	for range modelRate * int(modelStep/time.Millisecond) / 1000 {
+	for range simRate * int(simStep/time.Millisecond) / 1000 {
 		m.sent++
-		m.send(&modelRun{fingerprint: request(m.sent)})
+		m.send(&simulatedRequest{fingerprint: request(m.sent)})
 	}
 }
 
-// run runs the simulation for modelTime. It calls fault at random times, on average
-// once per interval every.
-func (m *model) run(every time.Duration, fault func(m *model)) {
-	for range modelTime / modelStep {
-		if m.rand.Int64N(int64(every)) < int64(modelStep) {
+// run runs the simulation for simTime. It calls fault at random times, on average
+// once in every meanInterval.
+func (m *simulation) run(meanInterval time.Duration, fault func(m *simulation)) {
+	for range simTime / simStep {
+		if m.rand.Int64N(int64(meanInterval)) < int64(simStep) {
 			fault(m)
 		}
 		m.step()
@@ -166,26 +166,26 @@
 // seconds, and while a request crashes engines.
 func TestFewHarmlessRequestsAreQuarantined(t *testing.T) {
 	cases := []struct {
-		name  string
-		every time.Duration
-		fault func(m *model)
+		name         string
+		meanInterval time.Duration
+		fault        func(m *simulation)
 	}{
-		{"half of the engines crash", 10 * time.Second, func(m *model) {
-			for _, e := range m.rand.Perm(modelEngines)[:modelEngines/2] {
+		{"half of the engines crash", 10 * time.Second, func(m *simulation) {
+			for _, e := range m.rand.Perm(simEngines)[:simEngines/2] {
 				m.crash(e)
 			}
 		}},
-		{"an engine crashes every three seconds", 3 * time.Second, func(m *model) { m.crash(m.rand.IntN(modelEngines)) }},
-		{"a request crashes engines", 2 * time.Second, func(m *model) {
-			m.send(&modelRun{fingerprint: request(-1 - m.sent/6000), crashing: true}) // a new one each minute
+		{"an engine crashes every three seconds", 3 * time.Second, func(m *simulation) { m.crash(m.rand.IntN(simEngines)) }},
+		{"a request crashes engines", 2 * time.Second, func(m *simulation) {
+			m.send(&simulatedRequest{fingerprint: request(-1 - m.sent/6000), crashing: true}) // a new one each minute
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			sent, quarantined, ended := 0, 0, 0
 			for seed := range uint64(3) {
-				m := newModel(seed)
-				m.run(c.every, c.fault)
+				m := newSimulation(seed)
+				m.run(c.meanInterval, c.fault)
 				sent, quarantined, ended = sent+m.sent, quarantined+len(m.quarantined), ended+m.ended
 			}
 			t.Logf("%d of %d harmless requests quarantined; %d engines ended under crashing requests", quarantined, sent, ended)
