--- a/citronquarantine/model_test.go
+++ b/citronquarantine/model_test.go
@@ -63,7 +63,8 @@
 	return &simulation{rand: rand.New(rand.NewPCG(seed, 1)), clock: clock, ledger: citronquarantine.New("n", clock), quarantined: map[citronquarantine.Fingerprint]bool{}}
 }
 
-// send runs a request on a random available engine, unless it is quarantined.
+// send runs a request on a random available engine, unless the request is quarantined. A
+// request with at most two crashes is run even if it should wait for a trial run to end.
 func (m *simulation) send(r *simulatedRequest) {
 	if v, ok := m.ledger.Admit(r.fingerprint).(citronquarantine.Quarantined); ok && v.Crashes > 2 {
 		if !r.crashing {
--- a/citronquarantine/verdict.go
+++ b/citronquarantine/verdict.go
@@ -20,7 +20,8 @@
 type Quarantined struct {
 	// RetryAfter is the time after which the request may be retried.
 	RetryAfter time.Duration
-	// Crashes is the number of engines that have crashed under the request.
+	// Crashes is the number of engines that have crashed under the request, without
+	// crashes that a successful run has refuted.
 	Crashes int
 }
 
