--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -154,8 +154,8 @@
 }
 
 // RecordCrash records that an engine ended under a run of the request that had just
-// begun. engine is the ID of the engine's start, and began is when the run began. It
-// returns the request's record, and whether the record has changed.
+// begun. engine is the engine's ID, and began is when the run began. It returns the
+// request's record, and whether the record has changed.
 func (l *Ledger) RecordCrash(p Fingerprint, engine string, began time.Time) (r Record, updated bool) {
 	l.mu.Lock()
 	e := l.find(p)
@@ -230,8 +230,8 @@
 }
 
 // Merge merges the records that another node sent, and returns the entries of the
-// requests that are quarantined on this node as a result. Changes that all nodes have to
-// agree on are an update for other nodes.
+// requests that are quarantined on this node as a result. If a record that all nodes have
+// to agree on has changed, there is an update for other nodes (Notify).
 func (l *Ledger) Merge(received []Entry) ([]Entry, error) {
 	if err := l.validate(received); err != nil {
 		return nil, err
