--- a/citronexplain/explain.go
+++ b/citronexplain/explain.go
@@ -2,10 +2,10 @@
 // happened to one request, one engine or one version of the configuration;
 // Losses counts the requests that were not served in time, by cause.
 //
-// A node's log has one JSON object per line, with the time, the node, the
-// numbered event and the values that led to it. The lines of one request may be
-// spread over the logs of several nodes because a caller may retry at another
-// node.
+// A node's log has one JSON object per line, with the time, the node, the name
+// and number of the event and the values that explain it. The lines of one
+// request may be spread over the logs of several nodes because a caller may retry
+// at another node.
 package citronexplain
 
 import (
@@ -62,7 +62,7 @@
 	}
 	selected := selectLines(all, s)
 	if len(selected) == 0 {
-		return errors.Newf("no line of %d tells of this; requests that went well are logged one in fifty", len(all))
+		return errors.Newf("none of %d log lines matches; only one in fifty successful requests is logged", len(all))
 	}
 	for _, l := range selected {
 		if err := l.print(out, selected[0].at); err != nil {
