--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -23,8 +23,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// sent is one call that the fake engines received.
-type sent struct {
+// receivedCall is one call that the fake engines received.
+type receivedCall struct {
 	engine string
 	after  string
 	path   citronpath.Path
@@ -34,7 +34,7 @@
 // fakeEngines answers calls with the functions that the test sets.
 type fakeEngines struct {
 	mu      sync.Mutex
-	calls   []sent
+	calls   []receivedCall
 	repaths []citronpath.Path
 	answer  func(ctx context.Context, n int, c citronupstream.Call) (*citronupstream.Reply, error)
 	report  func(addr string) (citronupstream.Report, error)
@@ -44,7 +44,7 @@
 func (f *fakeEngines) Send(ctx context.Context, c citronupstream.Call) (*citronupstream.Reply, error) {
 	f.mu.Lock()
 	n := len(f.calls)
-	f.calls = append(f.calls, sent{engine: c.Engine.ID, after: c.AfterEvent, path: c.Hops, once: c.NoRetry})
+	f.calls = append(f.calls, receivedCall{engine: c.Engine.ID, after: c.AfterEvent, path: c.Hops, once: c.NoRetry})
 	f.mu.Unlock()
 	return f.answer(ctx, n, c)
 }
@@ -66,10 +66,10 @@
 	return f.repath(p)
 }
 
-func (f *fakeEngines) seen() []sent {
+func (f *fakeEngines) seen() []receivedCall {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]sent(nil), f.calls...)
+	return append([]receivedCall(nil), f.calls...)
 }
 
 // caller is a Sink that records the response to one request.
