--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -59,8 +59,8 @@
 	r := newRig(t, fourEngines()...)
 	r.crashing("")
 	got := r.ask("stream", time.Second)
-	is.Equal(len(r.engines.seen()), 2) // the route allows two attempts
-	is.Equal(got.status, 502)          // it may have run, so no retry is invited
+	is.Equal(len(r.engines.received()), 2) // the route allows two attempts
+	is.Equal(got.status, 502)              // it may have run, so no retry is invited
 }
 
 // Guards against a quarantined request that still reaches engines, waits for its
@@ -71,16 +71,16 @@
 	r.crashing("")
 	is.Equal(r.ask("stream", time.Second).status, 502)
 	is.Equal(r.ask("stream", time.Second).status, 502)
-	is.Equal(len(r.engines.seen()), 3) // the third crash quarantines the request
+	is.Equal(len(r.engines.received()), 3) // the third crash quarantines the request
 	begin := time.Now()
 	got := r.ask("stream", 5*time.Second)
 	is.True(time.Since(begin) < 100*time.Millisecond)
 	is.Equal(got.status, 503) // it has not run under this id
 	is.True(got.retryAfter >= 50*time.Second)
-	is.Equal(len(r.engines.seen()), 3)
+	is.Equal(len(r.engines.received()), 3)
 	other := func(q *citronupstream.Request) { q.Body = []byte("another") }
 	r.ask("stream", time.Second, other)
-	is.True(len(r.engines.seen()) > 3)
+	is.True(len(r.engines.received()) > 3)
 }
 
 // Guards against missing the crashes of a request that is not idempotent: it runs once
@@ -93,7 +93,7 @@
 		is.Equal(r.ask("unsafe", time.Second).status, 502)
 	}
 	is.Equal(r.ask("unsafe", time.Second).status, 503)
-	is.Equal(len(r.engines.seen()), 3)
+	is.Equal(len(r.engines.received()), 3)
 }
 
 // Guards against treating an engine that breaks off its responses as ended: it is still
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -49,7 +49,7 @@
 			for range 3 {
 				is.Equal(r.ask(route, time.Second).status, http.StatusOK)
 			}
-			for _, c := range r.engines.seen() {
+			for _, c := range r.engines.received() {
 				is.True(c.engine == "p2" || c.engine == "m2")
 			}
 			is.True(len(asked["p1"]) <= 1) // after a denial, no permit is requested before Denied.RetryAfter has passed
@@ -78,7 +78,7 @@
 				is.True(maxWait <= 200*time.Millisecond) // callers leave a stalled stream
 			}
 			is.True(time.Since(from) < 300*time.Millisecond)
-			is.Equal(len(r.engines.seen()), 0)
+			is.Equal(len(r.engines.received()), 0)
 		})
 	}
 }
@@ -115,7 +115,7 @@
 		e.MarkReplaced(time.Now())
 	})
 	is.True(r.ask("unsafe", time.Second).refused)
-	is.Equal(len(r.engines.seen()), 0)
+	is.Equal(len(r.engines.received()), 0)
 }
 
 // Guards against resuming a stream, or moving a running one, without a permit.
@@ -131,7 +131,7 @@
 			return answersOK(ctx, n, c)
 		}
 		is.Equal(r.ask("stream", 2*time.Second).status, http.StatusOK)
-		is.Equal(len(r.engines.seen()), 2)
+		is.Equal(len(r.engines.received()), 2)
 		is.Equal(len(asked["m2"]), 1)
 	})
 	t.Run("move", func(t *testing.T) {
--- a/citronforward/list_test.go
+++ b/citronforward/list_test.go
@@ -45,7 +45,7 @@
 		return reply(200, "done"), nil
 	}
 	is.Equal(r.ask("safe", time.Second).status, http.StatusOK)
-	calls := r.engines.seen()
+	calls := r.engines.received()
 	is.Equal(len(calls), 2)
 	is.Equal(calls[0].engine, "e1")
 	is.Equal(calls[1].engine, "e3") // e2 is in the same zone as e1, but is leaving
--- a/citronforward/refused_test.go
+++ b/citronforward/refused_test.go
@@ -58,7 +58,7 @@
 	}
 	got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.Received = time.Now().Add(4 * time.Second) })
 	is.Equal(got.body, events(1, 4))
-	is.Equal(len(r.engines.seen()), 2)
+	is.Equal(len(r.engines.received()), 2)
 }
 
 // Guards against starting a run on a third engine after two that were cut off from the
@@ -84,5 +84,5 @@
 	}
 	got := r.ask("stream", 5*time.Second)
 	is.True(got.aborted)
-	is.Equal(len(r.engines.seen()), 2)
+	is.Equal(len(r.engines.received()), 2)
 }
--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -66,7 +66,7 @@
 	return f.repath(p)
 }
 
-func (f *fakeEngines) seen() []receivedCall {
+func (f *fakeEngines) received() []receivedCall {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]receivedCall(nil), f.calls...)
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -97,7 +97,7 @@
 	got := r.ask("stream", time.Second)
 	is.Equal(got.body, events(1, 6))
 	is.True(!got.aborted)
-	calls := r.engines.seen()
+	calls := r.engines.received()
 	is.Equal(len(calls), 2)
 	is.Equal(calls[1].after, "3")
 	is.True(calls[0].engine != calls[1].engine)
@@ -144,7 +144,7 @@
 	}
 	got := r.ask("stream", time.Second)
 	is.True(got.aborted)
-	is.Equal(len(r.engines.seen()), 2) // the route's limit
+	is.Equal(len(r.engines.received()), 2) // the route's limit
 }
 
 // An engine in the middle of the path fails. It has no connection to this node, so the
@@ -172,7 +172,7 @@
 	}
 	got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.Wait = 5 * time.Second })
 	is.Equal(got.body, events(1, 4))
-	is.Equal(len(r.engines.seen()), 1) // the run continued
+	is.Equal(len(r.engines.received()), 1) // the run continued
 	is.Equal(len(r.engines.repaths), 1)
 	is.True(r.engines.repaths[0][1].Engine.Addr != dead)
 }
@@ -259,7 +259,7 @@
 	}
 	got := r.ask("stream", 5*time.Second)
 	is.Equal(got.body, events(1, 4))
-	calls := r.engines.seen()
+	calls := r.engines.received()
 	is.Equal(len(calls), 2)
 	is.Equal(calls[1].engine, "n1")
 	is.Equal(calls[1].after, "2")
@@ -278,7 +278,7 @@
 	got := r.ask("stream", 20*time.Second)
 	is.Equal(got.status, 503)
 	is.True(got.retryAfter >= time.Second)
-	is.Equal(len(r.engines.seen()), 0)
+	is.Equal(len(r.engines.received()), 0)
 }
 
 // A caller that resumes a stream must be admitted although the caches are full. It would
@@ -311,7 +311,7 @@
 	got := r.ask("stream", 10*time.Second)
 	is.Equal(got.status, 503)
 	is.True(got.retryAfter > 0)
-	is.True(len(r.engines.seen()) <= 5)
+	is.True(len(r.engines.received()) <= 5)
 }
 
 // The engine of a running stream fails while all others are full for a moment. Ending
@@ -389,7 +389,7 @@
 	r.engines.report = func(string) (citronupstream.Report, error) { return citronupstream.Report{}, context.DeadlineExceeded }
 	got := r.ask("stream", 2500*time.Millisecond)
 	is.True(got.aborted)
-	is.Equal(len(r.engines.seen()), 2)
+	is.Equal(len(r.engines.received()), 2)
 }
 
 // Both runs that the route allows have been used when the first engine of the second run
@@ -449,7 +449,7 @@
 	}
 	got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.Received = time.Now().Add(4 * time.Second) })
 	is.Equal(got.body, events(1, 4))
-	calls := r.engines.seen()
+	calls := r.engines.received()
 	is.Equal(len(calls), 3)
 	is.Equal(calls[2].after, "3") // not moved before the engine's process ended
 }
@@ -482,7 +482,7 @@
 	}
 	got := r.ask("stream", 5*time.Second)
 	is.Equal(got.body, events(1, 4))
-	is.Equal(len(r.engines.seen()), 3)
+	is.Equal(len(r.engines.received()), 3)
 }
 
 // An engine in the middle of a path hangs at peak load: it neither refuses connections
@@ -536,7 +536,7 @@
 	}
 	is.Equal(r.ask("stream", 5*time.Second).body, events(1, 4))
 	is.Equal(len(r.engines.repaths), 0)
-	is.Equal(len(r.engines.seen()), 1)
+	is.Equal(len(r.engines.received()), 1)
 }
 
 // A request is refused because of an engine of its path. Other nodes must be notified
--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -27,7 +27,7 @@
 	got := r.ask("unsafe", 150*time.Millisecond)
 	is.Equal(got.status, http.StatusGatewayTimeout)
 	is.True(got.retryAfter < 0) // the caller is not invited to retry
-	is.Equal(len(r.engines.seen()), 1)
+	is.Equal(len(r.engines.received()), 1)
 }
 
 // Guards against telling the caller that a stream did not run when its engines accepted
@@ -86,7 +86,7 @@
 				return reply(200, "done"), nil
 			}
 			got := r.ask(c.route, 500*time.Millisecond)
-			is.Equal(len(r.engines.seen()), c.calls)
+			is.Equal(len(r.engines.received()), c.calls)
 			is.Equal(got.status, c.status)
 		})
 	}
@@ -103,7 +103,7 @@
 	got := r.ask("safe", 500*time.Millisecond)
 	is.Equal(got.body, "broken")
 	is.True(!got.refused)
-	is.Equal(len(r.engines.seen()), 2) // the route's limit
+	is.Equal(len(r.engines.received()), 2) // the route's limit
 }
 
 // Guards against holding a request until its deadline if there is no engine: it did not
