--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -25,10 +25,10 @@
 
 // receivedCall is one call that the fake engines received.
 type receivedCall struct {
-	engine  string
-	after   string
-	path    citronpath.Path
-	noRetry bool
+	engine     string
+	afterEvent string
+	path       citronpath.Path
+	noRetry    bool
 }
 
 // fakeEngines answers calls with the functions that the test sets.
@@ -44,7 +44,7 @@
 func (f *fakeEngines) Send(ctx context.Context, c citronupstream.Call) (*citronupstream.Reply, error) {
 	f.mu.Lock()
 	n := len(f.calls)
-	f.calls = append(f.calls, receivedCall{engine: c.Engine.ID, after: c.AfterEvent, path: c.Hops, noRetry: c.NoRetry})
+	f.calls = append(f.calls, receivedCall{engine: c.Engine.ID, afterEvent: c.AfterEvent, path: c.Hops, noRetry: c.NoRetry})
 	f.mu.Unlock()
 	return f.answer(ctx, n, c)
 }
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -99,7 +99,7 @@
 	is.True(!got.aborted)
 	calls := r.engines.received()
 	is.Equal(len(calls), 2)
-	is.Equal(calls[1].after, "3")
+	is.Equal(calls[1].afterEvent, "3")
 	is.True(calls[0].engine != calls[1].engine)
 }
 
@@ -262,7 +262,7 @@
 	calls := r.engines.received()
 	is.Equal(len(calls), 2)
 	is.Equal(calls[1].engine, "n1")
-	is.Equal(calls[1].after, "2")
+	is.Equal(calls[1].afterEvent, "2")
 	is.Equal(len(r.engines.repaths), 0)
 }
 
@@ -451,7 +451,7 @@
 	is.Equal(got.body, events(1, 4))
 	calls := r.engines.received()
 	is.Equal(len(calls), 3)
-	is.Equal(calls[2].after, "3") // not moved before the engine's process ended
+	is.Equal(calls[2].afterEvent, "3") // not moved before the engine's process ended
 }
 
 // The first engine of a stream crashes and restarts at the same address, while the
