--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -87,7 +87,7 @@
 // per ID, and its caller sends it again under new IDs.
 func TestCrashesOfAnUnsafeRequestAreCounted(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plain("p1", "a"), plain("p2", "a"), plain("p3", "a"), plain("p4", "a"))
+	r := newRig(t, plainEngine("p1", "a"), plainEngine("p2", "a"), plainEngine("p3", "a"), plainEngine("p4", "a"))
 	r.crashing("half an ans")
 	for range 3 {
 		is.Equal(r.ask("unsafe", time.Second).status, 502)
--- a/citronforward/list_test.go
+++ b/citronforward/list_test.go
@@ -24,16 +24,16 @@
 // each engine was selected from.
 func TestRetryUsesTheActiveList(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plain("e1", "a"), plain("e2", "a"), plain("e3", "b"))
+	r := newRig(t, plainEngine("e1", "a"), plainEngine("e2", "a"), plainEngine("e3", "b"))
 	var log bytes.Buffer
 	r.Log = slog.New(slog.NewTextHandler(&log, nil))
 	before := *r.Current()
 	before.ListRevision = citronkv.RevisionOf(0, 41)
-	leaving := plain("e2", "a")
+	leaving := plainEngine("e2", "a")
 	leaving.Leaving = true
 	after := before
 	after.ListRevision = citronkv.RevisionOf(0, 42)
-	after.View = citronpool.Build([]citronmodel.Engine{plain("e1", "a"), leaving, plain("e3", "b")}, before.View)
+	after.View = citronpool.Build([]citronmodel.Engine{plainEngine("e1", "a"), leaving, plainEngine("e3", "b")}, before.View)
 	var active atomic.Pointer[citronforward.State]
 	active.Store(&before)
 	r.Current = active.Load
--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -101,7 +101,7 @@
 	return citronmodel.Engine{ID: id, Service: "model", Addr: id + ":1", Zone: zone, Kind: "fast", Layers: citronmodel.Span{From: from, To: to}}
 }
 
-func plain(id, zone string) citronmodel.Engine {
+func plainEngine(id, zone string) citronmodel.Engine {
 	return citronmodel.Engine{ID: id, Service: "app", Addr: id + ":1", Zone: zone}
 }
 
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -358,7 +358,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, engine("m1", "a", 0, 8), plain("e1", "a"))
+			r := newRig(t, engine("m1", "a", 0, 8), plainEngine("e1", "a"))
 			c.state.Active = true
 			r.Stopping = func() citronforward.Stopping { return c.state }
 			r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
