--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -49,7 +49,7 @@
 }
 
 func fourEngines() []citronmodel.Engine {
-	return []citronmodel.Engine{engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "a", 0, 8), engine("m4", "a", 0, 8)}
+	return []citronmodel.Engine{modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "a", 0, 8), modelEngine("m4", "a", 0, 8)}
 }
 
 // Guards against a request that crashes every engine that begins to run it and is
@@ -147,7 +147,7 @@
 // crashed under it: the new engine would begin to run it too.
 func TestSuspectIsNotMovedAlongItsPath(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, engine("m1", "a", 0, 4), engine("m2", "a", 4, 8), engine("m3", "a", 4, 8), engine("m4", "a", 4, 8))
+	r := newRig(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8), modelEngine("m4", "a", 4, 8))
 	r.engines.answer = func(ctx context.Context, _ int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, "")
 		rep.Body = stallingBody{strings.NewReader(events(1, 1)), ctx}
--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -97,7 +97,7 @@
 	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 10_000, StepFactor: 2, PromptFactor: 3}},
 }
 
-func engine(id, zone string, from, to int) citronmodel.Engine {
+func modelEngine(id, zone string, from, to int) citronmodel.Engine {
 	return citronmodel.Engine{ID: id, Service: "model", Addr: id + ":1", Zone: zone, Kind: "fast", Layers: citronmodel.Span{From: from, To: to}}
 }
 
--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -34,7 +34,7 @@
 // it and sent nothing until the deadline.
 func TestSilentStreamAtDeadlineIsNeverNotRun(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, engine("m1", "a", 0, 8))
+	r := newRig(t, modelEngine("m1", "a", 0, 8))
 	r.engines.answer = func(ctx context.Context, _ int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
