--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -15,7 +15,7 @@
 
 // crashing makes every engine end as soon as it begins to run a request: its response
 // breaks off after text, and its address refuses connections.
-func (r *rig) crashing(text string) {
+func (r *testForwarder) crashing(text string) {
 	crashed := map[string]bool{}
 	r.engines.answer = func(_ context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		r.engines.mu.Lock()
@@ -37,7 +37,7 @@
 
 // restarting makes a restarted engine answer at the address of each engine that
 // crashed.
-func (r *rig) restarting() {
+func (r *testForwarder) restarting() {
 	report := r.engines.report
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		rep, err := report(addr)
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -16,7 +16,7 @@
 // limit makes engines announce a rate limit and answers permit requests with the
 // decision given per engine. For each engine, asked holds the maxWait of every permit
 // request so far.
-func (r *rig) limit(decide map[string]citronpermit.Decision) (asked map[string][]time.Duration) {
+func (r *testForwarder) limit(decide map[string]citronpermit.Decision) (asked map[string][]time.Duration) {
 	asked = map[string][]time.Duration{}
 	for id := range decide {
 		r.Limits.Observe(id, r.Limits.Get(id), citronupstream.PerSecond(2))
--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -105,14 +105,14 @@
 	return citronmodel.Engine{ID: id, Service: "app", Addr: id + ":1", Zone: zone}
 }
 
-// rig is a forwarder in zone "a" that sends to fake engines.
-type rig struct {
+// testForwarder is a forwarder in zone "a" that sends to fake engines.
+type testForwarder struct {
 	*citronforward.Forwarder
 	engines *fakeEngines
 	view    *citronpool.View
 }
 
-func newRig(t *testing.T, engines ...citronmodel.Engine) *rig {
+func newRig(t *testing.T, engines ...citronmodel.Engine) *testForwarder {
 	t.Helper()
 	route := func(name string, kind citrontable.Kind, service string, attempts int) citrontable.Route {
 		return citrontable.Route{
@@ -126,7 +126,7 @@
 		route("stream", citrontable.Streaming, "model", 2), route("public", citrontable.Safe, "app", 2),
 	}, []citrontable.Service{{Name: "app"}, {Name: "model", Model: &spec}},
 		[]citrontable.Customer{{Name: "council", Keys: []string{"k1"}}}, citrontable.Limits{MaxBodyBytes: 100})
-	r := &rig{engines: &fakeEngines{}, view: citronpool.Build(engines, nil)}
+	r := &testForwarder{engines: &fakeEngines{}, view: citronpool.Build(engines, nil)}
 	state := &citronforward.State{Table: table, View: r.view, OtherNodesCache: map[string]int64{}}
 	r.Forwarder = &citronforward.Forwarder{
 		Zone: "a", Clock: citronclock.Real{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Upstream: r.engines,
@@ -142,7 +142,7 @@
 }
 
 // ask sends a request to a route and returns what the caller got.
-func (r *rig) ask(route string, wait time.Duration, change ...func(*citronupstream.Request)) *caller {
+func (r *testForwarder) ask(route string, wait time.Duration, change ...func(*citronupstream.Request)) *caller {
 	req := &citronupstream.Request{
 		ID: "r1", Method: "POST", Host: "h", Path: "/" + route + "/x", Target: "/" + route + "/x", Header: http.Header{},
 		Received: time.Now(), Wait: wait, Key: "k1", PromptTokens: 100, OutputTokens: 20,
