--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -56,7 +56,7 @@
 // retried beyond its route's attempts, because runs on crashed engines are not counted.
 func TestRunOnCrashedEngineCountsAsAttempt(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, fourEngines()...)
+	r := newTestForwarder(t, fourEngines()...)
 	r.crashing("")
 	got := r.ask("stream", time.Second)
 	is.Equal(len(r.engines.received()), 2) // the route allows two attempts
@@ -67,7 +67,7 @@
 // response, or whose caller is told to retry soon.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, fourEngines()...)
+	r := newTestForwarder(t, fourEngines()...)
 	r.crashing("")
 	is.Equal(r.ask("stream", time.Second).status, 502)
 	is.Equal(r.ask("stream", time.Second).status, 502)
@@ -87,7 +87,7 @@
 // per ID, and its caller sends it again under new IDs.
 func TestCrashesOfAnUnsafeRequestAreCounted(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plainEngine("p1", "a"), plainEngine("p2", "a"), plainEngine("p3", "a"), plainEngine("p4", "a"))
+	r := newTestForwarder(t, plainEngine("p1", "a"), plainEngine("p2", "a"), plainEngine("p3", "a"), plainEngine("p4", "a"))
 	r.crashing("half an ans")
 	for range 3 {
 		is.Equal(r.ask("unsafe", time.Second).status, 502)
@@ -100,7 +100,7 @@
 // running and may serve other requests.
 func TestBrokenAnswerOfRunningEngineIsNoCrash(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, fourEngines()...)
+	r := newTestForwarder(t, fourEngines()...)
 	r.crashing("")
 	r.engines.report = nil
 	for range 5 {
@@ -115,7 +115,7 @@
 // that the previous process has ended.
 func TestStreamThatRanWellIsNotSuspect(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, fourEngines()...)
+	r := newTestForwarder(t, fourEngines()...)
 	r.crashing("")
 	r.restarting()
 	crash := r.engines.answer
@@ -147,7 +147,7 @@
 // crashed under it: the new engine would begin to run it too.
 func TestSuspectIsNotMovedAlongItsPath(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8), modelEngine("m4", "a", 4, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8), modelEngine("m4", "a", 4, 8))
 	r.engines.answer = func(ctx context.Context, _ int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, "")
 		rep.Body = stallingBody{strings.NewReader(events(1, 1)), ctx}
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -43,7 +43,7 @@
 	for _, route := range []string{"safe", "unsafe", "stream"} {
 		t.Run(route, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, plainEngine("p1", "a"), plainEngine("p2", "b"), modelEngine("m1", "a", 0, 8), modelEngine("m2", "b", 0, 8))
+			r := newTestForwarder(t, plainEngine("p1", "a"), plainEngine("p2", "b"), modelEngine("m1", "a", 0, 8), modelEngine("m2", "b", 0, 8))
 			r.engines.answer = answersOK
 			asked := r.limit(map[string]citronpermit.Decision{"p1": deniedForLong, "m1": deniedForLong})
 			for range 3 {
@@ -64,7 +64,7 @@
 	for _, route := range []string{"safe", "unsafe", "stream"} {
 		t.Run(route, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, plainEngine("p1", "a"), plainEngine("p2", "b"), modelEngine("m1", "a", 0, 8))
+			r := newTestForwarder(t, plainEngine("p1", "a"), plainEngine("p2", "b"), modelEngine("m1", "a", 0, 8))
 			r.engines.answer = answersOK
 			busy := citronpermit.Denied{AvailableIn: 30 * time.Second, RetryAfter: time.Millisecond}
 			asked := r.limit(map[string]citronpermit.Decision{"p1": busy, "p2": busy, "m1": busy})
@@ -86,7 +86,7 @@
 // Guards against refusing a request although a permit is free long before its deadline.
 func TestRequestWaitsForAPermit(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plainEngine("p1", "a"))
+	r := newTestForwarder(t, plainEngine("p1", "a"))
 	r.engines.answer = answersOK
 	asked := r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{}})
 	r.Permit = func(_ context.Context, _ *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
@@ -107,7 +107,7 @@
 // waited for its permit.
 func TestRequestThatWaitedIsNotSentToALeavingEngine(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plainEngine("p1", "a"))
+	r := newTestForwarder(t, plainEngine("p1", "a"))
 	r.engines.answer = answersOK
 	r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{Wait: 100 * time.Millisecond}})
 	time.AfterFunc(30*time.Millisecond, func() {
@@ -122,7 +122,7 @@
 func TestResumesAndMovesTakePermits(t *testing.T) {
 	t.Run("resume", func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "b", 0, 8))
+		r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "b", 0, 8))
 		asked := r.limit(map[string]citronpermit.Decision{"m2": citronpermit.Granted{}})
 		r.engines.answer = func(ctx context.Context, n int, c citronupstream.Call) (*citronupstream.Reply, error) {
 			if n == 0 && c.Engine.ID == "m1" {
@@ -136,7 +136,7 @@
 	})
 	t.Run("move", func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8), modelEngine("m4", "a", 4, 8))
+		r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8), modelEngine("m4", "a", 4, 8))
 		r.limit(map[string]citronpermit.Decision{"m2": citronpermit.Granted{}, "m3": citronpermit.Granted{}, "m4": citronpermit.Granted{}})
 		var asked []string
 		r.Permit = func(_ context.Context, e *citronpool.Engine, _ time.Duration) citronpermit.Decision {
@@ -189,7 +189,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, plainEngine("p1", "a"))
+			r := newTestForwarder(t, plainEngine("p1", "a"))
 			r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{}})
 			time.Sleep(1100 * time.Millisecond) // a limit lasts for at least one second
 			r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
--- a/citronforward/list_test.go
+++ b/citronforward/list_test.go
@@ -24,7 +24,7 @@
 // each engine was selected from.
 func TestRetryUsesTheActiveList(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plainEngine("e1", "a"), plainEngine("e2", "a"), plainEngine("e3", "b"))
+	r := newTestForwarder(t, plainEngine("e1", "a"), plainEngine("e2", "a"), plainEngine("e3", "b"))
 	var log bytes.Buffer
 	r.Log = slog.New(slog.NewTextHandler(&log, nil))
 	before := *r.Current()
--- a/citronforward/refused_test.go
+++ b/citronforward/refused_test.go
@@ -20,7 +20,7 @@
 // leaving engine refuses new connections while its streams continue.
 func TestRefusedConnectionDoesNotEndRunningStreams(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "b", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "b", 0, 8))
 	state := r.Current()
 	current := state
 	r.Current = func() *citronforward.State { return current }
@@ -66,7 +66,7 @@
 // are still running.
 func TestRunOnAnEngineThatRefusesConnectionsCounts(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "b", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "b", 0, 8))
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		body, w := io.Pipe()
 		go func() {
--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -112,7 +112,7 @@
 	view    *citronpool.View
 }
 
-func newRig(t *testing.T, engines ...citronmodel.Engine) *testForwarder {
+func newTestForwarder(t *testing.T, engines ...citronmodel.Engine) *testForwarder {
 	t.Helper()
 	route := func(name string, kind citrontable.Kind, service string, attempts int) citrontable.Route {
 		return citrontable.Route{
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -85,7 +85,7 @@
 // caller gets each event complete and exactly once.
 func TestStreamIsResumedAfterLastCompleteEvent(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8))
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		if n == 0 {
 			rep := reply(200, "")
@@ -106,7 +106,7 @@
 // A regular end of the body in the middle of an event is a failure of the run too.
 func TestTruncatedEventDoesNotEndStream(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8))
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		if n == 0 {
 			return reply(200, events(1, 2)+"id: 3\n"), nil
@@ -120,7 +120,7 @@
 // twice.
 func TestEventsAreNotDuplicated(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8))
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		if n == 0 {
 			rep := reply(200, "")
@@ -136,7 +136,7 @@
 // response does not look complete.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "a", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "a", 0, 8))
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, "")
 		rep.Body = failingBody{strings.NewReader(events(n+1, n+1)), errReset}
@@ -153,7 +153,7 @@
 // after 2 s.
 func TestDeadMiddleHopIsReplacedInZone(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8))
 	moved := make(chan struct{})
 	dead := ""
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
@@ -183,7 +183,7 @@
 // as dead: the leader would place its layers again while they load.
 func TestStalledEngineThatRespondsIsNotDead(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8))
 	moved := make(chan struct{})
 	var stalled atomic.Pointer[string]
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
@@ -212,7 +212,7 @@
 // hundred streams moved at once all of them would be late.
 func TestRepathKeepsHealthyHops(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 3), modelEngine("m2", "a", 3, 6), modelEngine("m3", "a", 6, 8), modelEngine("n2", "a", 3, 6), modelEngine("n3", "a", 6, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 3), modelEngine("m2", "a", 3, 6), modelEngine("m3", "a", 6, 8), modelEngine("n2", "a", 3, 6), modelEngine("n3", "a", 6, 8))
 	moved := make(chan struct{})
 	var dead, last string
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
@@ -242,7 +242,7 @@
 // must be resumed on another zone's replica.
 func TestDeadMiddleHopWithoutSpareResumesInOtherZone(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("n1", "b", 0, 4), modelEngine("n2", "b", 4, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("n1", "b", 0, 4), modelEngine("n2", "b", 4, 8))
 	r.engines.answer = func(ctx context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		if n > 0 {
 			return reply(200, events(3, 4)), nil
@@ -271,7 +271,7 @@
 // the caller still has time to retry.
 func TestStreamIsRefusedWhenCachesAreFull(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8))
 	state := *r.Current()
 	state.OtherNodesCache = map[string]int64{"a": int64(2 * spec.CacheTokens("fast", 8))}
 	r.Current = func() *citronforward.State { return &state }
@@ -285,7 +285,7 @@
 // otherwise lose the events that it already has.
 func TestResumingCallerIsAdmitted(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8))
 	state := *r.Current()
 	state.OtherNodesCache = map[string]int64{"a": int64(2 * spec.CacheTokens("fast", 8))}
 	r.Current = func() *citronforward.State { return &state }
@@ -304,7 +304,7 @@
 	for i := range 9 {
 		engines = append(engines, modelEngine(fmt.Sprintf("m%d", i), "a", 0, 8))
 	}
-	r := newRig(t, engines...)
+	r := newTestForwarder(t, engines...)
 	r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
 		return refusal(""), nil
 	}
@@ -319,7 +319,7 @@
 // must wait and be resumed as soon as an engine accepts it.
 func TestBegunStreamWaitsForCapacity(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "a", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "a", 0, 8))
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		switch {
 		case n == 0:
@@ -358,7 +358,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, modelEngine("m1", "a", 0, 8), plainEngine("e1", "a"))
+			r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), plainEngine("e1", "a"))
 			c.state.Active = true
 			r.Stopping = func() citronforward.Stopping { return c.state }
 			r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
@@ -380,7 +380,7 @@
 // must not run the request then.
 func TestUnresponsiveFirstEngineHasNotEnded(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "a", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "a", 0, 8))
 	r.engines.answer = func(ctx context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, "")
 		rep.Body = stallingBody{strings.NewReader(events(n+1, n+1)), ctx}
@@ -404,7 +404,7 @@
 
 func checkLastRunStays(t *testing.T, gone bool) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "b", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "b", 0, 8))
 	state := r.Current()
 	current := state
 	var ended atomic.Bool
@@ -463,7 +463,7 @@
 	is := is.New(t)
 	first := modelEngine("m1", "a", 0, 8)
 	first.StartMS = 100
-	r := newRig(t, first, modelEngine("m2", "b", 0, 8), modelEngine("m3", "b", 0, 8))
+	r := newTestForwarder(t, first, modelEngine("m2", "b", 0, 8), modelEngine("m3", "b", 0, 8))
 	r.engines.answer = func(ctx context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, events(3, 4))
 		switch n {
@@ -492,7 +492,7 @@
 // to time out, they would pause for 0.6 to 0.9 s.
 func TestStalledStreamLeavesAccusedEngine(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8))
 	moved := make(chan struct{})
 	var hung atomic.Pointer[citronpool.Engine]
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
@@ -527,7 +527,7 @@
 // full engine would have their tokens processed again elsewhere.
 func TestAccusedEngineThatRespondsKeepsItsStreams(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8))
 	resumed := make(chan struct{})
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		c.Hops[1].Engine.Accuse(time.Now())
@@ -543,7 +543,7 @@
 // once, not for each request that is refused because of the same engine.
 func TestAccusationIsSharedOnce(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("n1", "b", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("n1", "b", 0, 8))
 	var notified atomic.Int64
 	r.Accuse = func(e *citronpool.Engine) {
 		if e.ID == "m2" {
@@ -576,7 +576,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, modelEngine("a1", "a", 0, 8), modelEngine("a2", "a", 0, 8), modelEngine("a3", "a", 0, 8))
+			r := newTestForwarder(t, modelEngine("a1", "a", 0, 8), modelEngine("a2", "a", 0, 8), modelEngine("a3", "a", 0, 8))
 			var log strings.Builder
 			r.Log = slog.New(slog.NewTextHandler(&log, nil))
 			r.Budget = citronbudget.New(citronbudget.Limits{Slack: c.slack, Window: 10 * time.Second})
@@ -596,7 +596,7 @@
 // again instead of being refused while other nodes still have budget to lend.
 func TestRequestBorrowsAgainWhenOthersUsedTheLoan(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("a1", "a", 0, 8), modelEngine("a2", "a", 0, 8))
+	r := newTestForwarder(t, modelEngine("a1", "a", 0, 8), modelEngine("a2", "a", 0, 8))
 	r.Budget = citronbudget.New(citronbudget.Limits{Window: 10 * time.Second})
 	rounds := 0
 	r.Borrow = func(service string) bool {
--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -19,7 +19,7 @@
 // request had not run, the caller would send it again and it would be executed twice.
 func TestAnswerLostUntilDeadlineIsNeverNotRun(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plainEngine("e1", "a"), plainEngine("e2", "b"))
+	r := newTestForwarder(t, plainEngine("e1", "a"), plainEngine("e2", "b"))
 	r.engines.answer = func(ctx context.Context, _ int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -34,7 +34,7 @@
 // it and sent nothing until the deadline.
 func TestSilentStreamAtDeadlineIsNeverNotRun(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, modelEngine("m1", "a", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8))
 	r.engines.answer = func(ctx context.Context, _ int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -78,7 +78,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, plainEngine("e1", "a"), plainEngine("e2", "a"), plainEngine("e3", "a"))
+			r := newTestForwarder(t, plainEngine("e1", "a"), plainEngine("e2", "a"), plainEngine("e3", "a"))
 			r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 				if n == 0 {
 					return c.first()
@@ -96,7 +96,7 @@
 // idempotent request that fails at every engine gets the last engine's response.
 func TestLastFailureIsPassedOn(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plainEngine("e1", "a"), plainEngine("e2", "a"))
+	r := newTestForwarder(t, plainEngine("e1", "a"), plainEngine("e2", "a"))
 	r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
 		return reply(500, "broken"), nil
 	}
@@ -110,7 +110,7 @@
 // run, so the caller is told at once when to retry.
 func TestNoEngineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
+	r := newTestForwarder(t)
 	begin := time.Now()
 	got := r.ask("unsafe", 10*time.Second)
 	is.Equal(got.status, http.StatusServiceUnavailable)
@@ -122,7 +122,7 @@
 // another engine.
 func TestSafeRequestIsRetriedIfEngineHangs(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plainEngine("e1", "a"), plainEngine("e2", "a"))
+	r := newTestForwarder(t, plainEngine("e1", "a"), plainEngine("e2", "a"))
 	r.engines.answer = func(ctx context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		if n == 0 {
 			<-ctx.Done()
@@ -149,7 +149,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, plainEngine("e1", "a"))
+			r := newTestForwarder(t, plainEngine("e1", "a"))
 			r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
 				return reply(200, "done"), nil
 			}
@@ -162,7 +162,7 @@
 // callers would give up permanently.
 func TestNoConfigurationIsNeverNotFound(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
+	r := newTestForwarder(t)
 	r.Current = func() *citronforward.State { return nil }
 	got := r.ask("nowhere", time.Second)
 	is.Equal(got.status, http.StatusServiceUnavailable)
