--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -13,9 +13,9 @@
 	"github.com/matryer/is"
 )
 
-// crashing makes every engine end as soon as it begins to run a request: its response
+// crashEachEngine makes every engine end as soon as it begins to run a request: its response
 // breaks off after text, and its address refuses connections.
-func (r *testForwarder) crashing(text string) {
+func (r *testForwarder) crashEachEngine(text string) {
 	crashed := map[string]bool{}
 	r.engines.answer = func(_ context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		r.engines.mu.Lock()
@@ -57,7 +57,7 @@
 func TestRunOnCrashedEngineCountsAsAttempt(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, fourEngines()...)
-	r.crashing("")
+	r.crashEachEngine("")
 	got := r.ask("stream", time.Second)
 	is.Equal(len(r.engines.received()), 2) // the route allows two attempts
 	is.Equal(got.status, 502)              // it may have run, so no retry is invited
@@ -68,7 +68,7 @@
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, fourEngines()...)
-	r.crashing("")
+	r.crashEachEngine("")
 	is.Equal(r.ask("stream", time.Second).status, 502)
 	is.Equal(r.ask("stream", time.Second).status, 502)
 	is.Equal(len(r.engines.received()), 3) // the third crash quarantines the request
@@ -88,7 +88,7 @@
 func TestCrashesOfAnUnsafeRequestAreCounted(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, plainEngine("p1", "a"), plainEngine("p2", "a"), plainEngine("p3", "a"), plainEngine("p4", "a"))
-	r.crashing("half an ans")
+	r.crashEachEngine("half an ans")
 	for range 3 {
 		is.Equal(r.ask("unsafe", time.Second).status, 502)
 	}
@@ -101,7 +101,7 @@
 func TestBrokenAnswerOfRunningEngineIsNoCrash(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, fourEngines()...)
-	r.crashing("")
+	r.crashEachEngine("")
 	r.engines.report = nil
 	for range 5 {
 		is.Equal(r.ask("stream", time.Second).status, 502)
@@ -116,7 +116,7 @@
 func TestStreamThatRanWellIsNotSuspect(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, fourEngines()...)
-	r.crashing("")
+	r.crashEachEngine("")
 	r.restarting()
 	crash := r.engines.answer
 	r.engines.answer = func(ctx context.Context, n int, c citronupstream.Call) (*citronupstream.Reply, error) {
