--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// restarting makes a restarted engine answer at the address of each engine that
+// restartCrashedEngines makes a restarted engine answer at the address of each engine that
 // crashed.
-func (r *testForwarder) restarting() {
+func (r *testForwarder) restartCrashedEngines() {
 	report := r.engines.report
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		rep, err := report(addr)
@@ -117,7 +117,7 @@
 	is := is.New(t)
 	r := newTestForwarder(t, fourEngines()...)
 	r.crashEachEngine("")
-	r.restarting()
+	r.restartCrashedEngines()
 	crash := r.engines.answer
 	r.engines.answer = func(ctx context.Context, n int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		switch n {
