--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -13,10 +13,10 @@
 	"github.com/matryer/is"
 )
 
-// limit makes engines announce a rate limit and answers permit requests with the
+// setRateLimits makes engines announce a rate limit and answers permit requests with the
 // decision given per engine. For each engine, asked holds the maxWait of every permit
 // request so far.
-func (r *testForwarder) limit(decide map[string]citronpermit.Decision) (asked map[string][]time.Duration) {
+func (r *testForwarder) setRateLimits(decide map[string]citronpermit.Decision) (asked map[string][]time.Duration) {
 	asked = map[string][]time.Duration{}
 	for id := range decide {
 		r.Limits.Observe(id, r.Limits.Get(id), citronupstream.PerSecond(2))
@@ -45,7 +45,7 @@
 			is := is.New(t)
 			r := newTestForwarder(t, plainEngine("p1", "a"), plainEngine("p2", "b"), modelEngine("m1", "a", 0, 8), modelEngine("m2", "b", 0, 8))
 			r.engines.answer = answersOK
-			asked := r.limit(map[string]citronpermit.Decision{"p1": deniedForLong, "m1": deniedForLong})
+			asked := r.setRateLimits(map[string]citronpermit.Decision{"p1": deniedForLong, "m1": deniedForLong})
 			for range 3 {
 				is.Equal(r.ask(route, time.Second).status, http.StatusOK)
 			}
@@ -67,7 +67,7 @@
 			r := newTestForwarder(t, plainEngine("p1", "a"), plainEngine("p2", "b"), modelEngine("m1", "a", 0, 8))
 			r.engines.answer = answersOK
 			busy := citronpermit.Denied{AvailableIn: 30 * time.Second, RetryAfter: time.Millisecond}
-			asked := r.limit(map[string]citronpermit.Decision{"p1": busy, "p2": busy, "m1": busy})
+			asked := r.setRateLimits(map[string]citronpermit.Decision{"p1": busy, "p2": busy, "m1": busy})
 			from := time.Now()
 			c := r.ask(route, 4*time.Second)
 			is.True(c.refused)
@@ -88,7 +88,7 @@
 	is := is.New(t)
 	r := newTestForwarder(t, plainEngine("p1", "a"))
 	r.engines.answer = answersOK
-	asked := r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{}})
+	asked := r.setRateLimits(map[string]citronpermit.Decision{"p1": citronpermit.Granted{}})
 	r.Permit = func(_ context.Context, _ *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
 		asked["p1"] = append(asked["p1"], maxWait)
 		if maxWait == 0 {
@@ -109,7 +109,7 @@
 	is := is.New(t)
 	r := newTestForwarder(t, plainEngine("p1", "a"))
 	r.engines.answer = answersOK
-	r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{Wait: 100 * time.Millisecond}})
+	r.setRateLimits(map[string]citronpermit.Decision{"p1": citronpermit.Granted{Wait: 100 * time.Millisecond}})
 	time.AfterFunc(30*time.Millisecond, func() {
 		e, _ := r.view.ByID("p1")
 		e.MarkReplaced(time.Now())
@@ -123,7 +123,7 @@
 	t.Run("resume", func(t *testing.T) {
 		is := is.New(t)
 		r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "b", 0, 8))
-		asked := r.limit(map[string]citronpermit.Decision{"m2": citronpermit.Granted{}})
+		asked := r.setRateLimits(map[string]citronpermit.Decision{"m2": citronpermit.Granted{}})
 		r.engines.answer = func(ctx context.Context, n int, c citronupstream.Call) (*citronupstream.Reply, error) {
 			if n == 0 && c.Engine.ID == "m1" {
 				return reply(http.StatusOK, "id: 1\ndata: x\n\nid: 2\nda"), nil
@@ -137,7 +137,7 @@
 	t.Run("move", func(t *testing.T) {
 		is := is.New(t)
 		r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8), modelEngine("m4", "a", 4, 8))
-		r.limit(map[string]citronpermit.Decision{"m2": citronpermit.Granted{}, "m3": citronpermit.Granted{}, "m4": citronpermit.Granted{}})
+		r.setRateLimits(map[string]citronpermit.Decision{"m2": citronpermit.Granted{}, "m3": citronpermit.Granted{}, "m4": citronpermit.Granted{}})
 		var asked []string
 		r.Permit = func(_ context.Context, e *citronpool.Engine, _ time.Duration) citronpermit.Decision {
 			if asked = append(asked, e.ID); len(asked) == 2 {
@@ -190,7 +190,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			r := newTestForwarder(t, plainEngine("p1", "a"))
-			r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{}})
+			r.setRateLimits(map[string]citronpermit.Decision{"p1": citronpermit.Granted{}})
 			time.Sleep(1100 * time.Millisecond) // a limit lasts for at least one second
 			r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
 				rep := c.reply()
