--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -48,7 +48,7 @@
 func TestRetriesByKindAndOutcome(t *testing.T) {
 	lost := func() (*citronupstream.Reply, error) { return nil, errReset }
 	notSent := func() (*citronupstream.Reply, error) { return nil, errors.Mark(errReset, citronupstream.ErrNotSent) }
-	foreign := func() (*citronupstream.Reply, error) {
+	wrongResponse := func() (*citronupstream.Reply, error) {
 		return nil, errors.Mark(errReset, citronupstream.ErrWrongResponse)
 	}
 	fails := func() (*citronupstream.Reply, error) { return reply(500, "broken"), nil }
@@ -66,8 +66,8 @@
 	}{
 		{"safe, answer lost", "safe", lost, 2, 200},
 		{"unsafe, answer lost", "unsafe", lost, 1, 502},
-		{"safe, another's answer", "safe", foreign, 2, 200},
-		{"unsafe, another's answer", "unsafe", foreign, 1, 502},
+		{"safe, another's answer", "safe", wrongResponse, 2, 200},
+		{"unsafe, another's answer", "unsafe", wrongResponse, 1, 502},
 		{"safe, not sent", "safe", notSent, 2, 200},
 		{"unsafe, not sent", "unsafe", notSent, 2, 200},
 		{"safe, engine full", "safe", full, 2, 200},
