--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -17,7 +17,7 @@
 // Guards against telling the caller that a request did not run when it may have run. An
 // engine accepts a request and never answers. If the response at the deadline said that the
 // request had not run, the caller would send it again and it would be executed twice.
-func TestAnswerLostUntilDeadlineIsNeverNotRun(t *testing.T) {
+func TestUnansweredRequestIsNotReportedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, plainEngine("e1", "a"), plainEngine("e2", "b"))
 	r.engines.answer = func(ctx context.Context, _ int, _ citronupstream.Call) (*citronupstream.Reply, error) {
