--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -32,7 +32,7 @@
 
 // Guards against telling the caller that a stream did not run when its engines accepted
 // it and sent nothing until the deadline.
-func TestSilentStreamAtDeadlineIsNeverNotRun(t *testing.T) {
+func TestSilentStreamIsNotReportedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8))
 	r.engines.answer = func(ctx context.Context, _ int, _ citronupstream.Call) (*citronupstream.Reply, error) {
