--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -160,7 +160,7 @@
 
 // Guards against a node without a configuration that reports a route or key as unknown:
 // callers would give up permanently.
-func TestNoConfigurationIsNeverNotFound(t *testing.T) {
+func TestMissingConfigurationIsNotReportedAsNotFound(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t)
 	r.Current = func() *citronforward.State { return nil }
