--- a/citronforward/admit_test.go
+++ b/citronforward/admit_test.go
@@ -37,7 +37,7 @@
 
 // Guards against a retry delay that is longer than callers wait, and against callers
 // that all retry at the same moment.
-func TestTimeToReturnIsSpreadOverWhatCallersWait(t *testing.T) {
+func TestRetryDelayIsSpreadAndShorterThanCallersWait(t *testing.T) {
 	is := is.New(t)
 	for _, left := range []time.Duration{0, time.Second, 20 * time.Second} {
 		first, last := spreadRetryAfter(left, 0), spreadRetryAfter(left, 1)
