--- a/citronforward/admit_test.go
+++ b/citronforward/admit_test.go
@@ -24,7 +24,7 @@
 
 // Guards against refusing callers twice, after which they give up: caches stay full for
 // as long as most streams last.
-func TestRefusedCallersReturnAfterTheSurge(t *testing.T) {
+func TestFewRefusedCallersRetryDuringSurge(t *testing.T) {
 	is := is.New(t)
 	const surge, left = 5 * time.Second, 20 * time.Second
 	early := refusedAgain(surge, func(drawn float64) time.Duration {
