--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -105,7 +105,7 @@
 
 // Guards against sending a request to an engine that began to leave while the request
 // waited for its permit.
-func TestRequestThatWaitedIsNotSentToALeavingEngine(t *testing.T) {
+func TestRequestThatWaitedIsNotSentToReplacedEngine(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, plainEngine("p1", "a"))
 	r.engines.answer = answersOK
