--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -108,8 +108,8 @@
 // sampleEvery is the number of completed requests for each one that is logged.
 const sampleEvery = 50
 
-// answered logs the first of every sampleEvery completed requests.
-func (j *job) answered(args ...any) {
+// logSample logs the first of every sampleEvery completed requests.
+func (j *job) logSample(args ...any) {
 	if j.f.answers.Add(1)%sampleEvery == 1 {
 		citronevent.Log(context.Background(), j.f.Log, citronevent.AnswerSampled, append([]any{"request", j.ID, "route", j.route.Name, "version", j.version, "list", j.list.String(), "took", j.f.Clock.Now().Sub(j.Received)}, args...)...)
 	}
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -267,7 +267,7 @@
 	if s.firstEventTook > s.route.TargetLatency || s.maxPause > s.route.MaxEventGap {
 		citronevent.Log(ctx, s.f.Log, citronevent.StreamLate, "request", s.ID, "first", s.firstEventTook, "pause", s.maxPause, "afterEvent", s.maxPauseAfter, "moves", s.pathChanges, "runs", s.runs+1, "engine", s.path[0].Engine.ID, "zone", s.path[0].Engine.Zone)
 	}
-	s.answered("first", s.firstEventTook, "pause", s.maxPause, "moves", s.pathChanges, "runs", s.runs+1, "engine", s.path[0].Engine.ID)
+	s.logSample("first", s.firstEventTook, "pause", s.maxPause, "moves", s.pathChanges, "runs", s.runs+1, "engine", s.path[0].Engine.ID)
 }
 
 // canResume reports whether another run may continue the stream after the last
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -81,7 +81,7 @@
 			j.markSuccessful()
 			j.f.Metrics.UnaryDuration.Observe(j.f.Clock.Now().Sub(j.Received).Seconds())
 			j.out.Answer(res.status, res.header, res.body)
-			j.answered("engine", e.ID, "status", res.status, "runs", j.runs+1)
+			j.logSample("engine", e.ID, "status", res.status, "runs", j.runs+1)
 			return
 		}
 		j.logAttempt(e, res)
