--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -101,8 +101,8 @@
 	// invalidLimits holds the IDs of the engines whose invalid rate limit has been
 	// logged, so that each is logged only once.
 	invalidLimits sync.Map
-	// answers counts the requests that completed successfully.
-	answers atomic.Int64
+	// completed counts the requests that completed successfully.
+	completed atomic.Int64
 }
 
 // sampleEvery is the number of completed requests for each one that is logged.
@@ -110,7 +110,7 @@
 
 // logSample logs the first of every sampleEvery completed requests.
 func (j *job) logSample(args ...any) {
-	if j.f.answers.Add(1)%sampleEvery == 1 {
+	if j.f.completed.Add(1)%sampleEvery == 1 {
 		citronevent.Log(context.Background(), j.f.Log, citronevent.AnswerSampled, append([]any{"request", j.ID, "route", j.route.Name, "version", j.version, "list", j.list.String(), "took", j.f.Clock.Now().Sub(j.Received)}, args...)...)
 	}
 }
