--- a/citronforward/admit_test.go
+++ b/citronforward/admit_test.go
@@ -12,10 +12,10 @@
 // of them retry before it ends.
 func refusedAgain(surge time.Duration, after func(drawn float64) time.Duration) int {
 	const callers = 100_000
-	drawn := rand.New(rand.NewPCG(3, 4))
+	rng := rand.New(rand.NewPCG(3, 4))
 	n := 0
 	for range callers {
-		if at := time.Duration(drawn.Int64N(int64(surge))); at+after(drawn.Float64()) < surge {
+		if at := time.Duration(rng.Int64N(int64(surge))); at+after(rng.Float64()) < surge {
 			n++
 		}
 	}
--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -101,11 +101,13 @@
 	// invalidLimits holds the IDs of the engines whose invalid rate limit has been
 	// logged, so that each is logged only once.
 	invalidLimits sync.Map
-	// completed counts the requests that completed successfully.
+	// completed counts the unary requests that succeeded, and the streams that were
+	// completed or ended by an engine's failure response.
 	completed atomic.Int64
 }
 
-// sampleEvery is the number of completed requests for each one that is logged.
+// sampleEvery is the sampling interval of the log: one in sampleEvery completed requests is
+// logged.
 const sampleEvery = 50
 
 // logSample logs the first of every sampleEvery completed requests.
@@ -147,7 +149,7 @@
 	// retryAfter is the delay that a refusal tells the caller to wait before it
 	// retries.
 	retryAfter time.Duration
-	// permits tracks the permits requested from engines that have a rate limit.
+	// permits tracks the permits that this request has asked for.
 	permits permits
 	// reachedLimit is the limit that prevented the last retry, if any.
 	reachedLimit retryLimit
--- a/citronforward/leaving_test.go
+++ b/citronforward/leaving_test.go
@@ -13,11 +13,11 @@
 // running when they are due to move.
 func movedStreams(window time.Duration) int {
 	const streams, maxDuration = 1000, 5 * time.Second
-	drawn := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	moved := 0
 	for range streams {
-		left := time.Duration(drawn.Int64N(int64(maxDuration)))
-		if turn := replacementWait + time.Duration(drawn.Int64N(int64(window))); left > turn {
+		left := time.Duration(rng.Int64N(int64(maxDuration)))
+		if moveAfter := replacementWait + time.Duration(rng.Int64N(int64(window))); left > moveAfter {
 			moved++
 		}
 	}
@@ -34,8 +34,8 @@
 		is.True(maxZoneWait(drain) < drain)
 		is.True(last > drain*3/4)
 	}
-	fixed, fitted := movedStreams(moveWindow(defaultDrain)), movedStreams(moveWindow(3*time.Second))
-	t.Logf("of 1000 streams %d are moved, %d if an engine serves on for 3 s", fixed, fitted)
-	is.True(fitted < fixed*9/10)
+	byDefault, in3s := movedStreams(moveWindow(defaultDrain)), movedStreams(moveWindow(3*time.Second))
+	t.Logf("of 1000 streams %d are moved with the default drain period, %d with one of 3 s", byDefault, in3s)
+	is.True(in3s < byDefault*9/10)
 	is.Equal(moveWindow(time.Second), minMoveWindow)
 }
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -103,8 +103,8 @@
 	is.True(asked["p1"][1] > 400*time.Millisecond && asked["p1"][1] <= 500*time.Millisecond)
 }
 
-// Guards against sending a request to an engine that began to leave while the request
-// waited for its permit.
+// Guards against sending a request to an engine that was replaced by another process while
+// the request waited for its permit.
 func TestRequestThatWaitedIsNotSentToReplacedEngine(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, plainEngine("p1", "a"))
--- a/citronforward/metrics.go
+++ b/citronforward/metrics.go
@@ -18,7 +18,8 @@
 	UnaryDuration prometheus.Histogram
 }
 
-// latencyBuckets spans 5 ms to 20 s, from a cached response to the longest deadline.
+// latencyBuckets spans 5 ms, as for a cached response, to 20 s. Requests may have later
+// deadlines than that: defaultWait is 30 s.
 var latencyBuckets = prometheus.ExponentialBuckets(0.005, 2, 13)
 
 // NewMetrics returns metrics that are registered with r.
