--- a/citronkv/kv.go
+++ b/citronkv/kv.go
@@ -1,7 +1,7 @@
 // Package citronkv is the interface between citrondeck and the platform's
 // key-value service, which holds all durable state. Callers use only the Store
 // interface. Client talks to the fake service in this package (Server); a client
-// for the real service can replace it without changes to callers.
+// for the real service can replace Client without changes to callers.
 //
 // The service offers compare-and-swap on a per-key revision, leases with a
 // time to live, and watches. It is not always available: it can be down or slow
@@ -53,14 +53,15 @@
 	// are special values of expect. If lease is not zero, the key is deleted
 	// when the lease ends; Put returns ErrLeaseExpired if it already has.
 	Put(ctx context.Context, key string, value []byte, expect Revision, lease LeaseID) (Revision, error)
-	// Delete removes key if its revision equals expect. Otherwise it returns
-	// ErrConflict, or ErrNotFound if the key does not exist.
+	// Delete removes key if its revision equals expect or expect is
+	// AnyRevision. Otherwise it returns ErrConflict. It returns ErrNotFound if
+	// the key does not exist.
 	Delete(ctx context.Context, key string, expect Revision) error
-	// Watch waits until a key that starts with prefix has a change whose
-	// revision is later than the parameter after, or until the maximum wait
-	// passes. It returns these changes and the store revision, or ErrCompacted
-	// if the service no longer holds all of them. A waiting watch costs the
-	// service one call.
+	// Watch waits until a key that starts with prefix has changed at a revision
+	// later than after, but no longer than the implementation's maximum wait. It
+	// returns these changes, if any, and the store revision. It returns
+	// ErrCompacted if the service no longer holds all of them or if after
+	// belongs to another era. A waiting watch costs the service one call.
 	Watch(ctx context.Context, prefix string, after Revision) ([]Item, Revision, error)
 	// Grant creates a lease that expires after ttl unless KeepAlive renews it.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
--- a/citronkv/revision.go
+++ b/citronkv/revision.go
@@ -17,7 +17,7 @@
 // and After compare revisions; the zero Revision sorts before all writes.
 type Revision struct{ era, number int64 }
 
-// Special expected revisions for Put and Delete.
+// Special expected revisions: AnyRevision for Put and Delete, Absent for Put.
 var (
 	// AnyRevision applies the operation regardless of the current revision.
 	AnyRevision = Revision{number: -1}
@@ -123,12 +123,13 @@
 	return r.unpack(packed)
 }
 
+// unpack sets r to the revision that Packed encodes as packed.
 func (r *Revision) unpack(packed int64) error {
 	switch {
 	case packed == AnyRevision.number:
 		*r = AnyRevision
 	case packed < 0:
-		return errors.Newf("revision is %d", packed)
+		return errors.Newf("packed revision %d is negative", packed)
 	default:
 		*r = Revision{era: packed >> numberBits, number: packed & MaxNumber}
 	}
