--- a/citronload/caller.go
+++ b/citronload/caller.go
@@ -44,8 +44,8 @@
 	TTLSeconds int `json:"ttl_seconds"`
 }
 
-// directory caches a caller's list of entries for its time to live.
-type directory struct {
+// entryCache caches a caller's list of entries for its time to live.
+type entryCache struct {
 	hc   *http.Client
 	seed string // the entry to ask first
 	zone string
@@ -60,7 +60,7 @@
 // non-empty list, it returns the old list and does not ask again for a second. The
 // error is then that of the last entry asked, or nil if that entry returned an
 // empty list. Calls during that second return the old list without an error.
-func (d *directory) list(ctx context.Context) ([]string, error) {
+func (d *entryCache) list(ctx context.Context) ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if time.Now().Before(d.expires) {
@@ -108,7 +108,7 @@
 // submit sends one request until it has a final response or its tries are used
 // up. Each try goes to another entry while there is an untried one. A request to a
 // non-idempotent service carries the same idempotency key in all tries.
-func submit(ctx context.Context, hc *http.Client, p Plan, dir *directory, j job) outcome {
+func submit(ctx context.Context, hc *http.Client, p Plan, dir *entryCache, j job) outcome {
 	customer := p.Fleet.Customers[j.index%len(p.Fleet.Customers)].Name
 	b := submitRequest{Customer: customer}
 	if float64(j.index%100) < 100*p.Urgent {
--- a/citronload/load.go
+++ b/citronload/load.go
@@ -50,7 +50,7 @@
 
 // Run sends the surge and checks every response.
 func Run(ctx context.Context, hc *http.Client, p Plan) (Report, error) {
-	dir := &directory{hc: hc, seed: p.Entry, zone: p.Zone}
+	dir := &entryCache{hc: hc, seed: p.Entry, zone: p.Zone}
 	entries, err := dir.list(ctx)
 	if err != nil {
 		return Report{}, err
