--- a/citronyaml/yaml.go
+++ b/citronyaml/yaml.go
@@ -1,6 +1,7 @@
 // Package citronyaml decodes the YAML files that operators write: fleet texts
 // and settings. Decoding is strict: an unknown field is an error. Every error
-// names the file, the line and the column.
+// names the file, the line and the column; those of an invalid duration are
+// found by its text (see findValue).
 package citronyaml
 
 import (
@@ -50,9 +51,11 @@
 	return nil
 }
 
-// findValue returns the position of the first value that equals s, or 0, 0 if
-// there is none. It is needed because the YAML library does not pass a position
-// to custom decoders.
+// findValue returns the position of the first token whose text equals s, or 0, 0
+// if there is none. The token may be an earlier key or value than the one that
+// was decoded. A list, a map or a string with escapes matches no token. The
+// search is needed because the YAML library does not pass a position to custom
+// decoders.
 func findValue(text []byte, s string) (line, col int) {
 	for _, t := range lexer.Tokenize(string(text)) {
 		if t.Value == s {
