--- a/citronstat/store.go
+++ b/citronstat/store.go
@@ -26,7 +26,7 @@
 	err  error
 	name string
 }{
-	{citronkv.ErrLeaseExpired, "leaseExpired"}, // also matches ErrNotFound, so it is checked first
+	{citronkv.ErrLeaseExpired, "leaseExpired"}, // checked first: the platform's store returns it marked as ErrNotFound too
 	{citronkv.ErrNotFound, "notFound"},
 	{citronkv.ErrConflict, "conflict"},
 	{citronkv.ErrCompacted, "compacted"},
