--- a/citronprobe/heard_test.go
+++ b/citronprobe/heard_test.go
@@ -11,10 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// A report may come from another incarnation than the one in the list: an engine
-// that restarted at the same address refuses all requests that the list sends
-// through it. The start time and the layers in the report must decide whether the
-// engine remains usable.
+// A report may come from another incarnation than the one in the list. If an engine
+// has restarted at the same address, it refuses the requests that are still sent to
+// it for the listed layers. The start time and the layers in the report must decide
+// whether the engine remains usable.
 func TestRecordReport(t *testing.T) {
 	held := citronmodel.Span{From: 2, To: 6}
 	layers := func(from, to int) *citronmodel.Span { return &citronmodel.Span{From: from, To: to} }
