--- a/citronpermit/choose.go
+++ b/citronpermit/choose.go
@@ -5,10 +5,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// IssuerFor returns the node that issues the permits for an engine. It prefers nodes in
-// the engine's zone, because they send the engine the most requests, and within or outside
-// that zone the nodes that have processor time to spare. Rendezvous hashing decides
-// between nodes that are equal in both. It returns false if all nodes are leaving.
+// IssuerFor returns the node that issues the permits for an engine. Nodes in the engine's
+// zone come first, because they send the engine the most requests. In the
+// zone and outside of it, nodes that have processor time to spare come first (Member.Weak).
+// Rendezvous hashing decides between nodes that are equal in both. It returns false if no
+// node is left that is not leaving.
 func IssuerFor(engine, zone string, nodes []citronpeer.Member) (citronpeer.Member, bool) {
 	var best citronpeer.Member
 	var bestRank rank
--- a/citronpermit/model_test.go
+++ b/citronpermit/model_test.go
@@ -114,8 +114,7 @@
 
 // Guards against a strategy that respects the limit only with few nodes, or that leaves
 // the engine idle when only few nodes have requests for it. The used share of the limit is
-// measured after the first seconds, in which the issuer warms up and nodes do not know the
-// limit or have only just learned of it.
+// measured after the first seconds, in which a new issuer issues only half of the limit.
 func TestPermitsKeepLimitAtAnyFleetSize(t *testing.T) {
 	const duration, stabilized = 60 * time.Second, 5 * time.Second
 	for _, nodes := range []int{1, 9, 65, 295, 1200} {
@@ -168,7 +167,8 @@
 	return out
 }
 
-// ask makes a node ask the issuer for a permit, and reports whether it is granted.
+// ask makes a node ask for a permit, and reports whether it is granted. No permit is granted
+// by a node that has ended, is frozen, or believes that another node is the issuer.
 func (f *fleet) ask(node int, perSecond float64, now time.Time) bool {
 	issuer, ok := citronpermit.IssuerFor(engineID, "z0", f.view(node, now))
 	if !ok {
