--- a/citronload/report.go
+++ b/citronload/report.go
@@ -20,7 +20,7 @@
 	Sent, Served, Replayed int64
 	NotRun, Unknown, Lost  int64
 	// Misdelivered requests got a wrong response. Doubled is the number of
-	// idempotency keys that ran more than once.
+	// idempotency keys whose request a plain service ran more than once.
 	Misdelivered, Doubled int64
 	Tokens                int64
 	Elapsed               time.Duration
@@ -49,7 +49,8 @@
 	nonIdempotent bool
 }
 
-// add counts one request.
+// add counts one request. One that ended with another error code than those listed
+// counts only as sent.
 func (r *Report) add(o outcome) {
 	r.Sent++
 	r.FailedTries += o.failedTries
