--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -59,14 +59,14 @@
 	// targets are the layer ranges that engines are to hold but don't hold
 	// yet.
 	targets targetSet
-	// dead is when an engine was found dead: it failed the leader's own check
-	// or refused too many orders. lastChecked is when an engine was last
-	// checked.
+	// dead holds, by engine ID, when an engine was found dead: it failed the
+	// leader's own check or refused too many orders. lastChecked holds when an
+	// engine was last checked; checkEngine changes it to check again sooner.
 	dead, lastChecked map[string]time.Time
-	// missed is when an engine reported by only one node last failed to
+	// missed holds when an engine that only one node reports last failed to
 	// answer a check.
 	missed map[string]time.Time
-	// joined is when an engine was first listed.
+	// joined holds when an engine was first listed.
 	joined map[string]time.Time
 	// dirty is set if an input of placement has changed since the last
 	// decision. decidedEngines is the list on which that decision was based.
@@ -195,9 +195,9 @@
 	}
 }
 
-// maxConcurrentCalls limits the engines that are called at once. Otherwise the first
-// placement of a hundred engines would open a hundred connections at the same time,
-// which time out on a small machine.
+// maxConcurrentCalls limits how many engines are sent an order at the same time.
+// Otherwise the first placement of a hundred engines would open a hundred connections at
+// once, which time out on a small machine.
 const maxConcurrentCalls = 16
 
 // sendDueOrders sends the orders that are due, each in a goroutine.
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -41,7 +41,7 @@
 	// restarted is the address of an engine that has restarted and has
 	// accepted no order since.
 	restarted string
-	// misses is the number of questions that an engine leaves unanswered
+	// misses is the number of State calls that an engine leaves unanswered
 	// before it answers again, by address.
 	misses map[string]int
 	// place returns the result of the n-th order, counted from 1. If it is
@@ -216,9 +216,9 @@
 	is.Equal(e.orders()[0].span, citronmodel.Span{From: 4, To: 8})
 }
 
-// TestEngineThatRefusesOrdersIsReplaced checks that the layers of an engine that answers
-// questions but refuses every order go to another engine after maxRefusals attempts. A
-// gap must not wait for a failing engine.
+// TestEngineThatRefusesOrdersIsReplaced checks that a gap is filled by another engine if
+// the engine that was ordered to fill it answers State calls but refuses maxRefusals
+// orders. A gap must not wait for a failing engine.
 func TestEngineThatRefusesOrdersIsReplaced(t *testing.T) {
 	e := &fakeEngines{}
 	e.place = func(int) error {
@@ -277,7 +277,7 @@
 
 // TestEngineThatLostItsLayersIsReplaced simulates an engine that crashes and restarts while
 // it is cut off from the store, and doesn't report its start time. The list still contains
-// its old layers, and the engine answers every question, so it isn't dead. But it has
+// its old layers, and the engine answers every State call, so it isn't dead. But it has
 // accepted no order since it started, so it can't hold them. Its layers must be placed at
 // once and not when its entry expires, or the zone rejects callers for four seconds.
 func TestEngineThatLostItsLayersIsReplaced(t *testing.T) {
