--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -251,12 +251,12 @@
 	is.Equal(len(e.orders()), 0)
 }
 
-// TestOneMissedCheckIsNotDeath simulates a leader that is short of processor time
+// TestEngineIsNotDeadAfterOneMissedCheck simulates a leader that is short of processor time
 // during a burst. It misses the answers of an engine to a request and to the check that
 // follows; no other node reports the engine. The leader must check again before
 // anything is moved. When one missed check was enough, thirty healthy engines were
 // replaced within three seconds and their zones repartitioned.
-func TestOneMissedCheckIsNotDeath(t *testing.T) {
+func TestEngineIsNotDeadAfterOneMissedCheck(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8))
 	s.DeadReports["e2"] = 1
 	e := &fakeEngines{misses: map[string]int{"e2": 1}}
