--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -265,9 +265,9 @@
 	is.New(t).Equal(len(e.orders()), 0)
 }
 
-// TestTwoMissedChecksAreDeath checks that an engine that also misses the second check is
+// TestEngineIsDeadAfterTwoMissedChecks checks that an engine that also misses the second check is
 // dead, although only one node reports it, and that its layers are placed.
-func TestTwoMissedChecksAreDeath(t *testing.T) {
+func TestEngineIsDeadAfterTwoMissedChecks(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 4))
 	s.DeadReports["e2"] = 1
 	e := &fakeEngines{dead: "e2"}
