--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -100,7 +100,7 @@
 	return citronmodel.Engine{ID: id, Service: "m", Addr: id, Zone: "z", Kind: "fast", Layers: citronmodel.Span{From: from, To: to}}
 }
 
-func run(t *testing.T, e *fakeEngines, s *citronplacer.State) {
+func startPlacer(t *testing.T, e *fakeEngines, s *citronplacer.State) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &citronplacer.Placer{EngineClient: e, Clock: citronclock.Real{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Current: func() *citronplacer.State { return s }}
@@ -131,7 +131,7 @@
 		}
 		return nil
 	}}
-	run(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0)))
+	startPlacer(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0)))
 	eventually(t, "a second order", func() bool { return len(e.orders()) >= 2 })
 	got := e.orders()
 	is.Equal(got[0], got[1])
@@ -145,7 +145,7 @@
 func TestBusyEngineGetsNoOrder(t *testing.T) {
 	is := is.New(t)
 	e := &fakeEngines{state: citronplace.EngineState{Busy: true}}
-	run(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0)))
+	startPlacer(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0)))
 	time.Sleep(500 * time.Millisecond)
 	is.Equal(len(e.orders()), 0)
 	e.set(func() { e.state.Busy = false })
@@ -159,7 +159,7 @@
 	s := state(engine("e1", 0, 4), engine("e2", 0, 0))
 	s.ListComplete = false
 	e := &fakeEngines{}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	time.Sleep(500 * time.Millisecond)
 	is.New(t).Equal(len(e.orders()), 0)
 }
@@ -171,7 +171,7 @@
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 4))
 	s.DeadReports["e2"] = 2
 	e := &fakeEngines{dead: "e2"}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	gap := citronmodel.Span{From: 4, To: 8}
 	eventually(t, "an order for the gap", func() bool {
 		for _, g := range e.orders() {
@@ -193,7 +193,7 @@
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8))
 	s.DeadReports["e2"] = 3
 	e := &fakeEngines{}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	time.Sleep(1200 * time.Millisecond)
 	is.New(t).Equal(len(e.orders()), 0)
 }
@@ -207,7 +207,7 @@
 	s := state(engine("e1", 0, 4), engine("e2", 0, 0), engine("e3", 0, 0))
 	s.Targets = map[string]citronmodel.Span{"e3": {From: 4, To: 8}}
 	e := &fakeEngines{state: citronplace.EngineState{Busy: true}}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	time.Sleep(700 * time.Millisecond)
 	is.Equal(len(e.orders()), 0) // e3 is loading; no other engine is given its layers
 	e.set(func() { e.state.Busy = false })
@@ -227,7 +227,7 @@
 		}
 		return nil
 	}
-	run(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0), engine("e3", 0, 0)))
+	startPlacer(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0), engine("e3", 0, 0)))
 	gap := citronmodel.Span{From: 4, To: 8}
 	eventually(t, "the other empty engine is ordered to fill the gap", func() bool {
 		sent := e.orders()
@@ -246,7 +246,7 @@
 	listed := engine("e1", 0, 0)
 	listed.StartMS = 100
 	s := state(listed)
-	run(t, e, s)
+	startPlacer(t, e, s)
 	eventually(t, "the restart is recorded in the view", func() bool { return len(s.View.Restarted()) == 1 })
 	is.Equal(len(e.orders()), 0)
 }
@@ -260,7 +260,7 @@
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8))
 	s.DeadReports["e2"] = 1
 	e := &fakeEngines{misses: map[string]int{"e2": 1}}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	time.Sleep(1200 * time.Millisecond)
 	is.New(t).Equal(len(e.orders()), 0)
 }
@@ -271,7 +271,7 @@
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 4))
 	s.DeadReports["e2"] = 1
 	e := &fakeEngines{dead: "e2"}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	eventually(t, "an order for the gap", func() bool { return len(e.orders()) > 0 })
 }
 
@@ -284,7 +284,7 @@
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 0))
 	s.DeadReports["e2"] = 1
 	e := &fakeEngines{restarted: "e2"}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	gap := citronmodel.Span{From: 4, To: 8}
 	eventually(t, "an order for the gap", func() bool {
 		for _, g := range e.orders() {
