--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -83,7 +83,7 @@
 	return append([]sentOrder(nil), e.sent...)
 }
 
-func (e *fakeEngines) set(f func()) {
+func (e *fakeEngines) withLock(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f()
@@ -148,7 +148,7 @@
 	startPlacer(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0)))
 	time.Sleep(500 * time.Millisecond)
 	is.Equal(len(e.orders()), 0)
-	e.set(func() { e.state.Busy = false })
+	e.withLock(func() { e.state.Busy = false })
 	eventually(t, "the order", func() bool { return len(e.orders()) == 1 })
 }
 
@@ -210,7 +210,7 @@
 	startPlacer(t, e, s)
 	time.Sleep(700 * time.Millisecond)
 	is.Equal(len(e.orders()), 0) // e3 is loading; no other engine is given its layers
-	e.set(func() { e.state.Busy = false })
+	e.withLock(func() { e.state.Busy = false })
 	eventually(t, "the order is sent again once the engine is idle", func() bool { return len(e.orders()) > 0 })
 	is.Equal(e.orders()[0].engine, "e3")
 	is.Equal(e.orders()[0].span, citronmodel.Span{From: 4, To: 8})
