--- a/citronpermit/choose.go
+++ b/citronpermit/choose.go
@@ -6,10 +6,10 @@
 )
 
 // IssuerFor returns the node that issues the permits for an engine. Nodes in the engine's
-// zone come first, because they send the engine the most requests. In the
-// zone and outside of it, nodes that have processor time to spare come first (Member.Weak).
-// Rendezvous hashing decides between nodes that are equal in both. It returns false if no
-// node is left that is not leaving.
+// zone come first, because they send the engine the most requests. In the zone and outside
+// of it, nodes that have processor time to spare come first (Member.Weak). Rendezvous
+// hashing decides between nodes that are equal in both. It returns false if all nodes are
+// leaving.
 func IssuerFor(engine, zone string, nodes []citronpeer.Member) (citronpeer.Member, bool) {
 	var best citronpeer.Member
 	var bestRank rank
