--- a/citronforward/admit_test.go
+++ b/citronforward/admit_test.go
@@ -12,10 +12,10 @@
 // of them retry before it ends.
 func refusedAgain(surge time.Duration, after func(drawn float64) time.Duration) int {
 	const callers = 100_000
-	drawn := rand.New(rand.NewPCG(3, 4))
+	rng := rand.New(rand.NewPCG(3, 4))
 	n := 0
 	for range callers {
-		if at := time.Duration(drawn.Int64N(int64(surge))); at+after(drawn.Float64()) < surge {
+		if at := time.Duration(rng.Int64N(int64(surge))); at+after(rng.Float64()) < surge {
 			n++
 		}
 	}
@@ -24,7 +24,7 @@
 
 // Guards against refusing callers twice, after which they give up: caches stay full for
 // as long as most streams last.
-func TestRefusedCallersReturnAfterTheSurge(t *testing.T) {
+func TestFewRefusedCallersRetryDuringSurge(t *testing.T) {
 	is := is.New(t)
 	const surge, left = 5 * time.Second, 20 * time.Second
 	early := refusedAgain(surge, func(drawn float64) time.Duration {
@@ -37,7 +37,7 @@
 
 // Guards against a retry delay that is longer than callers wait, and against callers
 // that all retry at the same moment.
-func TestTimeToReturnIsSpreadOverWhatCallersWait(t *testing.T) {
+func TestRetryDelayIsSpreadAndShorterThanCallersWait(t *testing.T) {
 	is := is.New(t)
 	for _, left := range []time.Duration{0, time.Second, 20 * time.Second} {
 		first, last := spreadRetryAfter(left, 0), spreadRetryAfter(left, 1)
--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -13,9 +13,9 @@
 	"github.com/matryer/is"
 )
 
-// crashing makes every engine end as soon as it begins to run a request: its response
+// crashEachEngine makes every engine end as soon as it begins to run a request: its response
 // breaks off after text, and its address refuses connections.
-func (r *rig) crashing(text string) {
+func (r *testForwarder) crashEachEngine(text string) {
 	crashed := map[string]bool{}
 	r.engines.answer = func(_ context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		r.engines.mu.Lock()
@@ -35,9 +35,9 @@
 	}
 }
 
-// restarting makes a restarted engine answer at the address of each engine that
+// restartCrashedEngines makes a restarted engine answer at the address of each engine that
 // crashed.
-func (r *rig) restarting() {
+func (r *testForwarder) restartCrashedEngines() {
 	report := r.engines.report
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
 		rep, err := report(addr)
@@ -49,59 +49,59 @@
 }
 
 func fourEngines() []citronmodel.Engine {
-	return []citronmodel.Engine{engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "a", 0, 8), engine("m4", "a", 0, 8)}
+	return []citronmodel.Engine{modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "a", 0, 8), modelEngine("m4", "a", 0, 8)}
 }
 
 // Guards against a request that crashes every engine that begins to run it and is
 // retried beyond its route's attempts, because runs on crashed engines are not counted.
 func TestRunOnCrashedEngineCountsAsAttempt(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, fourEngines()...)
-	r.crashing("")
+	r := newTestForwarder(t, fourEngines()...)
+	r.crashEachEngine("")
 	got := r.ask("stream", time.Second)
-	is.Equal(len(r.engines.seen()), 2) // the route allows two attempts
-	is.Equal(got.status, 502)          // it may have run, so no retry is invited
+	is.Equal(len(r.engines.received()), 2) // the route allows two attempts
+	is.Equal(got.status, 502)              // it may have run, so no retry is invited
 }
 
 // Guards against a quarantined request that still reaches engines, waits for its
 // response, or whose caller is told to retry soon.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, fourEngines()...)
-	r.crashing("")
+	r := newTestForwarder(t, fourEngines()...)
+	r.crashEachEngine("")
 	is.Equal(r.ask("stream", time.Second).status, 502)
 	is.Equal(r.ask("stream", time.Second).status, 502)
-	is.Equal(len(r.engines.seen()), 3) // the third crash quarantines the request
+	is.Equal(len(r.engines.received()), 3) // the third crash quarantines the request
 	begin := time.Now()
 	got := r.ask("stream", 5*time.Second)
 	is.True(time.Since(begin) < 100*time.Millisecond)
 	is.Equal(got.status, 503) // it has not run under this id
 	is.True(got.retryAfter >= 50*time.Second)
-	is.Equal(len(r.engines.seen()), 3)
+	is.Equal(len(r.engines.received()), 3)
 	other := func(q *citronupstream.Request) { q.Body = []byte("another") }
 	r.ask("stream", time.Second, other)
-	is.True(len(r.engines.seen()) > 3)
+	is.True(len(r.engines.received()) > 3)
 }
 
 // Guards against missing the crashes of a request that is not idempotent: it runs once
 // per ID, and its caller sends it again under new IDs.
 func TestCrashesOfAnUnsafeRequestAreCounted(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plain("p1", "a"), plain("p2", "a"), plain("p3", "a"), plain("p4", "a"))
-	r.crashing("half an ans")
+	r := newTestForwarder(t, plainEngine("p1", "a"), plainEngine("p2", "a"), plainEngine("p3", "a"), plainEngine("p4", "a"))
+	r.crashEachEngine("half an ans")
 	for range 3 {
 		is.Equal(r.ask("unsafe", time.Second).status, 502)
 	}
 	is.Equal(r.ask("unsafe", time.Second).status, 503)
-	is.Equal(len(r.engines.seen()), 3)
+	is.Equal(len(r.engines.received()), 3)
 }
 
 // Guards against treating an engine that breaks off its responses as ended: it is still
 // running and may serve other requests.
 func TestBrokenAnswerOfRunningEngineIsNoCrash(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, fourEngines()...)
-	r.crashing("")
+	r := newTestForwarder(t, fourEngines()...)
+	r.crashEachEngine("")
 	r.engines.report = nil
 	for range 5 {
 		is.Equal(r.ask("stream", time.Second).status, 502)
@@ -115,9 +115,9 @@
 // that the previous process has ended.
 func TestStreamThatRanWellIsNotSuspect(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, fourEngines()...)
-	r.crashing("")
-	r.restarting()
+	r := newTestForwarder(t, fourEngines()...)
+	r.crashEachEngine("")
+	r.restartCrashedEngines()
 	crash := r.engines.answer
 	r.engines.answer = func(ctx context.Context, n int, c citronupstream.Call) (*citronupstream.Reply, error) {
 		switch n {
@@ -147,7 +147,7 @@
 // crashed under it: the new engine would begin to run it too.
 func TestSuspectIsNotMovedAlongItsPath(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, engine("m1", "a", 0, 4), engine("m2", "a", 4, 8), engine("m3", "a", 4, 8), engine("m4", "a", 4, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8), modelEngine("m4", "a", 4, 8))
 	r.engines.answer = func(ctx context.Context, _ int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		rep := reply(200, "")
 		rep.Body = stallingBody{strings.NewReader(events(1, 1)), ctx}
--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -101,16 +101,18 @@
 	// invalidLimits holds the IDs of the engines whose invalid rate limit has been
 	// logged, so that each is logged only once.
 	invalidLimits sync.Map
-	// answers counts the requests that completed successfully.
-	answers atomic.Int64
+	// completed counts the unary requests that succeeded, and the streams that were
+	// completed or ended by an engine's failure response.
+	completed atomic.Int64
 }
 
-// sampleEvery is the number of completed requests for each one that is logged.
+// sampleEvery is the sampling interval of the log: one in sampleEvery completed requests is
+// logged.
 const sampleEvery = 50
 
-// answered logs the first of every sampleEvery completed requests.
-func (j *job) answered(args ...any) {
-	if j.f.answers.Add(1)%sampleEvery == 1 {
+// logSample logs the first of every sampleEvery completed requests.
+func (j *job) logSample(args ...any) {
+	if j.f.completed.Add(1)%sampleEvery == 1 {
 		citronevent.Log(context.Background(), j.f.Log, citronevent.AnswerSampled, append([]any{"request", j.ID, "route", j.route.Name, "version", j.version, "list", j.list.String(), "took", j.f.Clock.Now().Sub(j.Received)}, args...)...)
 	}
 }
@@ -147,7 +149,7 @@
 	// retryAfter is the delay that a refusal tells the caller to wait before it
 	// retries.
 	retryAfter time.Duration
-	// permits tracks the permits requested from engines that have a rate limit.
+	// permits tracks the permits that this request has asked for.
 	permits permits
 	// reachedLimit is the limit that prevented the last retry, if any.
 	reachedLimit retryLimit
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -13,10 +13,10 @@
 	"github.com/matryer/is"
 )
 
-// limit makes engines announce a rate limit and answers permit requests with the
+// setRateLimits makes engines announce a rate limit and answers permit requests with the
 // decision given per engine. For each engine, asked holds the maxWait of every permit
 // request so far.
-func (r *rig) limit(decide map[string]citronpermit.Decision) (asked map[string][]time.Duration) {
+func (r *testForwarder) setRateLimits(decide map[string]citronpermit.Decision) (asked map[string][]time.Duration) {
 	asked = map[string][]time.Duration{}
 	for id := range decide {
 		r.Limits.Observe(id, r.Limits.Get(id), citronupstream.PerSecond(2))
@@ -43,13 +43,13 @@
 	for _, route := range []string{"safe", "unsafe", "stream"} {
 		t.Run(route, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, plain("p1", "a"), plain("p2", "b"), engine("m1", "a", 0, 8), engine("m2", "b", 0, 8))
+			r := newTestForwarder(t, plainEngine("p1", "a"), plainEngine("p2", "b"), modelEngine("m1", "a", 0, 8), modelEngine("m2", "b", 0, 8))
 			r.engines.answer = answersOK
-			asked := r.limit(map[string]citronpermit.Decision{"p1": deniedForLong, "m1": deniedForLong})
+			asked := r.setRateLimits(map[string]citronpermit.Decision{"p1": deniedForLong, "m1": deniedForLong})
 			for range 3 {
 				is.Equal(r.ask(route, time.Second).status, http.StatusOK)
 			}
-			for _, c := range r.engines.seen() {
+			for _, c := range r.engines.received() {
 				is.True(c.engine == "p2" || c.engine == "m2")
 			}
 			is.True(len(asked["p1"]) <= 1) // after a denial, no permit is requested before Denied.RetryAfter has passed
@@ -64,10 +64,10 @@
 	for _, route := range []string{"safe", "unsafe", "stream"} {
 		t.Run(route, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, plain("p1", "a"), plain("p2", "b"), engine("m1", "a", 0, 8))
+			r := newTestForwarder(t, plainEngine("p1", "a"), plainEngine("p2", "b"), modelEngine("m1", "a", 0, 8))
 			r.engines.answer = answersOK
 			busy := citronpermit.Denied{AvailableIn: 30 * time.Second, RetryAfter: time.Millisecond}
-			asked := r.limit(map[string]citronpermit.Decision{"p1": busy, "p2": busy, "m1": busy})
+			asked := r.setRateLimits(map[string]citronpermit.Decision{"p1": busy, "p2": busy, "m1": busy})
 			from := time.Now()
 			c := r.ask(route, 4*time.Second)
 			is.True(c.refused)
@@ -78,7 +78,7 @@
 				is.True(maxWait <= 200*time.Millisecond) // callers leave a stalled stream
 			}
 			is.True(time.Since(from) < 300*time.Millisecond)
-			is.Equal(len(r.engines.seen()), 0)
+			is.Equal(len(r.engines.received()), 0)
 		})
 	}
 }
@@ -86,9 +86,9 @@
 // Guards against refusing a request although a permit is free long before its deadline.
 func TestRequestWaitsForAPermit(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plain("p1", "a"))
+	r := newTestForwarder(t, plainEngine("p1", "a"))
 	r.engines.answer = answersOK
-	asked := r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{}})
+	asked := r.setRateLimits(map[string]citronpermit.Decision{"p1": citronpermit.Granted{}})
 	r.Permit = func(_ context.Context, _ *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
 		asked["p1"] = append(asked["p1"], maxWait)
 		if maxWait == 0 {
@@ -103,27 +103,27 @@
 	is.True(asked["p1"][1] > 400*time.Millisecond && asked["p1"][1] <= 500*time.Millisecond)
 }
 
-// Guards against sending a request to an engine that began to leave while the request
-// waited for its permit.
-func TestRequestThatWaitedIsNotSentToALeavingEngine(t *testing.T) {
+// Guards against sending a request to an engine that was replaced by another process while
+// the request waited for its permit.
+func TestRequestThatWaitedIsNotSentToReplacedEngine(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plain("p1", "a"))
+	r := newTestForwarder(t, plainEngine("p1", "a"))
 	r.engines.answer = answersOK
-	r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{Wait: 100 * time.Millisecond}})
+	r.setRateLimits(map[string]citronpermit.Decision{"p1": citronpermit.Granted{Wait: 100 * time.Millisecond}})
 	time.AfterFunc(30*time.Millisecond, func() {
 		e, _ := r.view.ByID("p1")
 		e.MarkReplaced(time.Now())
 	})
 	is.True(r.ask("unsafe", time.Second).refused)
-	is.Equal(len(r.engines.seen()), 0)
+	is.Equal(len(r.engines.received()), 0)
 }
 
 // Guards against resuming a stream, or moving a running one, without a permit.
 func TestResumesAndMovesTakePermits(t *testing.T) {
 	t.Run("resume", func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "b", 0, 8))
-		asked := r.limit(map[string]citronpermit.Decision{"m2": citronpermit.Granted{}})
+		r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "b", 0, 8))
+		asked := r.setRateLimits(map[string]citronpermit.Decision{"m2": citronpermit.Granted{}})
 		r.engines.answer = func(ctx context.Context, n int, c citronupstream.Call) (*citronupstream.Reply, error) {
 			if n == 0 && c.Engine.ID == "m1" {
 				return reply(http.StatusOK, "id: 1\ndata: x\n\nid: 2\nda"), nil
@@ -131,13 +131,13 @@
 			return answersOK(ctx, n, c)
 		}
 		is.Equal(r.ask("stream", 2*time.Second).status, http.StatusOK)
-		is.Equal(len(r.engines.seen()), 2)
+		is.Equal(len(r.engines.received()), 2)
 		is.Equal(len(asked["m2"]), 1)
 	})
 	t.Run("move", func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, engine("m1", "a", 0, 4), engine("m2", "a", 4, 8), engine("m3", "a", 4, 8), engine("m4", "a", 4, 8))
-		r.limit(map[string]citronpermit.Decision{"m2": citronpermit.Granted{}, "m3": citronpermit.Granted{}, "m4": citronpermit.Granted{}})
+		r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8), modelEngine("m4", "a", 4, 8))
+		r.setRateLimits(map[string]citronpermit.Decision{"m2": citronpermit.Granted{}, "m3": citronpermit.Granted{}, "m4": citronpermit.Granted{}})
 		var asked []string
 		r.Permit = func(_ context.Context, e *citronpool.Engine, _ time.Duration) citronpermit.Decision {
 			if asked = append(asked, e.ID); len(asked) == 2 {
@@ -189,8 +189,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, plain("p1", "a"))
-			r.limit(map[string]citronpermit.Decision{"p1": citronpermit.Granted{}})
+			r := newTestForwarder(t, plainEngine("p1", "a"))
+			r.setRateLimits(map[string]citronpermit.Decision{"p1": citronpermit.Granted{}})
 			time.Sleep(1100 * time.Millisecond) // a limit lasts for at least one second
 			r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
 				rep := c.reply()
--- a/citronforward/refused_test.go
+++ b/citronforward/refused_test.go
@@ -20,7 +20,7 @@
 // leaving engine refuses new connections while its streams continue.
 func TestRefusedConnectionDoesNotEndRunningStreams(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "b", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "b", 0, 8))
 	state := r.Current()
 	current := state
 	r.Current = func() *citronforward.State { return current }
@@ -58,7 +58,7 @@
 	}
 	got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.Received = time.Now().Add(4 * time.Second) })
 	is.Equal(got.body, events(1, 4))
-	is.Equal(len(r.engines.seen()), 2)
+	is.Equal(len(r.engines.received()), 2)
 }
 
 // Guards against starting a run on a third engine after two that were cut off from the
@@ -66,7 +66,7 @@
 // are still running.
 func TestRunOnAnEngineThatRefusesConnectionsCounts(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, engine("m1", "a", 0, 8), engine("m2", "a", 0, 8), engine("m3", "b", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "b", 0, 8))
 	r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		body, w := io.Pipe()
 		go func() {
@@ -84,5 +84,5 @@
 	}
 	got := r.ask("stream", 5*time.Second)
 	is.True(got.aborted)
-	is.Equal(len(r.engines.seen()), 2)
+	is.Equal(len(r.engines.received()), 2)
 }
--- a/citronforward/rig_test.go
+++ b/citronforward/rig_test.go
@@ -23,18 +23,18 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// sent is one call that the fake engines received.
-type sent struct {
-	engine string
-	after  string
-	path   citronpath.Path
-	once   bool
+// receivedCall is one call that the fake engines received.
+type receivedCall struct {
+	engine     string
+	afterEvent string
+	path       citronpath.Path
+	noRetry    bool
 }
 
 // fakeEngines answers calls with the functions that the test sets.
 type fakeEngines struct {
 	mu      sync.Mutex
-	calls   []sent
+	calls   []receivedCall
 	repaths []citronpath.Path
 	answer  func(ctx context.Context, n int, c citronupstream.Call) (*citronupstream.Reply, error)
 	report  func(addr string) (citronupstream.Report, error)
@@ -44,7 +44,7 @@
 func (f *fakeEngines) Send(ctx context.Context, c citronupstream.Call) (*citronupstream.Reply, error) {
 	f.mu.Lock()
 	n := len(f.calls)
-	f.calls = append(f.calls, sent{engine: c.Engine.ID, after: c.AfterEvent, path: c.Hops, once: c.NoRetry})
+	f.calls = append(f.calls, receivedCall{engine: c.Engine.ID, afterEvent: c.AfterEvent, path: c.Hops, noRetry: c.NoRetry})
 	f.mu.Unlock()
 	return f.answer(ctx, n, c)
 }
@@ -66,10 +66,10 @@
 	return f.repath(p)
 }
 
-func (f *fakeEngines) seen() []sent {
+func (f *fakeEngines) received() []receivedCall {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]sent(nil), f.calls...)
+	return append([]receivedCall(nil), f.calls...)
 }
 
 // caller is a Sink that records the response to one request.
@@ -97,22 +97,22 @@
 	Kinds: map[string]citronmodel.Kind{"fast": {Name: "fast", MemoryMB: 10_000, StepFactor: 2, PromptFactor: 3}},
 }
 
-func engine(id, zone string, from, to int) citronmodel.Engine {
+func modelEngine(id, zone string, from, to int) citronmodel.Engine {
 	return citronmodel.Engine{ID: id, Service: "model", Addr: id + ":1", Zone: zone, Kind: "fast", Layers: citronmodel.Span{From: from, To: to}}
 }
 
-func plain(id, zone string) citronmodel.Engine {
+func plainEngine(id, zone string) citronmodel.Engine {
 	return citronmodel.Engine{ID: id, Service: "app", Addr: id + ":1", Zone: zone}
 }
 
-// rig is a forwarder in zone "a" that sends to fake engines.
-type rig struct {
+// testForwarder is a forwarder in zone "a" that sends to fake engines.
+type testForwarder struct {
 	*citronforward.Forwarder
 	engines *fakeEngines
 	view    *citronpool.View
 }
 
-func newRig(t *testing.T, engines ...citronmodel.Engine) *rig {
+func newTestForwarder(t *testing.T, engines ...citronmodel.Engine) *testForwarder {
 	t.Helper()
 	route := func(name string, kind citrontable.Kind, service string, attempts int) citrontable.Route {
 		return citrontable.Route{
@@ -126,7 +126,7 @@
 		route("stream", citrontable.Streaming, "model", 2), route("public", citrontable.Safe, "app", 2),
 	}, []citrontable.Service{{Name: "app"}, {Name: "model", Model: &spec}},
 		[]citrontable.Customer{{Name: "council", Keys: []string{"k1"}}}, citrontable.Limits{MaxBodyBytes: 100})
-	r := &rig{engines: &fakeEngines{}, view: citronpool.Build(engines, nil)}
+	r := &testForwarder{engines: &fakeEngines{}, view: citronpool.Build(engines, nil)}
 	state := &citronforward.State{Table: table, View: r.view, OtherNodesCache: map[string]int64{}}
 	r.Forwarder = &citronforward.Forwarder{
 		Zone: "a", Clock: citronclock.Real{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Upstream: r.engines,
@@ -142,7 +142,7 @@
 }
 
 // ask sends a request to a route and returns what the caller got.
-func (r *rig) ask(route string, wait time.Duration, change ...func(*citronupstream.Request)) *caller {
+func (r *testForwarder) ask(route string, wait time.Duration, change ...func(*citronupstream.Request)) *caller {
 	req := &citronupstream.Request{
 		ID: "r1", Method: "POST", Host: "h", Path: "/" + route + "/x", Target: "/" + route + "/x", Header: http.Header{},
 		Received: time.Now(), Wait: wait, Key: "k1", PromptTokens: 100, OutputTokens: 20,
@@ -159,8 +159,8 @@
 	return &citronupstream.Reply{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), FromEngine: true}
 }
 
-func refusal(fault string) *citronupstream.Reply {
+func refusal(faultAddr string) *citronupstream.Reply {
 	r := reply(http.StatusServiceUnavailable, "")
-	r.NotExecuted, r.FaultAddr, r.FromEngine = true, fault, false
+	r.NotExecuted, r.FaultAddr, r.FromEngine = true, faultAddr, false
 	return r
 }
--- a/citronforward/whole_test.go
+++ b/citronforward/whole_test.go
@@ -17,9 +17,9 @@
 // Guards against telling the caller that a request did not run when it may have run. An
 // engine accepts a request and never answers. If the response at the deadline said that the
 // request had not run, the caller would send it again and it would be executed twice.
-func TestAnswerLostUntilDeadlineIsNeverNotRun(t *testing.T) {
+func TestUnansweredRequestIsNotReportedAsNotRun(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plain("e1", "a"), plain("e2", "b"))
+	r := newTestForwarder(t, plainEngine("e1", "a"), plainEngine("e2", "b"))
 	r.engines.answer = func(ctx context.Context, _ int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -27,14 +27,14 @@
 	got := r.ask("unsafe", 150*time.Millisecond)
 	is.Equal(got.status, http.StatusGatewayTimeout)
 	is.True(got.retryAfter < 0) // the caller is not invited to retry
-	is.Equal(len(r.engines.seen()), 1)
+	is.Equal(len(r.engines.received()), 1)
 }
 
 // Guards against telling the caller that a stream did not run when its engines accepted
 // it and sent nothing until the deadline.
-func TestSilentStreamAtDeadlineIsNeverNotRun(t *testing.T) {
+func TestSilentStreamIsNotReportedAsNotRun(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, engine("m1", "a", 0, 8))
+	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8))
 	r.engines.answer = func(ctx context.Context, _ int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -48,7 +48,7 @@
 func TestRetriesByKindAndOutcome(t *testing.T) {
 	lost := func() (*citronupstream.Reply, error) { return nil, errReset }
 	notSent := func() (*citronupstream.Reply, error) { return nil, errors.Mark(errReset, citronupstream.ErrNotSent) }
-	foreign := func() (*citronupstream.Reply, error) {
+	wrongResponse := func() (*citronupstream.Reply, error) {
 		return nil, errors.Mark(errReset, citronupstream.ErrWrongResponse)
 	}
 	fails := func() (*citronupstream.Reply, error) { return reply(500, "broken"), nil }
@@ -66,8 +66,8 @@
 	}{
 		{"safe, answer lost", "safe", lost, 2, 200},
 		{"unsafe, answer lost", "unsafe", lost, 1, 502},
-		{"safe, another's answer", "safe", foreign, 2, 200},
-		{"unsafe, another's answer", "unsafe", foreign, 1, 502},
+		{"safe, another's answer", "safe", wrongResponse, 2, 200},
+		{"unsafe, another's answer", "unsafe", wrongResponse, 1, 502},
 		{"safe, not sent", "safe", notSent, 2, 200},
 		{"unsafe, not sent", "unsafe", notSent, 2, 200},
 		{"safe, engine full", "safe", full, 2, 200},
@@ -78,7 +78,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, plain("e1", "a"), plain("e2", "a"), plain("e3", "a"))
+			r := newTestForwarder(t, plainEngine("e1", "a"), plainEngine("e2", "a"), plainEngine("e3", "a"))
 			r.engines.answer = func(_ context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 				if n == 0 {
 					return c.first()
@@ -86,7 +86,7 @@
 				return reply(200, "done"), nil
 			}
 			got := r.ask(c.route, 500*time.Millisecond)
-			is.Equal(len(r.engines.seen()), c.calls)
+			is.Equal(len(r.engines.received()), c.calls)
 			is.Equal(got.status, c.status)
 		})
 	}
@@ -96,21 +96,21 @@
 // idempotent request that fails at every engine gets the last engine's response.
 func TestLastFailureIsPassedOn(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plain("e1", "a"), plain("e2", "a"))
+	r := newTestForwarder(t, plainEngine("e1", "a"), plainEngine("e2", "a"))
 	r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
 		return reply(500, "broken"), nil
 	}
 	got := r.ask("safe", 500*time.Millisecond)
 	is.Equal(got.body, "broken")
 	is.True(!got.refused)
-	is.Equal(len(r.engines.seen()), 2) // the route's limit
+	is.Equal(len(r.engines.received()), 2) // the route's limit
 }
 
 // Guards against holding a request until its deadline if there is no engine: it did not
 // run, so the caller is told at once when to retry.
 func TestNoEngineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
+	r := newTestForwarder(t)
 	begin := time.Now()
 	got := r.ask("unsafe", 10*time.Second)
 	is.Equal(got.status, http.StatusServiceUnavailable)
@@ -122,7 +122,7 @@
 // another engine.
 func TestSafeRequestIsRetriedIfEngineHangs(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, plain("e1", "a"), plain("e2", "a"))
+	r := newTestForwarder(t, plainEngine("e1", "a"), plainEngine("e2", "a"))
 	r.engines.answer = func(ctx context.Context, n int, _ citronupstream.Call) (*citronupstream.Reply, error) {
 		if n == 0 {
 			<-ctx.Done()
@@ -149,7 +149,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, plain("e1", "a"))
+			r := newTestForwarder(t, plainEngine("e1", "a"))
 			r.engines.answer = func(context.Context, int, citronupstream.Call) (*citronupstream.Reply, error) {
 				return reply(200, "done"), nil
 			}
@@ -160,9 +160,9 @@
 
 // Guards against a node without a configuration that reports a route or key as unknown:
 // callers would give up permanently.
-func TestNoConfigurationIsNeverNotFound(t *testing.T) {
+func TestMissingConfigurationIsNotReportedAsNotFound(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
+	r := newTestForwarder(t)
 	r.Current = func() *citronforward.State { return nil }
 	got := r.ask("nowhere", time.Second)
 	is.Equal(got.status, http.StatusServiceUnavailable)
--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -41,7 +41,7 @@
 	// restarted is the address of an engine that has restarted and has
 	// accepted no order since.
 	restarted string
-	// misses is the number of questions that an engine leaves unanswered
+	// misses is the number of State calls that an engine leaves unanswered
 	// before it answers again, by address.
 	misses map[string]int
 	// place returns the result of the n-th order, counted from 1. If it is
@@ -83,7 +83,7 @@
 	return append([]sentOrder(nil), e.sent...)
 }
 
-func (e *fakeEngines) set(f func()) {
+func (e *fakeEngines) withLock(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f()
@@ -100,7 +100,7 @@
 	return citronmodel.Engine{ID: id, Service: "m", Addr: id, Zone: "z", Kind: "fast", Layers: citronmodel.Span{From: from, To: to}}
 }
 
-func run(t *testing.T, e *fakeEngines, s *citronplacer.State) {
+func startPlacer(t *testing.T, e *fakeEngines, s *citronplacer.State) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &citronplacer.Placer{EngineClient: e, Clock: citronclock.Real{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Current: func() *citronplacer.State { return s }}
@@ -131,7 +131,7 @@
 		}
 		return nil
 	}}
-	run(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0)))
+	startPlacer(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0)))
 	eventually(t, "a second order", func() bool { return len(e.orders()) >= 2 })
 	got := e.orders()
 	is.Equal(got[0], got[1])
@@ -145,10 +145,10 @@
 func TestBusyEngineGetsNoOrder(t *testing.T) {
 	is := is.New(t)
 	e := &fakeEngines{state: citronplace.EngineState{Busy: true}}
-	run(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0)))
+	startPlacer(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0)))
 	time.Sleep(500 * time.Millisecond)
 	is.Equal(len(e.orders()), 0)
-	e.set(func() { e.state.Busy = false })
+	e.withLock(func() { e.state.Busy = false })
 	eventually(t, "the order", func() bool { return len(e.orders()) == 1 })
 }
 
@@ -159,7 +159,7 @@
 	s := state(engine("e1", 0, 4), engine("e2", 0, 0))
 	s.ListComplete = false
 	e := &fakeEngines{}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	time.Sleep(500 * time.Millisecond)
 	is.New(t).Equal(len(e.orders()), 0)
 }
@@ -171,7 +171,7 @@
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 4))
 	s.DeadReports["e2"] = 2
 	e := &fakeEngines{dead: "e2"}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	gap := citronmodel.Span{From: 4, To: 8}
 	eventually(t, "an order for the gap", func() bool {
 		for _, g := range e.orders() {
@@ -193,7 +193,7 @@
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8))
 	s.DeadReports["e2"] = 3
 	e := &fakeEngines{}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	time.Sleep(1200 * time.Millisecond)
 	is.New(t).Equal(len(e.orders()), 0)
 }
@@ -207,18 +207,18 @@
 	s := state(engine("e1", 0, 4), engine("e2", 0, 0), engine("e3", 0, 0))
 	s.Targets = map[string]citronmodel.Span{"e3": {From: 4, To: 8}}
 	e := &fakeEngines{state: citronplace.EngineState{Busy: true}}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	time.Sleep(700 * time.Millisecond)
 	is.Equal(len(e.orders()), 0) // e3 is loading; no other engine is given its layers
-	e.set(func() { e.state.Busy = false })
+	e.withLock(func() { e.state.Busy = false })
 	eventually(t, "the order is sent again once the engine is idle", func() bool { return len(e.orders()) > 0 })
 	is.Equal(e.orders()[0].engine, "e3")
 	is.Equal(e.orders()[0].span, citronmodel.Span{From: 4, To: 8})
 }
 
-// TestEngineThatRefusesOrdersIsReplaced checks that the layers of an engine that answers
-// questions but refuses every order go to another engine after maxRefusals attempts. A
-// gap must not wait for a failing engine.
+// TestEngineThatRefusesOrdersIsReplaced checks that a gap is filled by another engine if
+// the engine that was ordered to fill it answers State calls but refuses maxRefusals
+// orders. A gap must not wait for a failing engine.
 func TestEngineThatRefusesOrdersIsReplaced(t *testing.T) {
 	e := &fakeEngines{}
 	e.place = func(int) error {
@@ -227,7 +227,7 @@
 		}
 		return nil
 	}
-	run(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0), engine("e3", 0, 0)))
+	startPlacer(t, e, state(engine("e1", 0, 4), engine("e2", 0, 0), engine("e3", 0, 0)))
 	gap := citronmodel.Span{From: 4, To: 8}
 	eventually(t, "the other empty engine is ordered to fill the gap", func() bool {
 		sent := e.orders()
@@ -246,45 +246,45 @@
 	listed := engine("e1", 0, 0)
 	listed.StartMS = 100
 	s := state(listed)
-	run(t, e, s)
+	startPlacer(t, e, s)
 	eventually(t, "the restart is recorded in the view", func() bool { return len(s.View.Restarted()) == 1 })
 	is.Equal(len(e.orders()), 0)
 }
 
-// TestOneMissedCheckIsNotDeath simulates a leader that is short of processor time
+// TestEngineIsNotDeadAfterOneMissedCheck simulates a leader that is short of processor time
 // during a burst. It misses the answers of an engine to a request and to the check that
 // follows; no other node reports the engine. The leader must check again before
 // anything is moved. When one missed check was enough, thirty healthy engines were
 // replaced within three seconds and their zones repartitioned.
-func TestOneMissedCheckIsNotDeath(t *testing.T) {
+func TestEngineIsNotDeadAfterOneMissedCheck(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8))
 	s.DeadReports["e2"] = 1
 	e := &fakeEngines{misses: map[string]int{"e2": 1}}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	time.Sleep(1200 * time.Millisecond)
 	is.New(t).Equal(len(e.orders()), 0)
 }
 
-// TestTwoMissedChecksAreDeath checks that an engine that also misses the second check is
+// TestEngineIsDeadAfterTwoMissedChecks checks that an engine that also misses the second check is
 // dead, although only one node reports it, and that its layers are placed.
-func TestTwoMissedChecksAreDeath(t *testing.T) {
+func TestEngineIsDeadAfterTwoMissedChecks(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 4))
 	s.DeadReports["e2"] = 1
 	e := &fakeEngines{dead: "e2"}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	eventually(t, "an order for the gap", func() bool { return len(e.orders()) > 0 })
 }
 
 // TestEngineThatLostItsLayersIsReplaced simulates an engine that crashes and restarts while
 // it is cut off from the store, and doesn't report its start time. The list still contains
-// its old layers, and the engine answers every question, so it isn't dead. But it has
+// its old layers, and the engine answers every State call, so it isn't dead. But it has
 // accepted no order since it started, so it can't hold them. Its layers must be placed at
 // once and not when its entry expires, or the zone rejects callers for four seconds.
 func TestEngineThatLostItsLayersIsReplaced(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 0))
 	s.DeadReports["e2"] = 1
 	e := &fakeEngines{restarted: "e2"}
-	run(t, e, s)
+	startPlacer(t, e, s)
 	gap := citronmodel.Span{From: 4, To: 8}
 	eventually(t, "an order for the gap", func() bool {
 		for _, g := range e.orders() {
