--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -48,11 +48,11 @@
 	directoryTTL = 700 * time.Millisecond
 	// maxBody is the maximum size of a request body in bytes.
 	maxBody = 64 << 20
-	// memoryLimitBytes is the Go memory limit in bytes per megabyte of the node's
+	// memoryLimitPerMB is the Go memory limit in bytes per megabyte of the node's
 	// memory; near this limit the runtime collects garbage more often. The rest of
 	// the megabyte is left for memory that the runtime does not count, because a
 	// process that exceeds the node's memory is killed.
-	memoryLimitBytes = 600 << 10
+	memoryLimitPerMB = 600 << 10
 )
 
 func (c *nodeCmd) Run(g *Globals) error {
@@ -66,7 +66,7 @@
 	defer waitLogWritten()
 	defer stopLogging()
 	if set.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(set.MemoryMB) * memoryLimitBytes)
+		debug.SetMemoryLimit(int64(set.MemoryMB) * memoryLimitPerMB)
 	}
 	log := slog.New(handler).With("node", set.Name)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
