--- a/citroncli/entry.go
+++ b/citroncli/entry.go
@@ -31,17 +31,17 @@
 }
 
 func (c *entryCmd) Run(g *Globals) error {
-	var set citronentry.Settings
-	if err := loadSettings(c.Settings, &set); err != nil {
+	var settings citronentry.Settings
+	if err := loadSettings(c.Settings, &settings); err != nil {
 		citronevent.Log(context.Background(), g.Logger(), citronevent.SettingsInvalid, "err", err)
 		return err
 	}
-	for dst, src := range map[*string]string{&set.Name: c.Name, &set.Listen: c.Listen, &set.Zone: c.Zone} {
+	for dst, src := range map[*string]string{&settings.Name: c.Name, &settings.Listen: c.Listen, &settings.Zone: c.Zone} {
 		if src != "" {
 			*dst = src
 		}
 	}
-	if err := set.Check(); err != nil {
+	if err := settings.Check(); err != nil {
 		citronevent.Log(context.Background(), g.Logger(), citronevent.SettingsInvalid, "err", err)
 		return errors.Wrap(err, "entry settings (flags or --settings)")
 	}
@@ -51,13 +51,13 @@
 	// separately.
 	control := new(citronwire.Traffic)
 	kv := citronkv.NewClient(countedClient(control), c.KV)
-	e := citronentry.New(set, citronclock.Real{}, g.Logger().With("role", "entry"), kv, kv.Instances, httpClient())
+	e := citronentry.New(settings, citronclock.Real{}, g.Logger().With("role", "entry"), kv, kv.Instances, httpClient())
 	e.Metrics().Set("control_bytes_read", &control.Read)
 	e.Metrics().Set("control_bytes_written", &control.Written)
 	expvar.Publish("entry", e.Metrics())
-	ln, err := net.Listen("tcp", set.Listen)
+	ln, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
-		return errors.Wrapf(err, "listen on %s", set.Listen)
+		return errors.Wrapf(err, "listen on %s", settings.Listen)
 	}
 	return e.Run(ctx, ln)
 }
--- a/citroncli/instances.go
+++ b/citroncli/instances.go
@@ -27,10 +27,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
 	kv := citronkv.NewClient(httpClient(), c.KV)
-	var rows []citronkv.Instance
+	var instances []citronkv.Instance
 	switch {
 	case c.Name != "":
-		rows = append(rows, citronkv.Instance{Name: c.Name, State: citronkv.InstanceState(c.As)})
+		instances = append(instances, citronkv.Instance{Name: c.Name, State: citronkv.InstanceState(c.As)})
 	case c.From != "":
 		_, f, err := readFleet(c.From)
 		if err != nil {
@@ -38,17 +38,17 @@
 		}
 		for _, s := range f.Services {
 			for _, b := range s.Backends() {
-				rows = append(rows, citronkv.Instance{Name: b.Name, Addr: b.Addr, Zone: b.Zone, State: citronkv.Live})
+				instances = append(instances, citronkv.Instance{Name: b.Name, Addr: b.Addr, Zone: b.Zone, State: citronkv.Live})
 			}
 		}
 	default:
 		return errors.New("say --from FLEET or --name NAME")
 	}
-	for _, in := range rows {
+	for _, in := range instances {
 		if err := kv.SetInstance(ctx, in); err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(g.Out, "%d instances set\n", len(rows))
+	fmt.Fprintf(g.Out, "%d instances set\n", len(instances))
 	return nil
 }
--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -56,39 +56,39 @@
 )
 
 func (c *nodeCmd) Run(g *Globals) error {
-	set, err := platform.ReadSettings(c.Settings)
+	settings, err := platform.ReadSettings(c.Settings)
 	if err != nil {
 		citronevent.Log(context.Background(), g.Logger(), citronevent.SettingsInvalid, "err", err)
 		return err
 	}
 	logging, stopLogging := context.WithCancel(context.Background())
-	handler, waitLogWritten := citronlog.New(logging, g.Out, citronclock.Real{}, g.Level())
-	defer waitLogWritten()
+	handler, waitForLog := citronlog.New(logging, g.Out, citronclock.Real{}, g.Level())
+	defer waitForLog()
 	defer stopLogging()
-	if set.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(set.MemoryMB) * memoryLimitPerMB)
+	if settings.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(settings.MemoryMB) * memoryLimitPerMB)
 	}
-	log := slog.New(handler).With("node", set.Name)
+	log := slog.New(handler).With("node", settings.Name)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	clock := citronclock.Real{}
-	budget := citronbudget.New(citronbudget.Limits{Ratio: set.RetryRatio, Slack: set.RetrySlack, Window: set.RetryWindow})
+	budget := citronbudget.New(citronbudget.Limits{Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow})
 	loads := &citronpool.Loads{}
 	engines := platform.NewEngineClient()
 	registry := prometheus.NewRegistry()
 	node := citronnode.New(citronnode.Settings{
-		Name: set.Name, Zone: set.Zone, Front: set.Front, Peer: set.Peer, Seeds: set.Seeds, Cores: set.Cores,
-		LeaseTTL: max(leaderLease, set.MinLeaseTTL), Grace: set.Grace, Heartbeat: set.Heartbeat, DrainWithin: set.DrainWithin,
+		Name: settings.Name, Zone: settings.Zone, Front: settings.Front, Peer: settings.Peer, Seeds: settings.Seeds, Cores: settings.Cores,
+		LeaseTTL: max(leaderLease, settings.MinLeaseTTL), Grace: settings.Grace, Heartbeat: settings.Heartbeat, DrainWithin: settings.DrainWithin,
 	}, citronnode.Sources{
-		Store: citronstat.CountStore(platform.NewStore(set.Store), registry), ConfigKey: platform.ConfigKey, EnginePrefix: platform.EnginePrefix,
+		Store: citronstat.CountStore(platform.NewStore(settings.Store), registry), ConfigKey: platform.ConfigKey, EnginePrefix: platform.EnginePrefix,
 		DecodeConfig: platform.DecodeConfig, DecodeEngine: platform.DecodeEngine, EngineClient: engines,
 	}, clock, log, budget, loads, httpClient())
 	citronstat.RegisterNode(node.Status, registry)
 	forwarder := &citronforward.Forwarder{
-		Zone: set.Zone, Clock: clock, Log: log, Upstream: engines, Budget: budget, Loads: loads,
-		Current: node.Traffic, Metrics: citronforward.NewMetrics(registry), Stopping: node.Stopping, Accuse: node.Accuse, Borrow: node.Borrow, Quarantine: node.Quarantine(), Limits: node.Limits(), Permit: node.Permit, DrainWithin: set.DrainWithin,
+		Zone: settings.Zone, Clock: clock, Log: log, Upstream: engines, Budget: budget, Loads: loads,
+		Current: node.Traffic, Metrics: citronforward.NewMetrics(registry), Stopping: node.Stopping, Accuse: node.Accuse, Borrow: node.Borrow, Quarantine: node.Quarantine(), Limits: node.Limits(), Permit: node.Permit, DrainWithin: settings.DrainWithin,
 	}
 	ingress := &platform.Ingress{Forwarder: forwarder, Leaving: node.Leaving, Track: node.Track, MaxBodyBytes: maxBody}
 
@@ -110,13 +110,13 @@
 	node.Handle(peers)
 	metrics := http.NewServeMux()
 	metrics.Handle("/metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
-	serveOn(set.Front, ingress)
-	serveOn(set.Ready, platform.ReadyHandler(node.Ready))
-	serveOn(set.Peer, peers)
-	serveOn(set.Directory, &platform.Directory{Addresses: node.Addresses, TTL: min(directoryTTL, set.MaxTTL)})
+	serveOn(settings.Front, ingress)
+	serveOn(settings.Ready, platform.ReadyHandler(node.Ready))
+	serveOn(settings.Peer, peers)
+	serveOn(settings.Directory, &platform.Directory{Addresses: node.Addresses, TTL: min(directoryTTL, settings.MaxTTL)})
 	serveOn(c.Metrics, metrics)
 	servers.Go(func() { node.Run(bg) })
-	citronevent.Log(ctx, log, citronevent.ProcessStarted, "role", "node", "addr", set.Front, "zone", set.Zone)
+	citronevent.Log(ctx, log, citronevent.ProcessStarted, "role", "node", "addr", settings.Front, "zone", settings.Zone)
 	for {
 		select {
 		case err := <-failed:
