--- a/citroncli/explain.go
+++ b/citroncli/explain.go
@@ -47,7 +47,7 @@
 func (c *explainCmd) explain(g *Globals, logs ...io.Reader) error {
 	if c.Losses {
 		if c.Window <= 0 {
-			return errors.Newf("--window is %v, not a span of time", c.Window)
+			return errors.Newf("--window is %v, want a positive duration", c.Window)
 		}
 		return citronexplain.Losses(g.Out, citronexplain.LossOptions{Window: c.Window}, logs...)
 	}
--- a/citroncli/instances.go
+++ b/citroncli/instances.go
@@ -42,7 +42,7 @@
 			}
 		}
 	default:
-		return errors.New("say --from FLEET or --name NAME")
+		return errors.New("--from FLEET or --name NAME is required")
 	}
 	for _, in := range instances {
 		if err := kv.SetInstance(ctx, in); err != nil {
--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -1,7 +1,7 @@
 package citroncli
 
-// The node command runs a node on the users' platform. --settings or the
-// environment variable CITRONDECK_SETTINGS names its settings file.
+// The node command runs a node on the platform that package platform adapts to.
+// --settings or the environment variable CITRONDECK_SETTINGS names its settings file.
 
 import (
 	"context"
