--- a/citronconfig/config_test.go
+++ b/citronconfig/config_test.go
@@ -98,7 +98,7 @@
 				rejected[name] = true
 			}
 		}
-		var read citronkv.Revision
+		var lastRead citronkv.Revision
 		for range rapid.IntRange(1, 20).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 5).Draw(rt, "action") {
 			case 0:
@@ -110,10 +110,10 @@
 			case 3:
 				cur, err := ops[0].Current(ctx)
 				if err == nil {
-					read = cur.Revision
+					lastRead = cur.Revision
 				}
 			case 4:
-				apply(ops[0], read) // from a stale revision
+				apply(ops[0], lastRead) // from a stale revision
 			default:
 				apply(ops[rapid.IntRange(0, 1).Draw(rt, "operator")], citronkv.AnyRevision)
 			}
@@ -124,20 +124,20 @@
 			rt.Fatal(err)
 		}
 		var previous citronkv.Revision
-		active := map[string]citronkv.Revision{}
+		trailRevisions := map[string]citronkv.Revision{}
 		for _, ch := range trail {
 			if ch.Previous != previous {
 				rt.Fatalf("the change record of %s says that it replaced revision %v, but the change before it has revision %v", ch.Fleet, ch.Previous, previous)
 			}
-			if _, twice := active[ch.Fleet]; twice {
+			if _, twice := trailRevisions[ch.Fleet]; twice {
 				rt.Fatalf("%s is in the audit trail twice", ch.Fleet)
 			}
 			previous = ch.Revision
-			active[ch.Fleet] = ch.Revision
+			trailRevisions[ch.Fleet] = ch.Revision
 		}
 		for name, rev := range applied {
-			if active[name] != rev {
-				rt.Fatalf("%s was reported as applied at revision %v, but the audit trail has it at revision %v (0: not at all)", name, rev, active[name])
+			if trailRevisions[name] != rev {
+				rt.Fatalf("%s was reported as applied at revision %v, but the audit trail has it at revision %v (0: not at all)", name, rev, trailRevisions[name])
 			}
 		}
 		// The active fleet can be loaded and is that of the last change in the trail.
@@ -149,7 +149,7 @@
 			rt.Fatalf("loaded %q with %d services, want %q with 2 services", got.Name, len(got.Services), trail[len(trail)-1].Fleet)
 		}
 		for name := range rejected {
-			if rev, ok := active[name]; ok {
+			if rev, ok := trailRevisions[name]; ok {
 				rt.Fatalf("%s was reported as a race, but the audit trail has it at revision %v", name, rev)
 			}
 		}
