--- a/citronconfig/config.go
+++ b/citronconfig/config.go
@@ -101,7 +101,8 @@
 
 // Apply validates text and makes it the active configuration if the current
 // revision is expect. Absent requires that there is no configuration yet;
-// AnyRevision replaces whatever is active at the time of the call.
+// AnyRevision replaces whatever is active at the time of the call. Parse errors
+// name file as the source of text; who is the operator for the audit trail.
 func (c Config) Apply(ctx context.Context, file string, text []byte, who string, expect citronkv.Revision) (Change, error) {
 	f, err := citronfleet.Parse(file, text)
 	if err != nil {
@@ -168,10 +169,11 @@
 // deleteStale deletes the items that only the replaced head referred to.
 //
 // A concurrent change by another operator may refer to such a section again.
-// If that change is based on the new head, Apply wrote the section again after
-// writeSections had read it for stale, so its revision differs and the delete
-// has no effect. If that change is based on an older head, it fails with
-// ErrRace. Errors are ignored because they only leave unused items behind.
+// If that change is based on the new head, its Apply has written the section
+// again, because the new head does not refer to it. The section then has
+// another revision than in stale, and the delete has no effect. If that change
+// is based on an older head, it fails with ErrRace. Errors are ignored because
+// they only leave unused items behind.
 func (c Config) deleteStale(ctx context.Context, stale []citronkv.Item) {
 	for _, it := range stale {
 		_ = c.KV.Delete(ctx, it.Key, it.Revision)
--- a/citronconfig/config_test.go
+++ b/citronconfig/config_test.go
@@ -222,8 +222,9 @@
 }
 
 // BenchmarkLoadChange measures what a configuration change costs an entry at
-// the fleet size expected in two years: a change to one of 25 services on
-// 4,100 engines.
+// the fleet size expected in two years: 25 services on 4,100 engines. A change
+// affects two services, the first and every 25th change all of them. bytes/change counts the
+// head and the last section that the change wrote.
 func BenchmarkLoadChange(b *testing.B) {
 	ctx := context.Background()
 	kv := citronkv.NewServer(citronclock.Real{}, 0)
@@ -242,7 +243,7 @@
 		}
 		items, _, _ := kv.Range(ctx, "config/section/")
 		for _, it := range items {
-			if it.Revision.Number() > cur.Revision.Number()-3 { // written by this change
+			if it.Revision.Number() > cur.Revision.Number()-3 { // the section written just before the text and the head
 				bytes += size(it)
 			}
 		}
@@ -257,7 +258,8 @@
 }
 
 // largeFleetText returns the text of a fleet of the size expected in two
-// years. Service i%25 varies with i.
+// years. Service i%25 has more layers than the others, and the timeout of all
+// services depends on i/25.
 func largeFleetText(i int) []byte {
 	t := []byte("fleet: t\nzones: [a]\ncustomers:\n")
 	for c := range 710 {
