--- a/citronlimit/book.go
+++ b/citronlimit/book.go
@@ -72,23 +72,23 @@
 
 // NewRegistry returns a Registry in which no upstream is limited.
 func NewRegistry(clock citronclock.Clock) *Registry {
-	b := &Registry{clock: clock, onChange: func([]string) {}, isListed: func(string) bool { return false }, changedAt: map[string]time.Time{}, limitedAt: map[string]time.Time{}, pending: map[string]Record{}}
-	b.records.Store(&map[string]Record{})
-	return b
+	reg := &Registry{clock: clock, onChange: func([]string) {}, isListed: func(string) bool { return false }, changedAt: map[string]time.Time{}, limitedAt: map[string]time.Time{}, pending: map[string]Record{}}
+	reg.records.Store(&map[string]Record{})
+	return reg
 }
 
 // Notify sets the function that is called when there is an update for other nodes.
 // relaxed holds the engines that accept more requests than before. Notify must be called
 // before the registry is used, and f must not block.
-func (b *Registry) Notify(f func(relaxed []string)) { b.onChange = f }
+func (reg *Registry) Notify(f func(relaxed []string)) { reg.onChange = f }
 
 // Get returns the record of an engine. It is the zero Record if the engine has none.
-func (b *Registry) Get(engine string) Record { return (*b.records.Load())[engine] }
+func (reg *Registry) Get(engine string) Record { return (*reg.records.Load())[engine] }
 
 // CountLimited returns the number of engines that have set a limit.
-func (b *Registry) CountLimited() int {
+func (reg *Registry) CountLimited() int {
 	n := 0
-	for _, r := range *b.records.Load() {
+	for _, r := range *reg.records.Load() {
 		if r.Limited {
 			n++
 		}
@@ -104,24 +104,24 @@
 // limit, or the end of a limit, takes effect only if the request was sent when the current
 // record was already known. An earlier request may have been answered before the limit was
 // set.
-func (b *Registry) Observe(engine string, before Record, reported citronupstream.RateLimit) (Record, bool) {
+func (reg *Registry) Observe(engine string, before Record, reported citronupstream.RateLimit) (Record, bool) {
 	next := Record{}
 	switch s := reported.(type) {
 	case citronupstream.PerSecond:
 		next.Limited, next.PerSecond = true, float64(s)
 	case citronupstream.NoRateLimit:
 	default:
-		return b.Get(engine), false
+		return reg.Get(engine), false
 	}
-	if known := b.Get(engine); !next.Limited && known.sameLimit(next) {
+	if known := reg.Get(engine); !next.Limited && known.sameLimit(next) {
 		return known, false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known, now := b.Get(engine), b.clock.Now()
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	known, now := reg.Get(engine), reg.clock.Now()
 	if next.Limited && !known.stricter(next) {
-		b.limitedAt[engine] = now
-		delete(b.pending, engine)
+		reg.limitedAt[engine] = now
+		delete(reg.pending, engine)
 	}
 	next.Version = known.Version + 1
 	switch {
@@ -130,59 +130,59 @@
 	case next.stricter(known):
 	case before.Version != known.Version:
 		return known, false
-	case now.Sub(b.limitedAt[engine]) < minLimitDuration:
-		b.pending[engine] = next
+	case now.Sub(reg.limitedAt[engine]) < minLimitDuration:
+		reg.pending[engine] = next
 		return known, false
 	}
-	b.set(map[string]Record{engine: next})
+	reg.set(map[string]Record{engine: next})
 	return next, true
 }
 
 // Tick puts pending records into effect if the limits that they replace were last stated at
 // least minLimitDuration ago.
-func (b *Registry) Tick() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now, due := b.clock.Now(), map[string]Record{}
-	for engine, r := range b.pending {
+func (reg *Registry) Tick() {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	now, due := reg.clock.Now(), map[string]Record{}
+	for engine, r := range reg.pending {
 		switch {
-		case r.Version != b.Get(engine).Version+1:
-			delete(b.pending, engine)
-		case now.Sub(b.limitedAt[engine]) >= minLimitDuration:
+		case r.Version != reg.Get(engine).Version+1:
+			delete(reg.pending, engine)
+		case now.Sub(reg.limitedAt[engine]) >= minLimitDuration:
 			due[engine] = r
-			delete(b.pending, engine)
+			delete(reg.pending, engine)
 		}
 	}
-	b.set(due)
+	reg.set(due)
 }
 
-// set puts newer records into effect and calls onChange. The caller must hold b.mu.
-func (b *Registry) set(newer map[string]Record) {
+// set puts newer records into effect and calls onChange. The caller must hold reg.mu.
+func (reg *Registry) set(newer map[string]Record) {
 	if len(newer) == 0 {
 		return
 	}
-	now := b.clock.Now()
-	next := maps.Clone(*b.records.Load())
+	now := reg.clock.Now()
+	next := maps.Clone(*reg.records.Load())
 	var relaxed []string
 	for engine, r := range newer {
 		if next[engine].stricter(r) {
 			relaxed = append(relaxed, engine)
 		}
 		next[engine] = r
-		b.changedAt[engine] = now
+		reg.changedAt[engine] = now
 		if r.Limited {
-			b.limitedAt[engine] = now
+			reg.limitedAt[engine] = now
 		}
 	}
-	b.replace(next)
-	b.onChange(relaxed)
+	reg.replace(next)
+	reg.onChange(relaxed)
 }
 
-func (b *Registry) replace(records map[string]Record) {
-	b.records.Store(&records)
-	b.sum.Store(checksum(records))
+func (reg *Registry) replace(records map[string]Record) {
+	reg.records.Store(&records)
+	reg.sum.Store(checksum(records))
 	gone := func(engine string, _ time.Time) bool { _, ok := records[engine]; return !ok }
-	maps.DeleteFunc(b.changedAt, gone)
-	maps.DeleteFunc(b.limitedAt, gone)
-	maps.DeleteFunc(b.pending, func(engine string, _ Record) bool { _, ok := records[engine]; return !ok })
+	maps.DeleteFunc(reg.changedAt, gone)
+	maps.DeleteFunc(reg.limitedAt, gone)
+	maps.DeleteFunc(reg.pending, func(engine string, _ Record) bool { _, ok := records[engine]; return !ok })
 }
--- a/citronlimit/gossip.go
+++ b/citronlimit/gossip.go
@@ -41,14 +41,14 @@
 }
 
 // decode returns the record that another node sent, or an error if it is invalid.
-func (b *Registry) decode(l citronpeer.Limit) (Record, error) {
+func (reg *Registry) decode(l citronpeer.Limit) (Record, error) {
 	r := Record{Limited: l.Limited, PerSecond: l.PerSecond, Version: l.Version}
 	switch {
 	case l.Engine == "":
 		return r, errors.New("rate limit has an empty engine ID")
 	case math.IsNaN(l.PerSecond) || math.IsInf(l.PerSecond, 0) || l.PerSecond < 0:
 		return r, errors.Newf("rate limit of %g requests per second is not a finite, non-negative number", l.PerSecond)
-	case l.Version < 0 || l.Version > b.Get(l.Engine).Version+maxVersionStep:
+	case l.Version < 0 || l.Version > reg.Get(l.Engine).Version+maxVersionStep:
 		return r, errors.Newf("rate limit has version %d, which is negative or more than %d ahead of the known version", l.Version, maxVersionStep)
 	}
 	return r, nil
@@ -56,58 +56,58 @@
 
 // Merge merges the limits that another node sent. It ignores engines that are not in this
 // node's engine list, and rejects a message as a whole if any part of it is invalid.
-func (b *Registry) Merge(received []citronpeer.Limit) error {
+func (reg *Registry) Merge(received []citronpeer.Limit) error {
 	if len(received) == 0 {
 		return nil
 	}
 	if len(received) > maxRecords {
 		return errors.Newf("message has %d rate limits, at most %d are allowed", len(received), maxRecords)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
 	newer := map[string]Record{}
 	for _, l := range received {
-		r, err := b.decode(l)
+		r, err := reg.decode(l)
 		if err != nil {
 			return err
 		}
-		if b.isListed(l.Engine) && r.supersedes(b.Get(l.Engine)) {
+		if reg.isListed(l.Engine) && r.supersedes(reg.Get(l.Engine)) {
 			newer[l.Engine] = r
 		}
 	}
-	b.set(newer)
+	reg.set(newer)
 	return nil
 }
 
 // Retain drops the records of engines that are not in the engine list. Merge uses the same
 // function to ignore such engines.
-func (b *Registry) Retain(isListed func(engine string) bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.isListed = isListed
-	if len(*b.records.Load()) == 0 {
+func (reg *Registry) Retain(isListed func(engine string) bool) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	reg.isListed = isListed
+	if len(*reg.records.Load()) == 0 {
 		return
 	}
-	next := maps.Clone(*b.records.Load())
+	next := maps.Clone(*reg.records.Load())
 	maps.DeleteFunc(next, func(engine string, _ Record) bool { return !isListed(engine) })
-	if len(next) < len(*b.records.Load()) {
-		b.replace(next)
+	if len(next) < len(*reg.records.Load()) {
+		reg.replace(next)
 	}
 }
 
 // Recent returns at most maxRecent records that have changed recently and that other nodes
 // may not have received yet.
-func (b *Registry) Recent() []citronpeer.Limit {
-	if len(*b.records.Load()) == 0 {
+func (reg *Registry) Recent() []citronpeer.Limit {
+	if len(*reg.records.Load()) == 0 {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock.Now()
-	maps.DeleteFunc(b.changedAt, func(_ string, at time.Time) bool { return now.Sub(at) > gossipTTL })
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	now := reg.clock.Now()
+	maps.DeleteFunc(reg.changedAt, func(_ string, at time.Time) bool { return now.Sub(at) > gossipTTL })
 	var out []citronpeer.Limit
-	for engine := range b.changedAt {
-		if r, ok := (*b.records.Load())[engine]; ok && len(out) < maxRecent {
+	for engine := range reg.changedAt {
+		if r, ok := (*reg.records.Load())[engine]; ok && len(out) < maxRecent {
 			out = append(out, r.Wire(engine))
 		}
 	}
@@ -115,9 +115,9 @@
 }
 
 // All returns all records, sorted by engine ID.
-func (b *Registry) All() []citronpeer.Limit {
+func (reg *Registry) All() []citronpeer.Limit {
 	var out []citronpeer.Limit
-	for engine, r := range *b.records.Load() {
+	for engine, r := range *reg.records.Load() {
 		out = append(out, r.Wire(engine))
 	}
 	slices.SortFunc(out, func(x, y citronpeer.Limit) int { return cmp.Compare(x.Engine, y.Engine) })
@@ -125,7 +125,7 @@
 }
 
 // Sum returns a checksum of all records, and zero if there are none.
-func (b *Registry) Sum() uint64 { return b.sum.Load() }
+func (reg *Registry) Sum() uint64 { return reg.sum.Load() }
 
 // checksum returns the sum of the hashes of all records, which does not depend on their
 // order.
--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -17,9 +17,9 @@
 func isListed(engine string) bool { return engine == "i-1" || engine == "i-2" }
 
 func newRegistry(c citronclock.Clock) *citronlimit.Registry {
-	b := citronlimit.NewRegistry(c)
-	b.Retain(isListed)
-	return b
+	reg := citronlimit.NewRegistry(c)
+	reg.Retain(isListed)
+	return reg
 }
 
 // An upstream sets and lifts its limit several times a second. The limit must also apply
@@ -27,20 +27,20 @@
 func TestLimitStaysInEffectForAtLeastOneSecond(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
-	b := newRegistry(clock)
-	respond := func(l citronupstream.RateLimit) { b.Observe("i-1", b.Get("i-1"), l) }
+	reg := newRegistry(clock)
+	respond := func(l citronupstream.RateLimit) { reg.Observe("i-1", reg.Get("i-1"), l) }
 	for range 20 {
 		respond(citronupstream.PerSecond(4))
 		clock.Advance(300 * time.Millisecond)
 		respond(citronupstream.NoRateLimit{})
-		is.True(b.Get("i-1").Limited)
+		is.True(reg.Get("i-1").Limited)
 		clock.Advance(300 * time.Millisecond)
 	}
-	b.Tick()
-	is.True(b.Get("i-1").Limited)
+	reg.Tick()
+	is.True(reg.Get("i-1").Limited)
 	clock.Advance(500 * time.Millisecond)
-	b.Tick() // the last response had no limit, and the limit was last stated more than a second ago
-	is.True(!b.Get("i-1").Limited)
+	reg.Tick() // the last response had no limit, and the limit was last stated more than a second ago
+	is.True(!reg.Get("i-1").Limited)
 }
 
 // Guards against an old update that replaces a newer one because it arrives later, and
@@ -48,19 +48,19 @@
 func TestNewerRecordsWinInAnyOrder(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
-	b := newRegistry(clock)
+	reg := newRegistry(clock)
 	limited := citronpeer.Limit{Engine: "i-1", Limited: true, PerSecond: 4, Version: 1}
 	lifted := citronpeer.Limit{Engine: "i-1", Version: 2}
-	is.NoErr(b.Merge([]citronpeer.Limit{lifted}))
-	is.NoErr(b.Merge([]citronpeer.Limit{limited}))
-	is.True(!b.Get("i-1").Limited)
-	is.NoErr(b.Merge([]citronpeer.Limit{{Engine: "i-1", Limited: true, PerSecond: 4, Version: 2}}))
-	is.True(b.Get("i-1").Limited) // of two records with the same version, the stricter one wins
-	is.NoErr(b.Merge([]citronpeer.Limit{{Engine: "i-9", Limited: true, PerSecond: 4, Version: 2}}))
-	is.Equal(b.CountLimited(), 1) // i-9 is not in the engine list
-	b.Retain(func(engine string) bool { return engine == "i-2" })
-	is.Equal(b.Get("i-1"), citronlimit.Record{})
-	is.Equal(b.Sum(), uint64(0))
+	is.NoErr(reg.Merge([]citronpeer.Limit{lifted}))
+	is.NoErr(reg.Merge([]citronpeer.Limit{limited}))
+	is.True(!reg.Get("i-1").Limited)
+	is.NoErr(reg.Merge([]citronpeer.Limit{{Engine: "i-1", Limited: true, PerSecond: 4, Version: 2}}))
+	is.True(reg.Get("i-1").Limited) // of two records with the same version, the stricter one wins
+	is.NoErr(reg.Merge([]citronpeer.Limit{{Engine: "i-9", Limited: true, PerSecond: 4, Version: 2}}))
+	is.Equal(reg.CountLimited(), 1) // i-9 is not in the engine list
+	reg.Retain(func(engine string) bool { return engine == "i-2" })
+	is.Equal(reg.Get("i-1"), citronlimit.Record{})
+	is.Equal(reg.Sum(), uint64(0))
 }
 
 func TestInvalidMessageIsRejected(t *testing.T) {
@@ -73,9 +73,9 @@
 		{Engine: "i-1", Limited: true, PerSecond: 1, Version: math.MaxInt64},
 	} {
 		is := is.New(t)
-		b := newRegistry(citronclock.Real{})
-		is.True(b.Merge([]citronpeer.Limit{{Engine: "i-2", Limited: true, PerSecond: 3, Version: 1}, l}) != nil)
-		is.Equal(b.CountLimited(), 0)
+		reg := newRegistry(citronclock.Real{})
+		is.True(reg.Merge([]citronpeer.Limit{{Engine: "i-2", Limited: true, PerSecond: 3, Version: 1}, l}) != nil)
+		is.Equal(reg.CountLimited(), 0)
 	}
 }
 
@@ -87,38 +87,38 @@
 		registries := []*citronlimit.Registry{newRegistry(clock), newRegistry(clock), newRegistry(clock)}
 		engines := []string{"i-1", "i-2"}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			b := rapid.SampledFrom(registries).Draw(t, "book")
+			reg := rapid.SampledFrom(registries).Draw(t, "book")
 			e := rapid.SampledFrom(engines).Draw(t, "engine")
 			clock.Advance(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 4:
-				b.Tick()
+				reg.Tick()
 			case 0:
-				b.Observe(e, b.Get(e), citronupstream.PerSecond(rapid.SampledFrom([]float64{0, 1, 4}).Draw(t, "limit")))
+				reg.Observe(e, reg.Get(e), citronupstream.PerSecond(rapid.SampledFrom([]float64{0, 1, 4}).Draw(t, "limit")))
 			case 1:
-				b.Observe(e, b.Get(e), citronupstream.NoRateLimit{})
+				reg.Observe(e, reg.Get(e), citronupstream.NoRateLimit{})
 			case 2:
-				if err := rapid.SampledFrom(registries).Draw(t, "other").Merge(b.All()); err != nil {
+				if err := rapid.SampledFrom(registries).Draw(t, "other").Merge(reg.All()); err != nil {
 					t.Fatal(err)
 				}
 			case 3:
-				if err := rapid.SampledFrom(registries).Draw(t, "other").Merge(b.Recent()); err != nil {
+				if err := rapid.SampledFrom(registries).Draw(t, "other").Merge(reg.Recent()); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 		for range registries {
-			for _, b := range registries {
+			for _, reg := range registries {
 				for _, o := range registries {
-					if err := o.Merge(b.All()); err != nil {
+					if err := o.Merge(reg.All()); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 		}
-		for _, b := range registries[1:] {
-			if b.Sum() != registries[0].Sum() {
-				t.Fatalf("registries have different records: %v and %v", registries[0].All(), b.All())
+		for _, reg := range registries[1:] {
+			if reg.Sum() != registries[0].Sum() {
+				t.Fatalf("registries have different records: %v and %v", registries[0].All(), reg.All())
 			}
 		}
 	})
@@ -135,11 +135,11 @@
 		if cbor.Unmarshal(text, &received) != nil {
 			return
 		}
-		b := newRegistry(citronclock.Real{})
-		if err := b.Merge(received); err != nil && len(b.All()) > 0 {
+		reg := newRegistry(citronclock.Real{})
+		if err := reg.Merge(received); err != nil && len(reg.All()) > 0 {
 			t.Fatal("records of an invalid message were accepted")
 		}
-		for _, l := range b.All() {
+		for _, l := range reg.All() {
 			if math.IsNaN(l.PerSecond) || l.PerSecond < 0 {
 				t.Fatalf("invalid limit of %g requests per second was accepted", l.PerSecond)
 			}
