--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -124,7 +124,7 @@
 	})
 }
 
-func FuzzLearn(f *testing.F) {
+func FuzzMerge(f *testing.F) {
 	text, err := cbor.Marshal([]citronpeer.Limit{{Engine: "i-1", Limited: true, PerSecond: 2.5, Version: 3}})
 	if err != nil {
 		f.Fatal(err)
