--- a/citronlimit/book.go
+++ b/citronlimit/book.go
@@ -20,9 +20,8 @@
 )
 
 // minLimitDuration is the minimum time that a limit stays in effect after a response last
-// stated it.
-// Otherwise, an upstream that sets and lifts its limit several times a second would receive
-// all requests that arrive in between.
+// stated it. Otherwise, an upstream that sets and lifts its limit several times a second
+// would receive all requests that arrive while the limit is lifted.
 const minLimitDuration = time.Second
 
 // Record is the rate limit of one start of an upstream.
