--- a/citronpool/view_test.go
+++ b/citronpool/view_test.go
@@ -45,24 +45,24 @@
 		for i := range 8 {
 			ids = append(ids, fmt.Sprintf("i%d", i))
 		}
-		now := map[string]citronmodel.Engine{}
+		current := map[string]citronmodel.Engine{}
 		var v *citronpool.View
 		inflight := map[string]int64{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			id := rapid.SampledFrom(ids).Draw(t, "id")
 			from := rapid.IntRange(0, 6).Draw(t, "from")
 			if rapid.IntRange(0, 4).Draw(t, "what") == 0 {
-				delete(now, id)
+				delete(current, id)
 				delete(inflight, id)
 			} else {
-				now[id] = citronmodel.Engine{
+				current[id] = citronmodel.Engine{
 					ID: id, Service: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service"), Addr: rapid.SampledFrom(addrs).Draw(t, "addr"),
 					Zone: rapid.SampledFrom([]string{"z1", "z2"}).Draw(t, "zone"), Leaving: rapid.Bool().Draw(t, "leaving"),
 					Layers: citronmodel.Span{From: from, To: from + rapid.IntRange(0, 4).Draw(t, "layers")},
 				}
 			}
 			var engines []citronmodel.Engine
-			for _, e := range now {
+			for _, e := range current {
 				engines = append(engines, e)
 			}
 			slices.SortFunc(engines, func(a, b citronmodel.Engine) int { return int(a.ID[1]) - int(b.ID[1]) })
