--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -89,15 +89,15 @@
 // Inflight returns the number of this node's requests at the engine.
 func (s *State) Inflight() int64 { return s.inflight.Load() }
 
-// Tokens returns the cache, in tokens, that this node's requests at the engine
-// may need.
+// Tokens returns how many tokens of the engine's cache this node's requests at
+// the engine may need.
 func (s *State) Tokens() int64 { return s.tokens.Load() }
 
 const (
-	// initialAvoid is how long an engine is avoided after one failure. The
-	// wait doubles with each further failure until a request succeeds: a
-	// crashed engine is back after seconds, a full one after a few hundred
-	// milliseconds.
+	// initialAvoid is how long an engine is avoided after one failure. The time
+	// doubles with each further failure, up to maxAvoid, until a request
+	// succeeds: a crashed engine is usable again after seconds, a full one after
+	// a few hundred milliseconds.
 	initialAvoid = 300 * time.Millisecond
 	maxAvoid     = 4 * time.Second
 )
@@ -181,7 +181,7 @@
 // zero if it didn't.
 func (s *State) RestartedAt() int64 { return s.restartedAt.Load() }
 
-// misplacedPause is how long an engine is avoided that doesn't hold the layers
+// misplacedPause is how long an engine is avoided if it doesn't hold the layers
 // in the list. An engine writes its entry as soon as its layers change, and the
 // entry reaches all nodes within 500 ms. The engine's report is up to 200 ms
 // old, so the list may be the newer of the two.
@@ -201,10 +201,11 @@
 // that merely doesn't respond may still run the requests sent to it.
 func (s *State) Ended() bool { return s.ended.Load() || s.Replaced() }
 
-// RecordAlive records that the engine has sent data. It clears the ended and the dead
-// mark of an engine that End has marked: an engine that refuses connections may
-// be leaving and finishing its running requests. A replaced engine stays
-// replaced, and the dead mark of an engine that isn't marked ended stays.
+// RecordAlive records that the engine has sent data. If the engine is marked as
+// ended by MarkEnded, it clears that mark and the dead mark: an engine that
+// refuses connections may be leaving and finishing its running requests. A
+// replaced engine stays replaced, and the dead mark of an engine that isn't
+// marked as ended stays.
 func (s *State) RecordAlive() {
 	if s.ended.Load() && !s.Replaced() {
 		s.ended.Store(false)
@@ -222,7 +223,7 @@
 	return epoch.Add(time.Duration(n))
 }
 
-// latencyWeight is the inverse weight of a new sample in the moving average.
+// latencyWeight is the inverse of a new sample's weight in the moving average.
 const latencyWeight = 8
 
 // RecordResponse records a successful response to a request sent at the given time.
--- a/citronpool/refusal.go
+++ b/citronpool/refusal.go
@@ -5,11 +5,11 @@
 //
 // At peak load, engines may leave while the store is unavailable, so that no
 // node can read that they are leaving. Such an engine refuses new requests but
-// answers health questions as usual. If all nodes tried it again after a fixed
-// pause, requests would keep meeting it and the refusals would use up the retry
-// budget that all nodes share. Later requests would then be refused although
-// other engines have free capacity. Therefore the pause doubles with each
-// refusal until the engine admits a request. An engine that was only full
+// answers health checks as usual. If all nodes tried it again after a fixed
+// pause, requests would keep being sent to it and the refusals would use up the
+// retry budget that all nodes share. Later requests would then be refused
+// although other engines have free capacity. Therefore the pause doubles with
+// each refusal until the engine admits a request. An engine that was only full
 // admits requests again after the first pause.
 
 import "time"
--- a/citronpool/view_test.go
+++ b/citronpool/view_test.go
@@ -109,7 +109,7 @@
 	is.Equal(len(v.DeadAfter(now.Add(time.Second))), 0)
 	one.RecordResponse(now, now.Add(time.Millisecond))
 	is.Equal(v.DeadAfter(now.Add(-time.Second)), []string{"i2"})
-	one.MarkDead(now) // dead again, after Dead had removed the recovered engine from the failed states
+	one.MarkDead(now) // dead again, after DeadAfter had removed the recovered engine from the failed states
 	is.Equal(len(v.DeadAfter(now.Add(-time.Second))), 2)
 	v = citronpool.Build(engines[:1], v)
 	is.Equal(v.DeadAfter(now.Add(-time.Second)), []string{"i1"})
