--- a/citronroute/snapshot.go
+++ b/citronroute/snapshot.go
@@ -71,11 +71,11 @@
 // engines busy without making that time longer. The entries share this number
 // evenly. Window returns fallback if no capacity is declared.
 func (s *Snapshot) Window(svc citronfleet.Service, tokenGap time.Duration, fallback int) int {
-	bound := svc.MaxTokenRate()
-	if bound <= 0 {
+	tokenRate := svc.MaxTokenRate()
+	if tokenRate <= 0 {
 		return fallback
 	}
-	return max(1, int(bound*tokenGap.Seconds())/max(1, len(s.Entries)))
+	return max(1, int(tokenRate*tokenGap.Seconds())/max(1, len(s.Entries)))
 }
 
 // Build makes a snapshot. The pool keeps clients and activity across builds.
