--- a/citronroute/snapshot.go
+++ b/citronroute/snapshot.go
@@ -118,7 +118,9 @@
 	p.excluded[b.Spec.Name] = true
 }
 
-func (p *Picker) usable(name string) *Backend {
+// usableBackend returns the back end with the given name, or nil if the request
+// must not use it.
+func (p *Picker) usableBackend(name string) *Backend {
 	if p.excluded[name] || p.Snapshot.Avoid[name] != "" {
 		return nil
 	}
@@ -137,7 +139,7 @@
 func (p *Picker) Chain(svc citronfleet.Service, from int) []*Backend {
 	byStart := map[int][]*Backend{}
 	for _, e := range svc.Engines {
-		if b := p.usable(e.Name); b != nil {
+		if b := p.usableBackend(e.Name); b != nil {
 			byStart[e.Range[0]] = append(byStart[e.Range[0]], b)
 		}
 	}
@@ -171,7 +173,7 @@
 		if e.Name == b.Spec.Name || e.Range != b.Spec.Range {
 			continue
 		}
-		if c := p.usable(e.Name); c != nil && (best == nil || p.less(c, best)) {
+		if c := p.usableBackend(e.Name); c != nil && (best == nil || p.less(c, best)) {
 			best = c
 		}
 	}
@@ -183,7 +185,7 @@
 func (p *Picker) Upstream(svc citronfleet.Service) *Backend {
 	var best *Backend
 	for _, u := range svc.Upstreams {
-		if b := p.usable(u.Name); b != nil && (best == nil || p.less(b, best)) {
+		if b := p.usableBackend(u.Name); b != nil && (best == nil || p.less(b, best)) {
 			best = b
 		}
 	}
