--- a/citronroute/backend.go
+++ b/citronroute/backend.go
@@ -216,8 +216,8 @@
 	return b
 }
 
-// prune removes back ends that are in no current snapshot and have no calls
-// in flight.
+// prune removes back ends that are not in current, the back ends of the newest
+// snapshot, and that have no calls in flight.
 func (p *Pool) prune(current map[string]*Backend) {
 	live := make(map[*activity]bool, len(current))
 	for _, b := range current {
