--- a/citronupstream/ratelimit.go
+++ b/citronupstream/ratelimit.go
@@ -25,7 +25,8 @@
 func (InvalidRateLimit) isRateLimit() {}
 
 // ParseRateLimit parses the values of a response's rate limit header. The header
-// is either absent or has one finite, non-negative decimal number.
+// is either absent or has one finite, non-negative number in a notation that
+// strconv.ParseFloat accepts.
 func ParseRateLimit(values []string) RateLimit {
 	if len(values) == 0 {
 		return NoRateLimit{}
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -59,7 +59,8 @@
 	// TimeLeft is the remaining time that the engine may use.
 	TimeLeft time.Duration
 	// AfterEvent is the ID of the last event that the caller has received by the time
-	// of the call, or ResumeAfter if it has received none since its request.
+	// of the call, or ResumeAfter if it has received none from earlier calls of this
+	// request.
 	AfterEvent string
 	// NoRetry is true if the transport must not retry the call and must not reuse
 	// a connection of an earlier call.
@@ -73,7 +74,7 @@
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// NotExecuted is true if the engine reports that it did not run the request.
+	// NotExecuted is true if the response states that the request was not run.
 	NotExecuted bool
 	// FaultAddr is the address of the accused engine: the engine on the path that the
 	// response names as the cause of the failure.
@@ -86,8 +87,8 @@
 	RateLimit RateLimit
 }
 
-// Errors returned by Engines.Send. After any other error, it is unknown whether
-// the request ran.
+// Errors returned by Engines.Send. After any error but ErrNotSent, it is unknown
+// whether the request ran.
 var (
 	// ErrNotSent reports that no byte of the request left this node.
 	ErrNotSent = errors.New("request was not sent")
@@ -113,7 +114,8 @@
 	AcceptedOrders int64
 }
 
-// Engines sends calls and orders to engines.
+// Engines sends calls to engines, asks for their state and changes the paths of
+// running requests.
 type Engines interface {
 	// Send sends a call and returns the response up to its body.
 	Send(context.Context, Call) (*Reply, error)
@@ -125,13 +127,14 @@
 	Repath(ctx context.Context, first, id string, path citronpath.Path) error
 }
 
-// ErrUnknownRequest reports that an order refers to a request that the engine
-// does not run.
+// ErrUnknownRequest is returned by Engines.Repath if the engine does not run the
+// request.
 var ErrUnknownRequest = errors.New("engine does not run this request")
 
-// HopError reports that the engine at Addr cannot take its hop of a path.
+// HopError reports that the engine at Addr cannot take its hop of a path, or that
+// this node got no permit for it under the engine's rate limit.
 type HopError struct{ Addr string }
 
 func (e *HopError) Error() string {
-	return "engine cannot take its hop, no free capacity or a different layer range: " + e.Addr
+	return "engine cannot take its hop (no free capacity, different layers or its rate limit): " + e.Addr
 }
