--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -13,8 +13,8 @@
 	"github.com/matryer/is"
 )
 
-// usableAt returns how many nodes send new work to an engine.
-func (f *fleet) usableAt(id string) int {
+// nodesUsing returns how many nodes send new work to an engine.
+func (f *fleet) nodesUsing(id string) int {
 	n := 0
 	for _, m := range f.nodes {
 		if s := m.Traffic(); s != nil {
@@ -48,7 +48,7 @@
 		m.gate.rejecting.Store(i%4 == 3) // these nodes learn of the restore from other nodes only
 	}
 	f.awaitFullMembership()
-	eventually(t, "all nodes use all engines", func() bool { return f.usableAt("e0") == size && f.usableAt("e19") == size })
+	eventually(t, "all nodes use all engines", func() bool { return f.nodesUsing("e0") == size && f.nodesUsing("e19") == size })
 	copied := f.store.Snapshot()
 
 	// After the copy is made, one engine leaves, one joins, and many entries change.
@@ -62,7 +62,7 @@
 		f.engine(e)
 	}
 	f.config("2")
-	eventually(t, "all nodes know the changes since the copy", func() bool { return f.usableAt("e0") == 0 && f.usableAt("late") == size })
+	eventually(t, "all nodes know the changes since the copy", func() bool { return f.nodesUsing("e0") == 0 && f.nodesUsing("late") == size })
 
 	f.store.Restore(copied)
 	from := time.Now()
@@ -72,12 +72,12 @@
 	left.Leaving = true
 	f.engine(left)
 	eventually(t, "all nodes use the list of the new era", func() bool {
-		is.Equal(f.usableAt("e0"), 0)
-		return f.usableAt("new") == size && f.usableAt("e1") == 0
+		is.Equal(f.nodesUsing("e0"), 0)
+		return f.nodesUsing("new") == size && f.nodesUsing("e1") == 0
 	})
 	t.Logf("%d nodes use the new list after %v", size, time.Since(from))
 	is.True(time.Since(from) < 2*time.Second)
-	is.Equal(f.usableAt("late"), size)
+	is.Equal(f.nodesUsing("late"), size)
 	for _, m := range f.nodes {
 		is.Equal(m.version(), int64(2)) // a configuration never reverts
 		is.Equal(m.Status().StoreEra, int64(1))
@@ -137,7 +137,7 @@
 	f.config("1")
 	m := f.add("a", "z1")
 	f.engine(appEngine("e0"))
-	eventually(t, "the node uses the engine", func() bool { return f.usableAt("e0") == 1 })
+	eventually(t, "the node uses the engine", func() bool { return f.nodesUsing("e0") == 1 })
 	client := citronpeer.Client{HC: http.DefaultClient, Timeout: time.Second}
 	for _, list := range []citronpeer.ListDocument{
 		{Revision: citronkv.RevisionOf(citronkv.MaxEra, citronkv.MaxNumber), Body: []byte("[]")},
@@ -150,8 +150,8 @@
 		is.NoErr(err)
 	}
 	f.engine(appEngine("e1"))
-	eventually(t, "the node uses the next engine", func() bool { return f.usableAt("e1") == 1 })
-	is.Equal(f.usableAt("e0"), 1)
+	eventually(t, "the node uses the next engine", func() bool { return f.nodesUsing("e1") == 1 })
+	is.Equal(f.nodesUsing("e0"), 1)
 	is.Equal(m.Status().StoreEra, int64(0))
 }
 
--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -173,7 +173,7 @@
 		time.Sleep(100 * time.Millisecond)
 		f.storeUnavailable.Store(false)
 		from := time.Now()
-		eventually(t, "all nodes can serve", func() bool { return f.usableAt("e0") == size })
+		eventually(t, "all nodes can serve", func() bool { return f.nodesUsing("e0") == size })
 		took := time.Since(from)
 		t.Logf("try %d: all nodes can serve after %v", try, took)
 		if took < maxStart {
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -75,7 +75,7 @@
 				}
 				f.store.Restore(backup)
 				f.engine(appEngine(fmt.Sprintf("new%d", i)))
-				eventually(b, "all nodes use the list of the new era", func() bool { return f.usableAt(fmt.Sprintf("new%d", i)) == size })
+				eventually(b, "all nodes use the list of the new era", func() bool { return f.nodesUsing(fmt.Sprintf("new%d", i)) == size })
 			}
 			b.ReportMetric(float64(calls()-before)/float64(b.N), "calls")
 		})
@@ -89,7 +89,7 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f, m := fleetOf(b, size)
 			f.engine(appEngine("limited"))
-			eventually(b, "all nodes know the engine", func() bool { return f.usableAt("limited") == size })
+			eventually(b, "all nodes know the engine", func() bool { return f.nodesUsing("limited") == size })
 			m.bytes.Store(0)
 			b.ResetTimer()
 			for i := range b.N {
@@ -119,7 +119,7 @@
 	f.add("a", "z1")
 	f.add("b", "z1")
 	f.awaitFullMembership()
-	eventually(b, "all nodes know the engine", func() bool { return f.usableAt("limited") == 2 })
+	eventually(b, "all nodes know the engine", func() bool { return f.nodesUsing("limited") == 2 })
 	f.nodes[0].Limits().Observe("limited", citronlimit.Record{}, citronupstream.PerSecond(1e9))
 	eventually(b, "both nodes know the limit", func() bool { return f.limitedAt("limited") == 2 })
 	e, _ := f.nodes[0].Traffic().View.ByID("limited")
