--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -282,8 +282,8 @@
 	}
 }
 
-// limitedAt returns how many nodes know a limit of an engine.
-func (f *fleet) limitedAt(engine string) int {
+// nodesLimiting returns how many nodes know a limit of an engine.
+func (f *fleet) nodesLimiting(engine string) int {
 	n := 0
 	for _, m := range f.nodes {
 		if m.Limits().Get(engine).Limited {
@@ -306,7 +306,7 @@
 	hear := func(m *member, l citronupstream.RateLimit) { m.Limits().Observe("i-0", m.Limits().Get("i-0"), l) }
 	timed := func(what string, nodes int) time.Duration {
 		from := time.Now()
-		eventually(t, what, func() bool { return f.limitedAt("i-0") == nodes })
+		eventually(t, what, func() bool { return f.nodesLimiting("i-0") == nodes })
 		return time.Since(from)
 	}
 	inTime := false
@@ -322,7 +322,7 @@
 	is.True(inTime)
 	hear(f.nodes[0], citronupstream.PerSecond(4))
 	f.add("late", "z1")
-	eventually(t, "a node that starts knows the limit", func() bool { return f.limitedAt("i-0") == len(f.nodes) })
+	eventually(t, "a node that starts knows the limit", func() bool { return f.nodesLimiting("i-0") == len(f.nodes) })
 }
 
 // Guards against an upstream that receives nothing, or more than its limit, after the
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -121,7 +121,7 @@
 	f.awaitFullMembership()
 	eventually(b, "all nodes know the engine", func() bool { return f.nodesUsing("limited") == 2 })
 	f.nodes[0].Limits().Observe("limited", citronlimit.Record{}, citronupstream.PerSecond(1e9))
-	eventually(b, "both nodes know the limit", func() bool { return f.limitedAt("limited") == 2 })
+	eventually(b, "both nodes know the limit", func() bool { return f.nodesLimiting("limited") == 2 })
 	e, _ := f.nodes[0].Traffic().View.ByID("limited")
 	requester := f.nodes[0]
 	for _, m := range f.nodes {
