--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -47,7 +47,7 @@
 				for k := range 3 {
 					f.nodes[k*size/3].Quarantine().RecordCrash(p, fmt.Sprintf("i-%d", k), time.Time{})
 				}
-				eventually(b, "all nodes quarantine the request", func() bool { return f.quarantinedAt(p) == size })
+				eventually(b, "all nodes quarantine the request", func() bool { return f.nodesQuarantining(p) == size })
 			}
 			b.ReportMetric(float64(m.bytes.Load())/1024/float64(size)/float64(b.N), "KB/node")
 		})
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -14,8 +14,8 @@
 
 var suspect = citronquarantine.FingerprintOf("council", "POST", "h", "/nest/7", []byte("a plan"))
 
-// quarantinedAt returns how many nodes quarantine a request.
-func (f *fleet) quarantinedAt(p citronquarantine.Fingerprint) int {
+// nodesQuarantining returns how many nodes quarantine a request.
+func (f *fleet) nodesQuarantining(p citronquarantine.Fingerprint) int {
 	n := 0
 	for _, m := range f.nodes {
 		if _, quarantined := m.Quarantine().QuarantinedFor(p); quarantined {
@@ -58,7 +58,7 @@
 		f.nodes[i*size/3].Quarantine().RecordCrash(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
 	from := time.Now()
-	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == size })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.nodesQuarantining(suspect) == size })
 	took := time.Since(from)
 	t.Logf("%d nodes quarantined the request within %v", size, took)
 	is.True(took < knownWithin)
@@ -77,12 +77,12 @@
 	for i := range 3 {
 		f.nodes[0].Quarantine().RecordCrash(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
-	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == 3 })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.nodesQuarantining(suspect) == 3 })
 	time.Sleep(2 * time.Second) // its record is no longer recent
 	f.add("d", "z1")
-	eventually(t, "the new node quarantines it too", func() bool { return f.quarantinedAt(suspect) == 4 })
+	eventually(t, "the new node quarantines it too", func() bool { return f.nodesQuarantining(suspect) == 4 })
 	f.nodes[3].Quarantine().RecordSuccess(suspect)
-	eventually(t, "all nodes learn that it succeeded", func() bool { return f.quarantinedAt(suspect) == 0 })
+	eventually(t, "all nodes learn that it succeeded", func() bool { return f.nodesQuarantining(suspect) == 0 })
 }
 
 // Guards against a request that crashes three more engines after all nodes restarted at
@@ -115,11 +115,11 @@
 	}
 	restart()
 	from := time.Now()
-	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == len(names) })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.nodesQuarantining(suspect) == len(names) })
 	is.True(time.Since(from) < knownWithin)
 	// The request turns out to be harmless. No node quarantines it again.
 	f.nodes[0].Quarantine().RecordSuccess(suspect)
-	eventually(t, "no node quarantines it", func() bool { return f.quarantinedAt(suspect) == 0 })
+	eventually(t, "no node quarantines it", func() bool { return f.nodesQuarantining(suspect) == 0 })
 }
 
 // Guards against messages that no healthy node sends: impossible counts and ages, or a
@@ -157,5 +157,5 @@
 	}
 	is.Equal(m.Status().SuspectsRejected, int64(len(invalid)))
 	is.Equal(m.Status().Suspects, 0)
-	is.Equal(f.quarantinedAt(suspect), 0)
+	is.Equal(f.nodesQuarantining(suspect), 0)
 }
