--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -38,7 +38,7 @@
 	is := is.New(t)
 	f := newFleet(t)
 	f.net = newMesh()
-	f.config("1")
+	f.putConfig("1")
 	const size = 12
 	for i := range 20 {
 		f.engine(appEngine(fmt.Sprintf("e%d", i)))
@@ -61,7 +61,7 @@
 		e.Slots = i
 		f.engine(e)
 	}
-	f.config("2")
+	f.putConfig("2")
 	eventually(t, "all nodes know the changes since the copy", func() bool { return f.nodesUsing("e0") == 0 && f.nodesUsing("late") == size })
 
 	f.store.Restore(copied)
@@ -90,7 +90,7 @@
 func TestNodesRewriteRecordsMissingAfterRestore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	copied := f.store.Snapshot()
 	for _, name := range []string{"a", "b", "c"} {
 		f.add(name, "z1")
@@ -109,7 +109,7 @@
 	}
 	eventually(t, "all records are in the store", allWritten)
 	f.store.Restore(copied)
-	f.config("1")
+	f.putConfig("1")
 	f.engine(appEngine("e1"))
 	eventually(t, "all records are in the store again", allWritten)
 	leaders := 0
@@ -134,7 +134,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	m := f.add("a", "z1")
 	f.engine(appEngine("e0"))
 	eventually(t, "the node uses the engine", func() bool { return f.nodesUsing("e0") == 1 })
@@ -159,7 +159,7 @@
 // store is restored repeatedly within a few seconds and rejects one node at a time.
 func TestSingleLeaderDuringStoreRestores(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	copied := f.store.Snapshot()
 	for i := range 5 {
 		f.add(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -50,7 +50,7 @@
 	f := newFleet(t)
 	c, m := newLossCounter(), newMesh()
 	f.log, f.net = c, m
-	f.config("1")
+	f.putConfig("1")
 	for _, name := range []string{"a", "b", "c"} {
 		f.add(name, "z1")
 	}
@@ -81,7 +81,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for _, name := range []string{"a", "b", "c"} {
 		m := f.add(name, "z1")
 		m.budget.CountRequest("model", time.Now())
@@ -112,7 +112,7 @@
 	is := is.New(t)
 	f := newFleet(t)
 	f.net = newMesh()
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(12) {
 		f.engine(e)
 	}
@@ -144,7 +144,7 @@
 	for range 5 {
 		f := newFleet(t)
 		f.net = newMesh()
-		f.config("1")
+		f.putConfig("1")
 		from := time.Now()
 		m := f.add("a", "z1")
 		eventually(t, "the configuration is active", func() bool { return m.version() == 1 })
@@ -163,7 +163,7 @@
 	for try := range 5 {
 		f := newFleet(t)
 		f.net = newMesh()
-		f.config("1")
+		f.putConfig("1")
 		f.engine(appEngine("e0"))
 		f.storeUnavailable.Store(true)
 		const size = 20
@@ -191,7 +191,7 @@
 	t.Parallel()
 	f := newFleet(t)
 	f.net, f.ownZoneSeedsOnly = newMesh(), true
-	f.config("1")
+	f.putConfig("1")
 	for i := range 6 {
 		f.add(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
 	}
@@ -213,7 +213,7 @@
 			f := newFleet(b)
 			c, m := newLossCounter(), newMesh()
 			f.log, f.net = c, m
-			f.config("1")
+			f.putConfig("1")
 			for _, e := range engines(200) {
 				f.engine(e)
 			}
@@ -254,7 +254,7 @@
 	const every = 100 * time.Millisecond
 	f := newFleet(b)
 	f.net = newMesh()
-	f.config("1")
+	f.putConfig("1")
 	all := engines(count)
 	for _, e := range all {
 		f.engine(e)
@@ -285,7 +285,7 @@
 	)
 	f := newFleet(t)
 	f.net = newMesh()
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(3) {
 		f.engine(e)
 	}
--- a/citronnode/leaving_test.go
+++ b/citronnode/leaving_test.go
@@ -22,7 +22,7 @@
 func startFleetWithTwelveEngines(t *testing.T, names ...string) *fleet {
 	t.Helper()
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(12) {
 		f.engine(e)
 	}
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -233,7 +233,7 @@
 func (f *fleet) startApps(nodes, upstreams int) {
 	f.t.Helper()
 	f.net = newMesh()
-	f.config("1")
+	f.putConfig("1")
 	for i := range upstreams {
 		f.engine(citronmodel.Engine{ID: fmt.Sprintf("i-%d", i), Service: "app", Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: fmt.Sprintf("z%d", i%3)})
 	}
--- a/citronnode/node_test.go
+++ b/citronnode/node_test.go
@@ -17,11 +17,11 @@
 // it would serve callers by the old one for as long as the store rejects it.
 func TestConfigReachesNodeRejectedByStore(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	a, b := f.add("a", "z1"), f.add("b", "z1")
 	eventually(t, "both nodes have version 1", func() bool { return a.version() == 1 && b.version() == 1 })
 	b.gate.rejecting.Store(true)
-	f.config("2")
+	f.putConfig("2")
 	eventually(t, "the rejected node has version 2", func() bool { return b.version() == 2 })
 }
 
@@ -29,7 +29,7 @@
 // engines from the others.
 func TestNodeStartsWithoutStore(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	f.engine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
 	a := f.add("a", "z1")
 	eventually(t, "the first node is ready", a.Ready)
@@ -46,7 +46,7 @@
 // the store rejects them.
 func TestFewNodesWatchForTheFleet(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for i := range 9 {
 		f.add(fmt.Sprintf("n%d", i), "z1")
 	}
@@ -60,12 +60,12 @@
 	}
 	eventually(t, "all nodes have version 1", all(1))
 	eventually(t, "four nodes watch", func() bool { return len(watching()) == 4 })
-	f.config("2")
+	f.putConfig("2")
 	eventually(t, "all nodes have version 2", all(2))
 	for _, m := range f.nodes[:4] {
 		m.gate.rejecting.Store(true)
 	}
-	f.config("3")
+	f.putConfig("3")
 	eventually(t, "all nodes have version 3, from nodes that did not watch before", all(3))
 }
 
@@ -74,11 +74,11 @@
 // is not; it must not serve the old version until its watch ends.
 func TestStalledWatchDoesNotKeepOldConfig(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	a, b := f.add("a", "z1"), f.add("b", "z2")
 	eventually(t, "both nodes have version 1", func() bool { return a.version() == 1 && b.version() == 1 })
 	b.gate.stalled.Store(true)
-	f.config("2")
+	f.putConfig("2")
 	eventually(t, "the node with the stalled watch has version 2", func() bool { return b.version() == 2 })
 }
 
@@ -86,14 +86,14 @@
 func TestInvalidOrOlderConfigIsIgnored(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
-	f.config("5")
+	f.putConfig("5")
 	a := f.add("a", "z1")
 	eventually(t, "the node has version 5", func() bool { return a.version() == 5 })
-	f.config("nonsense")
-	f.config("4")
-	f.config("6")
+	f.putConfig("nonsense")
+	f.putConfig("4")
+	f.putConfig("6")
 	eventually(t, "the node has version 6", func() bool { return a.version() == 6 })
-	f.config("3")
+	f.putConfig("3")
 	time.Sleep(300 * time.Millisecond)
 	is.Equal(a.version(), int64(6))
 }
@@ -101,7 +101,7 @@
 // An engine entry that cannot be decoded is skipped; the other engines serve.
 func TestInvalidEngineEntryIsSkipped(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	_, err := f.store.Put(context.Background(), "engines/bad", []byte("{"), citronkv.Absent, 0)
 	is.New(t).NoErr(err)
 	f.engine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
@@ -140,7 +140,7 @@
 	is := is.New(t)
 	f := newFleet(t)
 	f.drainWithin = 5 * time.Second
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(12) {
 		f.engine(e)
 	}
@@ -163,7 +163,7 @@
 // without announcing it. It must stop getting new work immediately.
 func TestSingleMissingEntryMeansEngineLeaves(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(12) {
 		f.engine(e)
 	}
@@ -177,7 +177,7 @@
 // Callers are sent to their own zone, and never to a node that is stopping.
 func TestDirectoryPrefersOwnZone(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	a, b, c := f.add("a", "z1"), f.add("b", "z1"), f.add("c", "z2")
 	count := func(m *member, zone string) string { return fmt.Sprint(len(m.Addresses(zone))) }
 	eventually(t, "callers get nodes of their own zone if it has two, and of all zones if it has one", func() bool {
@@ -194,7 +194,7 @@
 func TestNewLeaderPlacesOnlyMissingLayers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for i := range 3 {
 		f.engine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
 	}
@@ -234,7 +234,7 @@
 // until the store is back.
 func TestLeaderContinuesDuringStoreOutage(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for i := range 3 {
 		f.engine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
 	}
@@ -271,7 +271,7 @@
 // leader must fill the gap.
 func TestActingLeaderFillsGapDuringStoreOutage(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for i := range 3 {
 		f.engine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
 	}
@@ -309,7 +309,7 @@
 // of them would learn of the fault by a rejected request of its own.
 func TestAccusationReachesTheZone(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(2) {
 		e.Zone = "z1"
 		f.engine(e)
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -321,7 +321,7 @@
 	return m
 }
 
-func (f *fleet) config(text string) {
+func (f *fleet) putConfig(text string) {
 	f.t.Helper()
 	if _, err := f.store.Put(context.Background(), "config", []byte(text), citronkv.AnyRevision, 0); err != nil {
 		f.t.Fatal(err)
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -22,7 +22,7 @@
 	f := newFleet(b)
 	m := newMesh()
 	f.net = m
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(200) {
 		f.engine(e)
 	}
@@ -114,7 +114,7 @@
 // a loopback connection, and the processor time of both.
 func BenchmarkPermit(b *testing.B) {
 	f := newFleet(b)
-	f.config("1")
+	f.putConfig("1")
 	f.engine(appEngine("limited"))
 	f.add("a", "z1")
 	f.add("b", "z1")
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	f := newFleet(t)
 	f.net = newMesh()
-	f.config("1")
+	f.putConfig("1")
 	const size = 45
 	for i := range size {
 		m := f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
@@ -69,7 +69,7 @@
 func TestStartingNodeLearnsQuarantine(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for _, name := range []string{"a", "b", "c"} {
 		f.add(name, "z1")
 	}
@@ -91,7 +91,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	names := []string{"a", "b", "c"}
 	for _, name := range names {
 		f.add(name, "z1")
@@ -128,7 +128,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	m := f.add("a", "z1")
 	crashes := func(count int, age int64) []citronpeer.SuspectCrash {
 		var out []citronpeer.SuspectCrash
