--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -41,7 +41,7 @@
 	f.putConfig("1")
 	const size = 12
 	for i := range 20 {
-		f.engine(appEngine(fmt.Sprintf("e%d", i)))
+		f.putEngine(appEngine(fmt.Sprintf("e%d", i)))
 	}
 	for i := range size {
 		m := f.add(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
@@ -54,23 +54,23 @@
 	// After the copy is made, one engine leaves, one joins, and many entries change.
 	gone := appEngine("e0")
 	gone.Leaving = true
-	f.engine(gone)
-	f.engine(appEngine("late"))
+	f.putEngine(gone)
+	f.putEngine(appEngine("late"))
 	for i := range 200 {
 		e := appEngine(fmt.Sprintf("e%d", 10+i%5))
 		e.Slots = i
-		f.engine(e)
+		f.putEngine(e)
 	}
 	f.putConfig("2")
 	eventually(t, "all nodes know the changes since the copy", func() bool { return f.nodesUsing("e0") == 0 && f.nodesUsing("late") == size })
 
 	f.store.Restore(copied)
 	from := time.Now()
-	f.engine(appEngine("late")) // the engine renews its entry
-	f.engine(appEngine("new"))
+	f.putEngine(appEngine("late")) // the engine renews its entry
+	f.putEngine(appEngine("new"))
 	left := appEngine("e1")
 	left.Leaving = true
-	f.engine(left)
+	f.putEngine(left)
 	eventually(t, "all nodes use the list of the new era", func() bool {
 		is.Equal(f.nodesUsing("e0"), 0)
 		return f.nodesUsing("new") == size && f.nodesUsing("e1") == 0
@@ -110,7 +110,7 @@
 	eventually(t, "all records are in the store", allWritten)
 	f.store.Restore(copied)
 	f.putConfig("1")
-	f.engine(appEngine("e1"))
+	f.putEngine(appEngine("e1"))
 	eventually(t, "all records are in the store again", allWritten)
 	leaders := 0
 	for _, m := range f.nodes {
@@ -136,7 +136,7 @@
 	f := newFleet(t)
 	f.putConfig("1")
 	m := f.add("a", "z1")
-	f.engine(appEngine("e0"))
+	f.putEngine(appEngine("e0"))
 	eventually(t, "the node uses the engine", func() bool { return f.nodesUsing("e0") == 1 })
 	client := citronpeer.Client{HC: http.DefaultClient, Timeout: time.Second}
 	for _, list := range []citronpeer.ListDocument{
@@ -149,7 +149,7 @@
 		_, err := client.Update(context.Background(), m.addr, citronpeer.GossipState{From: citronpeer.Member{Name: "stranger"}, Engines: list})
 		is.NoErr(err)
 	}
-	f.engine(appEngine("e1"))
+	f.putEngine(appEngine("e1"))
 	eventually(t, "the node uses the next engine", func() bool { return f.nodesUsing("e1") == 1 })
 	is.Equal(f.nodesUsing("e0"), 1)
 	is.Equal(m.Status().StoreEra, int64(0))
--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -114,7 +114,7 @@
 	f.net = newMesh()
 	f.putConfig("1")
 	for _, e := range engines(12) {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	const nodes = 60
 	for i := range nodes {
@@ -164,7 +164,7 @@
 		f := newFleet(t)
 		f.net = newMesh()
 		f.putConfig("1")
-		f.engine(appEngine("e0"))
+		f.putEngine(appEngine("e0"))
 		f.storeUnavailable.Store(true)
 		const size = 20
 		for i := range size {
@@ -215,7 +215,7 @@
 			f.log, f.net = c, m
 			f.putConfig("1")
 			for _, e := range engines(200) {
-				f.engine(e)
+				f.putEngine(e)
 			}
 			for i := range size {
 				f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
@@ -257,7 +257,7 @@
 	f.putConfig("1")
 	all := engines(count)
 	for _, e := range all {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	for i := range size {
 		f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
@@ -268,7 +268,7 @@
 	for i := range b.N * int(time.Second/every) {
 		e := all[i%len(all)]
 		e.Slots = i
-		f.engine(e)
+		f.putEngine(e)
 		time.Sleep(every)
 	}
 	spent := processorTime() - cpu
@@ -287,7 +287,7 @@
 	f.net = newMesh()
 	f.putConfig("1")
 	for _, e := range engines(3) {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	dead := f.add("dead", "z1")
 	b := f.add("b", "z1")
--- a/citronnode/leaving_test.go
+++ b/citronnode/leaving_test.go
@@ -24,7 +24,7 @@
 	f := newFleet(t)
 	f.putConfig("1")
 	for _, e := range engines(12) {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	for _, name := range names {
 		f.add(name, "z1")
@@ -204,7 +204,7 @@
 		}
 	}
 	for _, e := range engines(10) {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	eventually(t, "the two engines that did not write their entries again are removed", func() bool {
 		for _, m := range f.nodes {
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -235,7 +235,7 @@
 	f.net = newMesh()
 	f.putConfig("1")
 	for i := range upstreams {
-		f.engine(citronmodel.Engine{ID: fmt.Sprintf("i-%d", i), Service: "app", Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: fmt.Sprintf("z%d", i%3)})
+		f.putEngine(citronmodel.Engine{ID: fmt.Sprintf("i-%d", i), Service: "app", Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: fmt.Sprintf("z%d", i%3)})
 	}
 	for i := range nodes {
 		f.add(fmt.Sprintf("z%d-n%03d", i%3, i), fmt.Sprintf("z%d", i%3))
--- a/citronnode/node_test.go
+++ b/citronnode/node_test.go
@@ -30,7 +30,7 @@
 func TestNodeStartsWithoutStore(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
-	f.engine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
+	f.putEngine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
 	a := f.add("a", "z1")
 	eventually(t, "the first node is ready", a.Ready)
 	b := f.add("b", "z1")
@@ -104,7 +104,7 @@
 	f.putConfig("1")
 	_, err := f.store.Put(context.Background(), "engines/bad", []byte("{"), citronkv.Absent, 0)
 	is.New(t).NoErr(err)
-	f.engine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
+	f.putEngine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
 	a := f.add("a", "z1")
 	eventually(t, "the valid engine is listed", func() bool {
 		return a.Traffic() != nil && len(a.Traffic().View.ByService["app"]) == 1
@@ -142,7 +142,7 @@
 	f.drainWithin = 5 * time.Second
 	f.putConfig("1")
 	for _, e := range engines(12) {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	a := f.add("a", "z1")
 	eventually(t, "the node uses twelve engines", func() bool { return a.usable() == 12 })
@@ -152,7 +152,7 @@
 	time.Sleep(time.Second)
 	is.Equal(a.usable(), 12)
 	for _, e := range engines(10) {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	eventually(t, "the two engines that are not back are removed", func() bool {
 		return a.usable() == 10 && len(a.Traffic().View.ByService["app"]) == 10
@@ -165,7 +165,7 @@
 	f := newFleet(t)
 	f.putConfig("1")
 	for _, e := range engines(12) {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	a := f.add("a", "z1")
 	eventually(t, "the node uses twelve engines", func() bool { return a.usable() == 12 })
@@ -196,7 +196,7 @@
 	f := newFleet(t)
 	f.putConfig("1")
 	for i := range 3 {
-		f.engine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
+		f.putEngine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
 	}
 	a := f.add("a", "z1")
 	covered := func(m *member) bool {
@@ -236,7 +236,7 @@
 	f := newFleet(t)
 	f.putConfig("1")
 	for i := range 3 {
-		f.engine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
+		f.putEngine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
 	}
 	b := f.add("b", "z1")
 	eventually(t, "the first node leads", func() bool { return f.orders.count() > 0 })
@@ -273,7 +273,7 @@
 	f := newFleet(t)
 	f.putConfig("1")
 	for i := range 3 {
-		f.engine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
+		f.putEngine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
 	}
 	a := f.add("a", "z1")
 	eventually(t, "the first node leads", func() bool { return f.orders.count() >= 2 })
@@ -312,7 +312,7 @@
 	f.putConfig("1")
 	for _, e := range engines(2) {
 		e.Zone = "z1"
-		f.engine(e)
+		f.putEngine(e)
 	}
 	a, b := f.add("a", "z1"), f.add("b", "z1")
 	eventually(t, "both nodes know the engines and each other", func() bool {
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -328,7 +328,7 @@
 	}
 }
 
-func (f *fleet) engine(e citronmodel.Engine) {
+func (f *fleet) putEngine(e citronmodel.Engine) {
 	f.t.Helper()
 	if err := putEngine(context.Background(), f.store, e); err != nil {
 		f.t.Fatal(err)
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -24,7 +24,7 @@
 	f.net = m
 	f.putConfig("1")
 	for _, e := range engines(200) {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	for i := range size {
 		f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
@@ -71,10 +71,10 @@
 			for i := range b.N {
 				backup := f.store.Snapshot()
 				for k := range 20 {
-					f.engine(appEngine(fmt.Sprintf("gap%d", k)))
+					f.putEngine(appEngine(fmt.Sprintf("gap%d", k)))
 				}
 				f.store.Restore(backup)
-				f.engine(appEngine(fmt.Sprintf("new%d", i)))
+				f.putEngine(appEngine(fmt.Sprintf("new%d", i)))
 				eventually(b, "all nodes use the list of the new era", func() bool { return f.nodesUsing(fmt.Sprintf("new%d", i)) == size })
 			}
 			b.ReportMetric(float64(calls()-before)/float64(b.N), "calls")
@@ -88,7 +88,7 @@
 	for _, size := range spreadSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f, m := fleetOf(b, size)
-			f.engine(appEngine("limited"))
+			f.putEngine(appEngine("limited"))
 			eventually(b, "all nodes know the engine", func() bool { return f.nodesUsing("limited") == size })
 			m.bytes.Store(0)
 			b.ResetTimer()
@@ -115,7 +115,7 @@
 func BenchmarkPermit(b *testing.B) {
 	f := newFleet(b)
 	f.putConfig("1")
-	f.engine(appEngine("limited"))
+	f.putEngine(appEngine("limited"))
 	f.add("a", "z1")
 	f.add("b", "z1")
 	f.awaitFullMembership()
