--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -44,7 +44,7 @@
 		f.putEngine(appEngine(fmt.Sprintf("e%d", i)))
 	}
 	for i := range size {
-		m := f.add(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
+		m := f.addNode(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
 		m.gate.rejecting.Store(i%4 == 3) // these nodes learn of the restore from other nodes only
 	}
 	f.awaitFullMembership()
@@ -93,7 +93,7 @@
 	f.putConfig("1")
 	copied := f.store.Snapshot()
 	for _, name := range []string{"a", "b", "c"} {
-		f.add(name, "z1")
+		f.addNode(name, "z1")
 	}
 	f.awaitFullMembership()
 	for i := range 3 {
@@ -135,7 +135,7 @@
 	is := is.New(t)
 	f := newFleet(t)
 	f.putConfig("1")
-	m := f.add("a", "z1")
+	m := f.addNode("a", "z1")
 	f.putEngine(appEngine("e0"))
 	eventually(t, "the node uses the engine", func() bool { return f.nodesUsing("e0") == 1 })
 	client := citronpeer.Client{HC: http.DefaultClient, Timeout: time.Second}
@@ -162,7 +162,7 @@
 	f.putConfig("1")
 	copied := f.store.Snapshot()
 	for i := range 5 {
-		f.add(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
+		f.addNode(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
 	}
 	f.awaitFullMembership()
 	placers := func() (names []string) {
--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -52,7 +52,7 @@
 	f.log, f.net = c, m
 	f.putConfig("1")
 	for _, name := range []string{"a", "b", "c"} {
-		f.add(name, "z1")
+		f.addNode(name, "z1")
 	}
 	allKnown := func() bool {
 		for _, n := range f.nodes {
@@ -83,7 +83,7 @@
 	f := newFleet(t)
 	f.putConfig("1")
 	for _, name := range []string{"a", "b", "c"} {
-		m := f.add(name, "z1")
+		m := f.addNode(name, "z1")
 		m.budget.CountRequest("model", time.Now())
 	}
 	a := f.nodes[0]
@@ -118,7 +118,7 @@
 	}
 	const nodes = 60
 	for i := range nodes {
-		f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
+		f.addNode(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 	}
 	eventually(t, "all nodes have the configuration and the list", func() bool {
 		for _, m := range f.nodes {
@@ -146,7 +146,7 @@
 		f.net = newMesh()
 		f.putConfig("1")
 		from := time.Now()
-		m := f.add("a", "z1")
+		m := f.addNode("a", "z1")
 		eventually(t, "the configuration is active", func() bool { return m.version() == 1 })
 		if time.Since(from) < discoveryTime/2 {
 			return // a slow machine may take longer now and then
@@ -168,7 +168,7 @@
 		f.storeUnavailable.Store(true)
 		const size = 20
 		for i := range size {
-			f.add(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
+			f.addNode(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
 		}
 		time.Sleep(100 * time.Millisecond)
 		f.storeUnavailable.Store(false)
@@ -193,7 +193,7 @@
 	f.net, f.ownZoneSeedsOnly = newMesh(), true
 	f.putConfig("1")
 	for i := range 6 {
-		f.add(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
+		f.addNode(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
 	}
 	eventually(t, "all nodes know each other", func() bool {
 		for _, n := range f.nodes {
@@ -218,7 +218,7 @@
 				f.putEngine(e)
 			}
 			for i := range size {
-				f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
+				f.addNode(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 			}
 			eventually(b, "all nodes know each other", func() bool {
 				for _, n := range f.nodes {
@@ -260,7 +260,7 @@
 		f.putEngine(e)
 	}
 	for i := range size {
-		f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
+		f.addNode(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 	}
 	time.Sleep(4 * time.Second)
 	from, cpu := time.Now(), processorTime()
@@ -289,13 +289,13 @@
 	for _, e := range engines(3) {
 		f.putEngine(e)
 	}
-	dead := f.add("dead", "z1")
-	b := f.add("b", "z1")
+	dead := f.addNode("dead", "z1")
+	b := f.addNode("b", "z1")
 	eventually(t, "callers are told of both nodes", func() bool { return slices.Contains(b.Addresses("z1"), "front-dead") })
 	dead.stop()
 	from := time.Now()
 	for i := 0; time.Since(from) < 2*maxNamed; i++ {
-		f.add(fmt.Sprintf("n%d", i), "z1")
+		f.addNode(fmt.Sprintf("n%d", i), "z1")
 		time.Sleep(every)
 		since := time.Since(from)
 		for _, m := range f.nodes[1:] {
--- a/citronnode/leaving_test.go
+++ b/citronnode/leaving_test.go
@@ -27,7 +27,7 @@
 		f.putEngine(e)
 	}
 	for _, name := range names {
-		f.add(name, "z1")
+		f.addNode(name, "z1")
 	}
 	eventually(t, "all nodes use twelve engines, hear each other, and some watch the store", func() bool {
 		watching := 0
@@ -151,8 +151,8 @@
 				m.stop()
 			}
 			f.nodes = f.nodes[:1]
-			f.add("d", "z1")
-			f.add("e", "z1")
+			f.addNode("d", "z1")
+			f.addNode("e", "z1")
 			eventually(t, "the new nodes use all engines and hear the old one", func() bool {
 				for _, m := range f.nodes {
 					if m.usable() != 12 || m.Status().Nodes < 2 {
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -238,7 +238,7 @@
 		f.putEngine(citronmodel.Engine{ID: fmt.Sprintf("i-%d", i), Service: "app", Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: fmt.Sprintf("z%d", i%3)})
 	}
 	for i := range nodes {
-		f.add(fmt.Sprintf("z%d-n%03d", i%3, i), fmt.Sprintf("z%d", i%3))
+		f.addNode(fmt.Sprintf("z%d-n%03d", i%3, i), fmt.Sprintf("z%d", i%3))
 	}
 	f.awaitFullMembership()
 	eventually(f.t, "all nodes know all upstreams", func() bool {
@@ -321,7 +321,7 @@
 	}
 	is.True(inTime)
 	hear(f.nodes[0], citronupstream.PerSecond(4))
-	f.add("late", "z1")
+	f.addNode("late", "z1")
 	eventually(t, "a node that starts knows the limit", func() bool { return f.nodesLimiting("i-0") == len(f.nodes) })
 }
 
--- a/citronnode/node_test.go
+++ b/citronnode/node_test.go
@@ -18,7 +18,7 @@
 func TestConfigReachesNodeRejectedByStore(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
-	a, b := f.add("a", "z1"), f.add("b", "z1")
+	a, b := f.addNode("a", "z1"), f.addNode("b", "z1")
 	eventually(t, "both nodes have version 1", func() bool { return a.version() == 1 && b.version() == 1 })
 	b.gate.rejecting.Store(true)
 	f.putConfig("2")
@@ -31,9 +31,9 @@
 	f := newFleet(t)
 	f.putConfig("1")
 	f.putEngine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
-	a := f.add("a", "z1")
+	a := f.addNode("a", "z1")
 	eventually(t, "the first node is ready", a.Ready)
-	b := f.add("b", "z1")
+	b := f.addNode("b", "z1")
 	b.gate.rejecting.Store(true)
 	eventually(t, "the second node has the configuration and the engines", func() bool {
 		return b.version() == 1 && len(b.Traffic().View.ByService["app"]) == 1
@@ -48,7 +48,7 @@
 	f := newFleet(t)
 	f.putConfig("1")
 	for i := range 9 {
-		f.add(fmt.Sprintf("n%d", i), "z1")
+		f.addNode(fmt.Sprintf("n%d", i), "z1")
 	}
 	all := func(version int64) func() bool {
 		return func() bool {
@@ -75,7 +75,7 @@
 func TestStalledWatchDoesNotKeepOldConfig(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
-	a, b := f.add("a", "z1"), f.add("b", "z2")
+	a, b := f.addNode("a", "z1"), f.addNode("b", "z2")
 	eventually(t, "both nodes have version 1", func() bool { return a.version() == 1 && b.version() == 1 })
 	b.gate.stalled.Store(true)
 	f.putConfig("2")
@@ -87,7 +87,7 @@
 	is := is.New(t)
 	f := newFleet(t)
 	f.putConfig("5")
-	a := f.add("a", "z1")
+	a := f.addNode("a", "z1")
 	eventually(t, "the node has version 5", func() bool { return a.version() == 5 })
 	f.putConfig("nonsense")
 	f.putConfig("4")
@@ -105,7 +105,7 @@
 	_, err := f.store.Put(context.Background(), "engines/bad", []byte("{"), citronkv.Absent, 0)
 	is.New(t).NoErr(err)
 	f.putEngine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
-	a := f.add("a", "z1")
+	a := f.addNode("a", "z1")
 	eventually(t, "the valid engine is listed", func() bool {
 		return a.Traffic() != nil && len(a.Traffic().View.ByService["app"]) == 1
 	})
@@ -144,7 +144,7 @@
 	for _, e := range engines(12) {
 		f.putEngine(e)
 	}
-	a := f.add("a", "z1")
+	a := f.addNode("a", "z1")
 	eventually(t, "the node uses twelve engines", func() bool { return a.usable() == 12 })
 	for _, e := range engines(12) {
 		is.NoErr(f.store.Delete(context.Background(), "engines/"+e.ID, citronkv.AnyRevision))
@@ -167,7 +167,7 @@
 	for _, e := range engines(12) {
 		f.putEngine(e)
 	}
-	a := f.add("a", "z1")
+	a := f.addNode("a", "z1")
 	eventually(t, "the node uses twelve engines", func() bool { return a.usable() == 12 })
 	is.New(t).NoErr(f.store.Delete(context.Background(), "engines/e3", citronkv.AnyRevision))
 	eventually(t, "the node uses eleven engines", func() bool { return a.usable() == 11 })
@@ -178,7 +178,7 @@
 func TestDirectoryPrefersOwnZone(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
-	a, b, c := f.add("a", "z1"), f.add("b", "z1"), f.add("c", "z2")
+	a, b, c := f.addNode("a", "z1"), f.addNode("b", "z1"), f.addNode("c", "z2")
 	count := func(m *member, zone string) string { return fmt.Sprint(len(m.Addresses(zone))) }
 	eventually(t, "callers get nodes of their own zone if it has two, and of all zones if it has one", func() bool {
 		return count(a, "z1") == "2" && count(c, "z1") == "2" && count(c, "z2") == "3"
@@ -198,7 +198,7 @@
 	for i := range 3 {
 		f.putEngine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
 	}
-	a := f.add("a", "z1")
+	a := f.addNode("a", "z1")
 	covered := func(m *member) bool {
 		held := make([]bool, spec.Layers)
 		if s := m.Traffic(); s != nil {
@@ -217,7 +217,7 @@
 	}
 	eventually(t, "all layers are held", func() bool { return covered(a) })
 	time.Sleep(500 * time.Millisecond) // spare layer ranges are placed
-	b := f.add("b", "z1")
+	b := f.addNode("b", "z1")
 	eventually(t, "the second node knows all layers", func() bool { return covered(b) })
 	before := f.orders.count()
 	a.stop()
@@ -238,9 +238,9 @@
 	for i := range 3 {
 		f.putEngine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
 	}
-	b := f.add("b", "z1")
+	b := f.addNode("b", "z1")
 	eventually(t, "the first node leads", func() bool { return f.orders.count() > 0 })
-	a := f.add("a", "z1") // would become acting leader if the leader resigned
+	a := f.addNode("a", "z1") // would become acting leader if the leader resigned
 	held := func() (n int) {
 		if s := a.Traffic(); s != nil {
 			for _, e := range s.View.ByService["model"] {
@@ -275,9 +275,9 @@
 	for i := range 3 {
 		f.putEngine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
 	}
-	a := f.add("a", "z1")
+	a := f.addNode("a", "z1")
 	eventually(t, "the first node leads", func() bool { return f.orders.count() >= 2 })
-	b, c := f.add("b", "z1"), f.add("c", "z1")
+	b, c := f.addNode("b", "z1"), f.addNode("c", "z1")
 	eventually(t, "the second and third node are ready", func() bool { return b.Ready() && c.Ready() })
 	time.Sleep(2500 * time.Millisecond) // their lists count as complete
 	b.gate.rejecting.Store(true)
@@ -314,7 +314,7 @@
 		e.Zone = "z1"
 		f.putEngine(e)
 	}
-	a, b := f.add("a", "z1"), f.add("b", "z1")
+	a, b := f.addNode("a", "z1"), f.addNode("b", "z1")
 	eventually(t, "both nodes know the engines and each other", func() bool {
 		return a.usable() == 2 && b.usable() == 2 && len(a.Addresses("z1")) == 2
 	})
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -285,8 +285,8 @@
 // maxSeeds is the number of seed addresses that a node is given.
 const maxSeeds = 8
 
-// add starts a node that knows the addresses of the last nodes before it.
-func (f *fleet) add(name, zone string) *member {
+// addNode starts a node that knows the addresses of the last nodes before it.
+func (f *fleet) addNode(name, zone string) *member {
 	f.t.Helper()
 	mux := http.NewServeMux()
 	addr, hc, disconnect := f.net.listen(mux)
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -27,7 +27,7 @@
 		f.putEngine(e)
 	}
 	for i := range size {
-		f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
+		f.addNode(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 	}
 	f.awaitFullMembership()
 	time.Sleep(2 * time.Second)
@@ -116,8 +116,8 @@
 	f := newFleet(b)
 	f.putConfig("1")
 	f.putEngine(appEngine("limited"))
-	f.add("a", "z1")
-	f.add("b", "z1")
+	f.addNode("a", "z1")
+	f.addNode("b", "z1")
 	f.awaitFullMembership()
 	eventually(b, "all nodes know the engine", func() bool { return f.nodesUsing("limited") == 2 })
 	f.nodes[0].Limits().Observe("limited", citronlimit.Record{}, citronupstream.PerSecond(1e9))
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -50,7 +50,7 @@
 	f.putConfig("1")
 	const size = 45
 	for i := range size {
-		m := f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
+		m := f.addNode(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 		m.gate.rejecting.Store(i%3 == 1)
 	}
 	f.awaitFullMembership()
@@ -71,7 +71,7 @@
 	f := newFleet(t)
 	f.putConfig("1")
 	for _, name := range []string{"a", "b", "c"} {
-		f.add(name, "z1")
+		f.addNode(name, "z1")
 	}
 	f.awaitFullMembership()
 	for i := range 3 {
@@ -79,7 +79,7 @@
 	}
 	eventually(t, "all nodes quarantine the request", func() bool { return f.nodesQuarantining(suspect) == 3 })
 	time.Sleep(2 * time.Second) // its record is no longer recent
-	f.add("d", "z1")
+	f.addNode("d", "z1")
 	eventually(t, "the new node quarantines it too", func() bool { return f.nodesQuarantining(suspect) == 4 })
 	f.nodes[3].Quarantine().RecordSuccess(suspect)
 	eventually(t, "all nodes learn that it succeeded", func() bool { return f.nodesQuarantining(suspect) == 0 })
@@ -94,7 +94,7 @@
 	f.putConfig("1")
 	names := []string{"a", "b", "c"}
 	for _, name := range names {
-		f.add(name, "z1")
+		f.addNode(name, "z1")
 	}
 	f.awaitFullMembership()
 	for i := range 3 {
@@ -110,7 +110,7 @@
 		}
 		f.nodes = nil
 		for _, name := range names {
-			f.add(name, "z1")
+			f.addNode(name, "z1")
 		}
 	}
 	restart()
@@ -129,7 +129,7 @@
 	is := is.New(t)
 	f := newFleet(t)
 	f.putConfig("1")
-	m := f.add("a", "z1")
+	m := f.addNode("a", "z1")
 	crashes := func(count int, age int64) []citronpeer.SuspectCrash {
 		var out []citronpeer.SuspectCrash
 		for i := range count {
