--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -13,8 +13,8 @@
 	"citrondeck.dev/citrondeck/citronupstream"
 )
 
-// spreadSizes are the fleet sizes for which the spreading of updates is measured.
-var spreadSizes = []int{30, 300}
+// benchmarkFleetSizes are the fleet sizes for which the spreading of updates is measured.
+var benchmarkFleetSizes = []int{30, 300}
 
 // fleetOf starts a fleet of five zones and waits until all nodes know each other.
 func fleetOf(b *testing.B, size int) (*fleet, *mesh) {
@@ -37,7 +37,7 @@
 // BenchmarkQuarantineSpreads measures the time until all nodes quarantine a request
 // that three of them saw crash one engine each, and the bytes sent meanwhile.
 func BenchmarkQuarantineSpreads(b *testing.B) {
-	for _, size := range spreadSizes {
+	for _, size := range benchmarkFleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f, m := fleetOf(b, size)
 			m.bytes.Store(0)
@@ -57,7 +57,7 @@
 // BenchmarkStoreRestore measures the time from the restore of the store from an older
 // copy until all nodes use the list of the new era, and the calls to the store.
 func BenchmarkStoreRestore(b *testing.B) {
-	for _, size := range spreadSizes {
+	for _, size := range benchmarkFleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f, _ := fleetOf(b, size)
 			calls := func() (n int64) {
@@ -85,7 +85,7 @@
 // BenchmarkLimitSpreads measures the time until all nodes know a rate limit that one of
 // them learned, and the bytes sent meanwhile.
 func BenchmarkLimitSpreads(b *testing.B) {
-	for _, size := range spreadSizes {
+	for _, size := range benchmarkFleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f, m := fleetOf(b, size)
 			f.putEngine(appEngine("limited"))
