--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -16,8 +16,8 @@
 // benchmarkFleetSizes are the fleet sizes for which the spreading of updates is measured.
 var benchmarkFleetSizes = []int{30, 300}
 
-// fleetOf starts a fleet of five zones and waits until all nodes know each other.
-func fleetOf(b *testing.B, size int) (*fleet, *mesh) {
+// startBenchmarkFleet starts a fleet of five zones and waits until all nodes know each other.
+func startBenchmarkFleet(b *testing.B, size int) (*fleet, *mesh) {
 	b.Helper()
 	f := newFleet(b)
 	m := newMesh()
@@ -39,7 +39,7 @@
 func BenchmarkQuarantineSpreads(b *testing.B) {
 	for _, size := range benchmarkFleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			f, m := fleetOf(b, size)
+			f, m := startBenchmarkFleet(b, size)
 			m.bytes.Store(0)
 			b.ResetTimer()
 			for i := range b.N {
@@ -59,7 +59,7 @@
 func BenchmarkStoreRestore(b *testing.B) {
 	for _, size := range benchmarkFleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			f, _ := fleetOf(b, size)
+			f, _ := startBenchmarkFleet(b, size)
 			calls := func() (n int64) {
 				for _, m := range f.nodes {
 					n += m.gate.calls.Load()
@@ -87,7 +87,7 @@
 func BenchmarkLimitSpreads(b *testing.B) {
 	for _, size := range benchmarkFleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			f, m := fleetOf(b, size)
+			f, m := startBenchmarkFleet(b, size)
 			f.putEngine(appEngine("limited"))
 			eventually(b, "all nodes know the engine", func() bool { return f.nodesUsing("limited") == size })
 			m.bytes.Store(0)
