--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -251,7 +251,7 @@
 }
 
 func benchmarkChangingFleet(b *testing.B, size, count int) {
-	const every = 100 * time.Millisecond
+	const changeInterval = 100 * time.Millisecond
 	f := newFleet(b)
 	f.net = newMesh()
 	f.putConfig("1")
@@ -265,11 +265,11 @@
 	time.Sleep(4 * time.Second)
 	from, cpu := time.Now(), processorTime()
 	b.ResetTimer()
-	for i := range b.N * int(time.Second/every) {
+	for i := range b.N * int(time.Second/changeInterval) {
 		e := all[i%len(all)]
 		e.Slots = i
 		f.putEngine(e)
-		time.Sleep(every)
+		time.Sleep(changeInterval)
 	}
 	spent := processorTime() - cpu
 	b.ReportMetric(float64(spent.Milliseconds())/float64(size)/time.Since(from).Seconds(), "ms/s/node")
@@ -280,8 +280,8 @@
 // to probe it.
 func TestStartingNodesDropDeadNode(t *testing.T) {
 	const (
-		maxNamed = 3 * time.Second
-		every    = 300 * time.Millisecond
+		maxRemovalDelay = 3 * time.Second
+		startInterval   = 300 * time.Millisecond
 	)
 	f := newFleet(t)
 	f.net = newMesh()
@@ -294,12 +294,12 @@
 	eventually(t, "callers are told of both nodes", func() bool { return slices.Contains(b.Addresses("z1"), "front-dead") })
 	dead.stop()
 	from := time.Now()
-	for i := 0; time.Since(from) < 2*maxNamed; i++ {
+	for i := 0; time.Since(from) < 2*maxRemovalDelay; i++ {
 		f.addNode(fmt.Sprintf("n%d", i), "z1")
-		time.Sleep(every)
+		time.Sleep(startInterval)
 		since := time.Since(from)
 		for _, m := range f.nodes[1:] {
-			if since > maxNamed && slices.Contains(m.Addresses("z1"), "front-dead") {
+			if since > maxRemovalDelay && slices.Contains(m.Addresses("z1"), "front-dead") {
 				t.Fatalf("node %s still names a node that has been dead for %v", m.name, since)
 			}
 		}
