--- a/citronnode/accuse.go
+++ b/citronnode/accuse.go
@@ -36,7 +36,7 @@
 	update := s.update()
 	update.Accused = []string{e.ID}
 	for _, m := range s.members {
-		if m.Zone == n.set.Zone || m.Zone == e.Zone || m.Leads {
+		if m.Zone == n.settings.Zone || m.Zone == e.Zone || m.Leads {
 			go n.sendAccusation(m.Peer, update)
 		}
 	}
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -102,9 +102,9 @@
 }
 
 func newControl(n *Node) *control {
-	c := &control{n: n, members: citronroster.NewTable(n.set.Name, n.set.Zone), zoneTotals: citronroster.NewZoneTotals(n.set.Zone), self: n.snap.Load().self}
+	c := &control{n: n, members: citronroster.NewTable(n.settings.Name, n.settings.Zone), zoneTotals: citronroster.NewZoneTotals(n.settings.Zone), self: n.snap.Load().self}
 	c.list = citronlist.New(citronlist.Settings{
-		Prefix: n.src.EnginePrefix, Decode: n.src.DecodeEngine, DrainWithin: n.set.DrainWithin, Clock: n.clock, Log: n.log, OnEnded: c.ended,
+		Prefix: n.src.EnginePrefix, Decode: n.src.DecodeEngine, DrainWithin: n.settings.DrainWithin, Clock: n.clock, Log: n.log, OnEnded: c.ended,
 	})
 	return c
 }
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -132,7 +132,7 @@
 	s := n.snap.Load()
 	var sameZone, otherZones []string
 	for _, m := range s.members {
-		if m.Zone == n.set.Zone {
+		if m.Zone == n.settings.Zone {
 			sameZone = append(sameZone, m.Peer)
 		} else {
 			otherZones = append(otherZones, m.Peer)
@@ -159,11 +159,11 @@
 // seeds returns the seed addresses from the settings and one address registered in the
 // store, without this node's own address.
 func (n *Node) seeds() []string {
-	seeds := slices.Clone(n.set.Seeds)
+	seeds := slices.Clone(n.settings.Seeds)
 	if found := n.registered.Load(); found != nil && len(*found) > 0 {
 		seeds = append(seeds, (*found)[rand.IntN(len(*found))])
 	}
-	return slices.DeleteFunc(seeds, func(a string) bool { return a == n.set.Peer })
+	return slices.DeleteFunc(seeds, func(a string) bool { return a == n.settings.Peer })
 }
 
 // seedNodes is how many nodes of the fleet also contact a seed in each round, on
--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -58,7 +58,7 @@
 		if n.leaderKnown() {
 			continue
 		}
-		if n.set.lowCPU() {
+		if n.settings.lowCPU() {
 			_ = n.clock.Sleep(ctx, lowCPUDelay)
 			if n.leaderKnown() {
 				continue
@@ -69,7 +69,7 @@
 		case err == nil:
 			n.serveTerm(ctx, t)
 		case !errors.Is(err, errHeld):
-			if n.ranksFirst() && n.leaderlessFor() > n.set.LeaseTTL/2 {
+			if n.ranksFirst() && n.leaderlessFor() > n.settings.LeaseTTL/2 {
 				n.actAsLeader(ctx)
 			}
 		}
@@ -149,11 +149,11 @@
 	if !errors.Is(err, citronkv.ErrNotFound) {
 		return term{}, err
 	}
-	lease, err := n.src.Store.Grant(ctx, n.set.LeaseTTL)
+	lease, err := n.src.Store.Grant(ctx, n.settings.LeaseTTL)
 	if err != nil {
 		return term{}, err
 	}
-	rev, err := n.src.Store.Put(ctx, leaderKey, []byte(n.set.Name), citronkv.Absent, lease)
+	rev, err := n.src.Store.Put(ctx, leaderKey, []byte(n.settings.Name), citronkv.Absent, lease)
 	if err == nil {
 		return term{lease, rev.Era()}, nil
 	}
@@ -181,7 +181,7 @@
 			waitPlacing = n.startPlacing(ctx)
 		}
 		_ = n.clock.Sleep(ctx, termPoll)
-		if n.clock.Now().Sub(lastAttempt) < n.set.LeaseTTL/(renewalsPerLease+1) {
+		if n.clock.Now().Sub(lastAttempt) < n.settings.LeaseTTL/(renewalsPerLease+1) {
 			continue
 		}
 		lastAttempt = n.clock.Now()
@@ -207,7 +207,7 @@
 // renew renews the lease. It waits for the store for at most half of the lease's time
 // to live.
 func (n *Node) renew(ctx context.Context, lease citronkv.LeaseID) error {
-	limit, done := context.WithTimeout(ctx, n.set.LeaseTTL/2)
+	limit, done := context.WithTimeout(ctx, n.settings.LeaseTTL/2)
 	defer done()
 	return n.src.Store.KeepAlive(limit, lease)
 }
@@ -219,7 +219,7 @@
 // store was restored would give orders alongside the next leader.
 func (n *Node) earlierLeasesEnded(t term) bool {
 	s := n.snap.Load()
-	return s.list.Revision.Era() == t.era && n.clock.Now().Sub(s.eraAt) >= n.set.LeaseTTL
+	return s.list.Revision.Era() == t.era && n.clock.Now().Sub(s.eraAt) >= n.settings.LeaseTTL
 }
 
 // startPlacing places layers until ctx ends. The returned function waits until placing
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -63,10 +63,10 @@
 	switch {
 	case !ok:
 		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
-	case issuer.Name == n.set.Name:
+	case issuer.Name == n.settings.Name:
 		return n.permits.Issue(e.ID, r.PerSecond, patience, n.clock.Now())
 	}
-	p, err := n.peers.AskPermit(ctx, issuer.Peer, citronpeer.PermitRequest{Node: n.set.Name, Limit: r.Wire(e.ID), MaxWaitMS: patience.Milliseconds()}, permitTimeout)
+	p, err := n.peers.AskPermit(ctx, issuer.Peer, citronpeer.PermitRequest{Node: n.settings.Name, Limit: r.Wire(e.ID), MaxWaitMS: patience.Milliseconds()}, permitTimeout)
 	if err != nil {
 		citronevent.Log(ctx, n.log, citronevent.PermitFailed, "engine", e.ID, "peer", issuer.Peer, "err", err)
 		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
@@ -115,7 +115,7 @@
 	if !ok {
 		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	}
-	if issuer, ok := n.permitIssuer(engine, e.Zone); !ok || issuer.Name != n.set.Name {
+	if issuer, ok := n.permitIssuer(engine, e.Zone); !ok || issuer.Name != n.settings.Name {
 		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	}
 	if !known.Limited {
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -73,13 +73,13 @@
 
 // Node is one node of the fleet. New creates it, and Run keeps it up to date.
 type Node struct {
-	set    Settings
-	src    Sources
-	clock  citronclock.Clock
-	log    *slog.Logger
-	budget *citronbudget.Budget
-	loads  *citronpool.Loads
-	peers  *citronpeer.Client
+	settings Settings
+	src      Sources
+	clock    citronclock.Clock
+	log      *slog.Logger
+	budget   *citronbudget.Budget
+	loads    *citronpool.Loads
+	peers    *citronpeer.Client
 
 	// control is the inbox of the control loop (control.go).
 	control chan message
@@ -178,7 +178,7 @@
 	health := citronhealth.NewStoreMonitor(set.Heartbeat)
 	src.Store = citronhealth.Observe(src.Store, clock, health.RecordCall)
 	n := &Node{
-		set: set, src: src, health: health, clock: clock, log: log, budget: budget, loads: loads,
+		settings: set, src: src, health: health, clock: clock, log: log, budget: budget, loads: loads,
 		peers:         &citronpeer.Client{HC: hc, Timeout: exchangeTimeout},
 		control:       make(chan message, inboxSize),
 		updates:       make(chan struct{}, 1),
@@ -267,7 +267,7 @@
 	}
 	since := n.clock.Now().Sub(*at)
 	others := slices.ContainsFunc(n.snap.Load().members, acceptsCallers)
-	return citronforward.Stopping{Active: true, Since: since, Left: n.set.Grace - killMargin - since, OtherNodeServing: others}
+	return citronforward.Stopping{Active: true, Since: since, Left: n.settings.Grace - killMargin - since, OtherNodeServing: others}
 }
 
 func acceptsCallers(m citronpeer.Member) bool { return m.Ready && !m.Leaving }
@@ -281,8 +281,8 @@
 	n.leaving.Store(true)
 	n.announce(ctx)
 	citronevent.Log(ctx, n.log, citronevent.DrainStarted, "inflight", n.running.Load())
-	end := n.clock.Now().Add(n.set.Grace - killMargin)
-	_ = n.clock.Sleep(ctx, time.Duration(float64(n.set.Grace)*drainServeShare))
+	end := n.clock.Now().Add(n.settings.Grace - killMargin)
+	_ = n.clock.Sleep(ctx, time.Duration(float64(n.settings.Grace)*drainServeShare))
 	for n.running.Load() > 0 && n.clock.Now().Before(end) && ctx.Err() == nil {
 		_ = n.clock.Sleep(ctx, drainPollInterval)
 	}
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -345,7 +345,7 @@
 		var err error
 		era := n.storeEra()
 		if registered != era && n.rank() < maxRegistered {
-			_, err = n.src.Store.Put(ctx, nodePrefix+n.set.Name, []byte(n.set.Peer), citronkv.AnyRevision, 0)
+			_, err = n.src.Store.Put(ctx, nodePrefix+n.settings.Name, []byte(n.settings.Peer), citronkv.AnyRevision, 0)
 			if err == nil {
 				err = n.readRegistered(ctx)
 			}
