--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -68,17 +68,17 @@
 	if err != nil {
 		return errors.Wrap(err, "encode quarantine record")
 	}
-	lease, err := n.src.Store.Grant(ctx, quarantineTTL)
+	lease, err := n.sources.Store.Grant(ctx, quarantineTTL)
 	if err != nil {
 		return errors.Wrap(err, "grant lease for quarantine record")
 	}
-	_, err = n.src.Store.Put(ctx, quarantinePrefix+e.Fingerprint.String(), text, citronkv.AnyRevision, lease)
+	_, err = n.sources.Store.Put(ctx, quarantinePrefix+e.Fingerprint.String(), text, citronkv.AnyRevision, lease)
 	return errors.Wrap(err, "put quarantine record")
 }
 
 // loadQuarantine merges the quarantine records in the store.
 func (n *Node) loadQuarantine(ctx context.Context) error {
-	items, _, err := n.src.Store.Range(ctx, quarantinePrefix)
+	items, _, err := n.sources.Store.Range(ctx, quarantinePrefix)
 	if err != nil {
 		return errors.Wrap(err, "read quarantine records")
 	}
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -104,7 +104,7 @@
 func newControl(n *Node) *control {
 	c := &control{n: n, members: citronroster.NewTable(n.settings.Name, n.settings.Zone), zoneTotals: citronroster.NewZoneTotals(n.settings.Zone), self: n.snap.Load().self}
 	c.list = citronlist.New(citronlist.Settings{
-		Prefix: n.src.EnginePrefix, Decode: n.src.DecodeEngine, DrainWithin: n.settings.DrainWithin, Clock: n.clock, Log: n.log, OnEnded: c.ended,
+		Prefix: n.sources.EnginePrefix, Decode: n.sources.DecodeEngine, DrainWithin: n.settings.DrainWithin, Clock: n.clock, Log: n.log, OnEnded: c.ended,
 	})
 	return c
 }
--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -109,7 +109,7 @@
 	defer n.leads.Store(false)
 	wait := n.startPlacing(ctx)
 	for !n.leaving.Load() && !n.leaderKnown() && ctx.Err() == nil {
-		_, err := n.src.Store.Get(ctx, leaderKey)
+		_, err := n.sources.Store.Get(ctx, leaderKey)
 		if err == nil || errors.Is(err, citronkv.ErrNotFound) {
 			break
 		}
@@ -142,22 +142,22 @@
 // campaign takes the leader key if it is free. It returns errHeld if another node holds
 // it.
 func (n *Node) campaign(ctx context.Context) (term, error) {
-	_, err := n.src.Store.Get(ctx, leaderKey)
+	_, err := n.sources.Store.Get(ctx, leaderKey)
 	if err == nil {
 		return term{}, errHeld
 	}
 	if !errors.Is(err, citronkv.ErrNotFound) {
 		return term{}, err
 	}
-	lease, err := n.src.Store.Grant(ctx, n.settings.LeaseTTL)
+	lease, err := n.sources.Store.Grant(ctx, n.settings.LeaseTTL)
 	if err != nil {
 		return term{}, err
 	}
-	rev, err := n.src.Store.Put(ctx, leaderKey, []byte(n.settings.Name), citronkv.Absent, lease)
+	rev, err := n.sources.Store.Put(ctx, leaderKey, []byte(n.settings.Name), citronkv.Absent, lease)
 	if err == nil {
 		return term{lease, rev.Era()}, nil
 	}
-	_ = n.src.Store.Revoke(ctx, lease) // if this fails, the lease expires
+	_ = n.sources.Store.Revoke(ctx, lease) // if this fails, the lease expires
 	if errors.Is(err, citronkv.ErrConflict) {
 		return term{}, errHeld
 	}
@@ -201,7 +201,7 @@
 	}
 	revokeCtx, done := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer done()
-	_ = n.src.Store.Revoke(revokeCtx, t.lease) // if this fails, the lease expires
+	_ = n.sources.Store.Revoke(revokeCtx, t.lease) // if this fails, the lease expires
 }
 
 // renew renews the lease. It waits for the store for at most half of the lease's time
@@ -209,7 +209,7 @@
 func (n *Node) renew(ctx context.Context, lease citronkv.LeaseID) error {
 	limit, done := context.WithTimeout(ctx, n.settings.LeaseTTL/2)
 	defer done()
-	return n.src.Store.KeepAlive(limit, lease)
+	return n.sources.Store.KeepAlive(limit, lease)
 }
 
 // earlierLeasesEnded reports whether no node can still lead under a lease of an earlier
@@ -226,7 +226,7 @@
 // has stopped.
 func (n *Node) startPlacing(ctx context.Context) (wait func()) {
 	n.places.Store(true)
-	p := &citronplacer.Placer{EngineClient: n.src.EngineClient, Clock: n.clock, Log: n.log, Current: n.placement}
+	p := &citronplacer.Placer{EngineClient: n.sources.EngineClient, Clock: n.clock, Log: n.log, Current: n.placement}
 	targets := p.Targets
 	n.targets.Store(&targets)
 	done := make(chan struct{})
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -74,7 +74,7 @@
 // Node is one node of the fleet. New creates it, and Run keeps it up to date.
 type Node struct {
 	settings Settings
-	src      Sources
+	sources  Sources
 	clock    citronclock.Clock
 	log      *slog.Logger
 	budget   *citronbudget.Budget
@@ -174,28 +174,28 @@
 }
 
 // New returns a node. hc is used to talk to other nodes.
-func New(set Settings, src Sources, clock citronclock.Clock, log *slog.Logger, budget *citronbudget.Budget, loads *citronpool.Loads, hc *http.Client) *Node {
-	health := citronhealth.NewStoreMonitor(set.Heartbeat)
-	src.Store = citronhealth.Observe(src.Store, clock, health.RecordCall)
+func New(settings Settings, sources Sources, clock citronclock.Clock, log *slog.Logger, budget *citronbudget.Budget, loads *citronpool.Loads, hc *http.Client) *Node {
+	health := citronhealth.NewStoreMonitor(settings.Heartbeat)
+	sources.Store = citronhealth.Observe(sources.Store, clock, health.RecordCall)
 	n := &Node{
-		settings: set, src: src, health: health, clock: clock, log: log, budget: budget, loads: loads,
+		settings: settings, sources: sources, health: health, clock: clock, log: log, budget: budget, loads: loads,
 		peers:         &citronpeer.Client{HC: hc, Timeout: exchangeTimeout},
 		control:       make(chan message, inboxSize),
 		updates:       make(chan struct{}, 1),
 		urgentUpdates: make(chan struct{}, 1),
 
 		quarantineChanged: make(chan struct{}, 1),
-		configs:           newConfigInbox(src.DecodeConfig),
+		configs:           newConfigInbox(sources.DecodeConfig),
 	}
 	n.limits, n.permits = citronlimit.NewRegistry(clock), citronpermit.NewIssuer()
 	n.limits.Notify(n.limitsChanged)
-	n.quarantine = citronquarantine.New(set.Name, clock)
+	n.quarantine = citronquarantine.New(settings.Name, clock)
 	n.quarantine.Notify(func() {
 		n.notifyPeers()
 		wake(n.quarantineChanged)
 	})
 	n.loans = citronloan.New(budget, n.peers, clock, func() []citronpeer.Member { return n.snap.Load().members })
-	n.snap.Store(&snapshot{self: citronpeer.Member{Name: set.Name, Zone: set.Zone, Front: set.Front, Peer: set.Peer, Weak: set.lowCPU(), Started: clock.Now().UnixNano()}})
+	n.snap.Store(&snapshot{self: citronpeer.Member{Name: settings.Name, Zone: settings.Zone, Front: settings.Front, Peer: settings.Peer, Weak: settings.lowCPU(), Started: clock.Now().UnixNano()}})
 	return n
 }
 
@@ -244,8 +244,8 @@
 	defer tasks.Wait()
 	tasks.Go(func() { n.loop(ctx) })
 	tasks.Go(func() { n.gossip(ctx) })
-	tasks.Go(func() { n.follow(ctx, n.src.ConfigKey, true) })
-	tasks.Go(func() { n.follow(ctx, n.src.EnginePrefix, false) })
+	tasks.Go(func() { n.follow(ctx, n.sources.ConfigKey, true) })
+	tasks.Go(func() { n.follow(ctx, n.sources.EnginePrefix, false) })
 	tasks.Go(func() { n.lead(ctx) })
 	tasks.Go(func() { n.register(ctx) })
 	tasks.Go(func() { n.persistQuarantine(ctx) })
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -138,7 +138,7 @@
 // read loads a whole prefix from the store. A node that starts does so at once,
 // regardless of which nodes watch, because callers wait for it.
 func (n *Node) read(ctx context.Context, prefix string, config bool) (citronkv.Revision, error) {
-	items, rev, err := n.src.Store.Range(ctx, prefix)
+	items, rev, err := n.sources.Store.Range(ctx, prefix)
 	if err != nil {
 		return citronkv.Revision{}, err
 	}
@@ -266,7 +266,7 @@
 func (n *Node) watch(ctx context.Context, prefix string, after citronkv.Revision) ([]citronkv.Item, citronkv.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.untilTurn()+watchReplyTimeout)
 	defer cancel()
-	return n.src.Store.Watch(ctx, prefix, after)
+	return n.sources.Store.Watch(ctx, prefix, after)
 }
 
 // untilTurn is the time until this node's next turn, by its position among the nodes
@@ -292,7 +292,7 @@
 // ones are superseded.
 func (n *Node) sendConfig(ctx context.Context, items []citronkv.Item) {
 	for _, it := range slices.Backward(items) {
-		if it.Key == n.src.ConfigKey && !it.Deleted {
+		if it.Key == n.sources.ConfigKey && !it.Deleted {
 			n.offerConfig(ctx, 0, it.Value, sourceStore)
 			return
 		}
@@ -345,7 +345,7 @@
 		var err error
 		era := n.storeEra()
 		if registered != era && n.rank() < maxRegistered {
-			_, err = n.src.Store.Put(ctx, nodePrefix+n.settings.Name, []byte(n.settings.Peer), citronkv.AnyRevision, 0)
+			_, err = n.sources.Store.Put(ctx, nodePrefix+n.settings.Name, []byte(n.settings.Peer), citronkv.AnyRevision, 0)
 			if err == nil {
 				err = n.readRegistered(ctx)
 			}
@@ -366,7 +366,7 @@
 
 // readRegistered reads the addresses that nodes have registered in the store.
 func (n *Node) readRegistered(ctx context.Context) error {
-	items, _, err := n.src.Store.Range(ctx, nodePrefix)
+	items, _, err := n.sources.Store.Range(ctx, nodePrefix)
 	if err != nil {
 		return err
 	}
