--- a/citronnode/accuse.go
+++ b/citronnode/accuse.go
@@ -28,8 +28,8 @@
 // answered. Accusations within minAccuseGap of the last one are dropped.
 func (n *Node) Accuse(e *citronpool.Engine) {
 	now := n.clock.Now()
-	last := n.accused.Load()
-	if last != nil && now.Sub(*last) < minAccuseGap || !n.accused.CompareAndSwap(last, &now) {
+	last := n.lastAccusation.Load()
+	if last != nil && now.Sub(*last) < minAccuseGap || !n.lastAccusation.CompareAndSwap(last, &now) {
 		return
 	}
 	s := n.snap.Load()
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -92,9 +92,9 @@
 	// updates wakes the gossip loop after a document has changed on this node. urgentUpdates
 	// does the same if the leader must be informed too.
 	updates, urgentUpdates chan struct{}
-	// accused is when this node last reported an accused engine: an engine that another
+	// lastAccusation is when this node last reported an lastAccusation engine: an engine that another
 	// engine named as the cause of a failed request.
-	accused atomic.Pointer[time.Time]
+	lastAccusation atomic.Pointer[time.Time]
 	// configs holds the newest decoded configuration for the control loop.
 	configs configInbox
 	// pull fetches documents that other nodes have announced.
