--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -235,7 +235,7 @@
 	c.self.Leaving = c.n.leaving.Load()
 	c.self.Ready = c.n.Ready()
 	c.self.Leads = c.n.leads.Load()
-	c.self.Watching = c.n.readablePrefixes.Load() == followedPrefixes
+	c.self.Watching = c.n.watchedPrefixes.Load() == followedPrefixes
 	c.recordRestarts(ctx)
 	c.n.limits.Tick()
 	c.publishTargets()
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -123,8 +123,8 @@
 	// the records.
 	suspectsRejected     atomic.Int64
 	suspectsRejectedFrom sync.Map
-	// readablePrefixes is the number of followed prefixes for which the store answers.
-	readablePrefixes atomic.Int64
+	// watchedPrefixes is the number of followed prefixes for which the store answers.
+	watchedPrefixes atomic.Int64
 	// health records the results of this node's calls to the store.
 	health *citronhealth.StoreMonitor
 	// leads is set while this node holds the lease or is the acting leader. places is set
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -32,10 +32,10 @@
 	down, healthy := false, false
 	answered := func(ok bool) {
 		if ok && !healthy {
-			n.readablePrefixes.Add(1)
+			n.watchedPrefixes.Add(1)
 		}
 		if !ok && healthy {
-			n.readablePrefixes.Add(-1)
+			n.watchedPrefixes.Add(-1)
 		}
 		healthy = ok
 	}
