--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -330,7 +330,7 @@
 		c.collectDue = false
 		c.collectMembers(s)
 	} else {
-		s.members, s.stale, s.roster, s.zoneTotals, s.others, s.targets = old.members, old.stale, old.roster, old.zoneTotals, old.others, old.targets
+		s.members, s.stale, s.roster, s.zoneTotals, s.otherNodesCache, s.targets = old.members, old.stale, old.roster, old.zoneTotals, old.otherNodesCache, old.targets
 	}
 	if c.configChanged || c.listVersion != c.list.Version() {
 		c.configChanged, c.listVersion = false, c.list.Version()
@@ -341,7 +341,7 @@
 		}
 	}
 	if c.table != nil {
-		s.traffic = &citronforward.State{Table: c.table, View: c.view, ListRevision: c.list.Revision(), OtherNodesCache: s.others}
+		s.traffic = &citronforward.State{Table: c.table, View: c.view, ListRevision: c.list.Revision(), OtherNodesCache: s.otherNodesCache}
 	}
 	s.list = c.list.Snapshot()
 	c.n.snap.Store(s)
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -155,7 +155,7 @@
 			others.Add(sum.Load, sum.Sent)
 		}
 	}
-	s.others = others.Load
+	s.otherNodesCache = others.Load
 	updateAge := 2 * c.members.MeanUpdateInterval()
 	for _, sum := range s.zoneTotals {
 		updateAge = max(updateAge, 2*c.members.MeanUpdateInterval()+time.Duration(sum.AgeMS)*time.Millisecond)
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -155,8 +155,8 @@
 	roster citronroster.Roster
 	// zoneTotals holds the zone totals, including those of this node's zone.
 	zoneTotals []citronpeer.ZoneTotals
-	// others is the cache used by the requests of other nodes, by zone.
-	others map[string]int64
+	// otherNodesCache is the cache used by the requests of other nodes, by zone.
+	otherNodesCache map[string]int64
 	// eraAt is when this node observed that the store was restored from an older copy.
 	eraAt time.Time
 	// configAt and listAt are when the configuration and the list last changed here.
