--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -127,7 +127,7 @@
 		case <-n.configs.ready:
 			c.applyNewestConfig(ctx)
 		case m := <-n.control:
-			c.take(ctx, m)
+			c.handleMessage(ctx, m)
 		case <-tick.C:
 			c.tick(ctx)
 		}
@@ -135,7 +135,7 @@
 	}
 }
 
-func (c *control) take(ctx context.Context, m message) {
+func (c *control) handleMessage(ctx context.Context, m message) {
 	switch m := m.(type) {
 	case listSnapshot:
 		if c.list.ApplyFull(ctx, m.items, m.revision, m.source == sourceStore) {
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -65,9 +65,9 @@
 		items = append(items, citronkv.Item{Key: "engines/" + key, Value: text, Revision: citronkv.RevisionOf(0, r.revision)})
 	}
 	if r.list.Revision().IsZero() {
-		r.take(context.Background(), listSnapshot{items: items, revision: citronkv.RevisionOf(0, r.revision)})
+		r.handleMessage(context.Background(), listSnapshot{items: items, revision: citronkv.RevisionOf(0, r.revision)})
 	} else {
-		r.take(context.Background(), listDelta{items: items, base: r.list.Revision(), revision: citronkv.RevisionOf(0, r.revision)})
+		r.handleMessage(context.Background(), listDelta{items: items, base: r.list.Revision(), revision: citronkv.RevisionOf(0, r.revision)})
 	}
 	r.publish()
 }
@@ -130,7 +130,7 @@
 	told := r.self
 	told.Name, told.Heartbeat = "n2", 7
 	otherView, _ := other.view.ByID("i-1@100")
-	other.take(context.Background(), memberUpdate{told: citronpeer.Diff{Members: []citronpeer.Member{told}}})
+	other.handleMessage(context.Background(), memberUpdate{told: citronpeer.Diff{Members: []citronpeer.Member{told}}})
 	other.publish()
 	is.True(other.inUse()["a:1"].Layers.Empty())
 	is.True(otherView.Ended())
@@ -159,7 +159,7 @@
 	// entry must not take the address back.
 	old := citronkv.Item{Key: "engines/i-1", Value: listEntry(modelEngine("i-1", "a:1", 0, 8)), Revision: citronkv.RevisionOf(0, 11)}
 	now := citronkv.Item{Key: "engines/i-9", Value: listEntry(modelEngine("i-9", "a:1", 0, 0)), Revision: citronkv.RevisionOf(0, 12)}
-	r.take(context.Background(), listSnapshot{items: []citronkv.Item{old, now}, revision: citronkv.RevisionOf(0, 30)})
+	r.handleMessage(context.Background(), listSnapshot{items: []citronkv.Item{old, now}, revision: citronkv.RevisionOf(0, 30)})
 	r.publish()
 	is.Equal(r.inUse()["a:1"].ID, "i-9")
 	is.Equal(len(r.inUse()), 1)
