--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -60,7 +60,7 @@
 type memberUpdate struct {
 	// from is the node that sent the update. told is what it knows about others.
 	from       citronpeer.Member
-	told       citronpeer.Diff
+	diff       citronpeer.Diff
 	digest     citronpeer.Digest
 	zoneTotals []citronpeer.ZoneTotals
 }
@@ -147,8 +147,8 @@
 		}
 	case memberUpdate:
 		c.mergeMembers(citronpeer.Diff{Members: []citronpeer.Member{m.from}})
-		c.mergeMembers(m.told)
-		c.mergeGauges(m.told.Gauges)
+		c.mergeMembers(m.diff)
+		c.mergeGauges(m.diff.Gauges)
 		c.mergeDigest(m.digest)
 		c.mergeZoneTotals(m.zoneTotals)
 	}
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -320,7 +320,7 @@
 func (n *Node) merge(ctx context.Context, k citronpeer.GossipState) {
 	n.mergeSuspects(ctx, k.From.Name, k.Suspects)
 	n.mergeLimits(ctx, k.From.Name, k.Limits)
-	n.sendToLoop(ctx, memberUpdate{from: k.From, told: k.Diff, digest: k.Digest, zoneTotals: k.ZoneTotals})
+	n.sendToLoop(ctx, memberUpdate{from: k.From, diff: k.Diff, digest: k.Digest, zoneTotals: k.ZoneTotals})
 	if len(k.Config.Body) > 0 {
 		n.offerConfig(ctx, k.Config.Version, k.Config.Body, sourceNode)
 	}
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -14,10 +14,10 @@
 )
 
 // mergeMembers merges complete entries that another node sent.
-func (c *control) mergeMembers(told citronpeer.Diff) {
+func (c *control) mergeMembers(diff citronpeer.Diff) {
 	now := c.n.clock.Now()
-	for i, m := range told.Members {
-		updated, changed := c.members.RecordMember(m, now.Add(-told.Age(i)), now)
+	for i, m := range diff.Members {
+		updated, changed := c.members.RecordMember(m, now.Add(-diff.Age(i)), now)
 		if !updated {
 			continue
 		}
--- a/citronnode/outage_test.go
+++ b/citronnode/outage_test.go
@@ -19,7 +19,7 @@
 	r := newLoopRig(t)
 	now := time.Now()
 	r.n.health.RecordCall(citronhealth.Call{Begun: now, Ended: now, Err: citronkv.ErrUnavailable})
-	r.handleMessage(context.Background(), memberUpdate{told: citronpeer.Diff{Members: []citronpeer.Member{{Name: "n2", Store: citronhealth.Status{Answered: true, Served: true}}}}})
+	r.handleMessage(context.Background(), memberUpdate{diff: citronpeer.Diff{Members: []citronpeer.Member{{Name: "n2", Store: citronhealth.Status{Answered: true, Served: true}}}}})
 	r.tick(context.Background())
 	is.True(r.self.Store.Outage)
 	is.True(!r.storeUnavailable)
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -130,7 +130,7 @@
 	told := r.self
 	told.Name, told.Heartbeat = "n2", 7
 	otherView, _ := other.view.ByID("i-1@100")
-	other.handleMessage(context.Background(), memberUpdate{told: citronpeer.Diff{Members: []citronpeer.Member{told}}})
+	other.handleMessage(context.Background(), memberUpdate{diff: citronpeer.Diff{Members: []citronpeer.Member{told}}})
 	other.publish()
 	is.True(other.inUse()["a:1"].Layers.Empty())
 	is.True(otherView.Ended())
