--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -97,8 +97,8 @@
 	// collectDue means that the state of the other nodes must be collected for the next
 	// snapshot.
 	configChanged, collectDue bool
-	// joined holds the names of nodes that appeared or changed since the last tick.
-	joined []string
+	// changedMembers holds the names of nodes that appeared or changed since the last tick.
+	changedMembers []string
 }
 
 func newControl(n *Node) *control {
@@ -230,7 +230,7 @@
 	now := c.n.clock.Now()
 	c.ageMembers(ctx, now)
 	c.updateStoreStatus(ctx, now) // after ageMembers, which determines the lost nodes
-	c.logJoined(ctx)
+	c.logChangedMembers(ctx)
 	c.self.Heartbeat++
 	c.self.Leaving = c.n.leaving.Load()
 	c.self.Ready = c.n.Ready()
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -29,7 +29,7 @@
 			continue
 		}
 		c.collectDue = true
-		c.joined = append(c.joined, m.Name)
+		c.changedMembers = append(c.changedMembers, m.Name)
 		if m.Leaving {
 			c.n.notifyPeers()
 		}
@@ -56,7 +56,7 @@
 // memberReturned records that a lost node is back.
 func (c *control) memberReturned(k *citronroster.TrackedMember) {
 	c.collectDue = true
-	c.joined = append(c.joined, k.Name)
+	c.changedMembers = append(c.changedMembers, k.Name)
 }
 
 // mergeZoneTotals merges the totals of other zones.
@@ -87,10 +87,10 @@
 // maxLoggedNames limits the node names in a log line.
 const maxLoggedNames = 5
 
-// logJoined logs in one line which nodes appeared or changed. One line for each node
+// logChangedMembers logs in one line which nodes appeared or changed. One line for each node
 // would grow with the square of the number of nodes when they restart in turn.
-func (c *control) logJoined(ctx context.Context) {
-	if len(c.joined) == 0 {
+func (c *control) logChangedMembers(ctx context.Context) {
+	if len(c.changedMembers) == 0 {
 		return
 	}
 	ready, leaving := 0, 0
@@ -102,8 +102,8 @@
 			leaving++
 		}
 	}
-	citronevent.Log(ctx, c.n.log, citronevent.MemberJoined, "changed", len(c.joined), "members", c.joined[:min(maxLoggedNames, len(c.joined))], "ready", ready, "leaving", leaving)
-	c.joined = nil
+	citronevent.Log(ctx, c.n.log, citronevent.MemberJoined, "changed", len(c.changedMembers), "members", c.changedMembers[:min(maxLoggedNames, len(c.changedMembers))], "ready", ready, "leaving", leaving)
+	c.changedMembers = nil
 }
 
 // targetRetention is how long the target layer ranges of a leader that is no longer
