--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -104,7 +104,7 @@
 func newControl(n *Node) *control {
 	c := &control{n: n, members: citronroster.NewTable(n.settings.Name, n.settings.Zone), zoneTotals: citronroster.NewZoneTotals(n.settings.Zone), self: n.snap.Load().self}
 	c.list = citronlist.New(citronlist.Settings{
-		Prefix: n.sources.EnginePrefix, Decode: n.sources.DecodeEngine, DrainWithin: n.settings.DrainWithin, Clock: n.clock, Log: n.log, OnEnded: c.ended,
+		Prefix: n.sources.EnginePrefix, Decode: n.sources.DecodeEngine, DrainWithin: n.settings.DrainWithin, Clock: n.clock, Log: n.log, OnEnded: c.onEngineEnded,
 	})
 	return c
 }
@@ -176,8 +176,8 @@
 	citronevent.Log(ctx, c.n.log, e, "revision", c.list.Revision().String(), "engines", c.list.Len(), "source", source)
 }
 
-// ended moves the requests that run on an engine that has ended.
-func (c *control) ended(e citronmodel.Engine) {
+// onEngineEnded moves the requests that run on an engine that has onEngineEnded.
+func (c *control) onEngineEnded(e citronmodel.Engine) {
 	if c.view == nil {
 		return
 	}
