--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -71,13 +71,13 @@
 // declare healthy engines dead.
 func (n *Node) sendUpdate(ctx context.Context, addrs []string) {
 	for _, addr := range addrs {
-		go n.fetch(ctx, addr)
+		go n.exchangeUpdate(ctx, addr)
 	}
 }
 
-// fetch sends this node's update to the node at addr and merges the newer documents in
+// exchangeUpdate sends this node's update to the node at addr and merges the newer documents in
 // its answer.
-func (n *Node) fetch(ctx context.Context, addr string) {
+func (n *Node) exchangeUpdate(ctx context.Context, addr string) {
 	n.push(ctx, addr, n.snap.Load().update())
 }
 
@@ -305,7 +305,7 @@
 			return
 		}
 		p.mu.Unlock()
-		n.fetch(ctx, addr)
+		n.exchangeUpdate(ctx, addr)
 	}
 }
 
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -72,7 +72,7 @@
 func (c *control) ageMembers(ctx context.Context, now time.Time) {
 	overdue, lost := c.members.Age(now)
 	for _, k := range overdue {
-		go c.n.fetch(ctx, k.Peer)
+		go c.n.exchangeUpdate(ctx, k.Peer)
 	}
 	if len(lost) == 0 {
 		return
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -122,7 +122,7 @@
 	}
 	members := n.snap.Load().members
 	for _, m := range members[:min(len(members), announceFanout)] {
-		go n.fetch(ctx, m.Peer)
+		go n.exchangeUpdate(ctx, m.Peer)
 	}
 }
 
