--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -28,13 +28,13 @@
 
 // limitsChanged tells other nodes that limits changed, and stops throttling the engines
 // in eased, whose limits were raised or removed.
-func (n *Node) limitsChanged(eased []string) {
+func (n *Node) limitsChanged(relaxed []string) {
 	n.notifyPeers()
 	t := n.snap.Load().traffic
 	if t == nil {
 		return
 	}
-	for _, id := range eased {
+	for _, id := range relaxed {
 		if e, ok := t.View.ByID(id); ok {
 			e.Throttle(n.clock.Now(), 0)
 		}
