--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -54,7 +54,7 @@
 
 // Permit asks the permit issuer of an engine for a permit to send it a request that can
 // wait for up to patience.
-func (n *Node) Permit(ctx context.Context, e *citronpool.Engine, patience time.Duration) citronpermit.Decision {
+func (n *Node) Permit(ctx context.Context, e *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
 	r := n.limits.Get(e.ID)
 	if !r.Limited {
 		return citronpermit.Granted{}
@@ -64,9 +64,9 @@
 	case !ok:
 		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	case issuer.Name == n.settings.Name:
-		return n.permits.Issue(e.ID, r.PerSecond, patience, n.clock.Now())
+		return n.permits.Issue(e.ID, r.PerSecond, maxWait, n.clock.Now())
 	}
-	p, err := n.peers.AskPermit(ctx, issuer.Peer, citronpeer.PermitRequest{Node: n.settings.Name, Limit: r.Wire(e.ID), MaxWaitMS: patience.Milliseconds()}, permitTimeout)
+	p, err := n.peers.AskPermit(ctx, issuer.Peer, citronpeer.PermitRequest{Node: n.settings.Name, Limit: r.Wire(e.ID), MaxWaitMS: maxWait.Milliseconds()}, permitTimeout)
 	if err != nil {
 		citronevent.Log(ctx, n.log, citronevent.PermitFailed, "engine", e.ID, "peer", issuer.Peer, "err", err)
 		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
