--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -40,12 +40,12 @@
 		healthy = ok
 	}
 	n.initialRead(ctx, prefix, config)
-	readBarred := config // only the goroutine that follows the list reads the quarantine records
+	quarantineLoaded := config // only the goroutine that follows the list reads the quarantine records
 	for ctx.Err() == nil {
 		if !n.mayWatch(ctx) {
 			continue
 		}
-		readBarred = readBarred || n.loadQuarantine(ctx) == nil // after a failure, the next iteration reads them
+		quarantineLoaded = quarantineLoaded || n.loadQuarantine(ctx) == nil // after a failure, the next iteration reads them
 		err := n.followOnce(ctx, prefix, config, func() {
 			answered(true)
 			wait = minRetryWait
