--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -81,16 +81,16 @@
 	n.push(ctx, addr, n.snap.Load().update())
 }
 
-// push sends k to the node at addr, completed with the recent suspects and rate limits,
+// push sends state to the node at addr, completed with the recent suspects and rate limits,
 // and merges what the node answers.
-func (n *Node) push(ctx context.Context, addr string, k citronpeer.GossipState) {
-	if k.Suspects == nil {
-		k.Suspects = n.recentSuspects()
+func (n *Node) push(ctx context.Context, addr string, state citronpeer.GossipState) {
+	if state.Suspects == nil {
+		state.Suspects = n.recentSuspects()
 	}
-	if k.Limits == nil {
-		k.Limits = n.limits.Recent()
+	if state.Limits == nil {
+		state.Limits = n.limits.Recent()
 	}
-	theirs, err := n.peers.Update(ctx, addr, k)
+	theirs, err := n.peers.Update(ctx, addr, state)
 	if err != nil {
 		citronevent.Log(ctx, n.log, citronevent.GossipFailed, "peer", addr, "err", err)
 		return
@@ -108,10 +108,10 @@
 // gossipState returns the update of this node, the digest of the members that it knows,
 // and the zone totals.
 func (s *snapshot) gossipState() citronpeer.GossipState {
-	k := s.update()
-	k.Digest = s.roster.Digest()
-	k.ZoneTotals = s.zoneTotals
-	return k
+	state := s.update()
+	state.Digest = s.roster.Digest()
+	state.ZoneTotals = s.zoneTotals
+	return state
 }
 
 // leaders returns the addresses of the nodes that place layers. They repair the layer
@@ -176,10 +176,10 @@
 // items that it requests.
 func (n *Node) exchange(ctx context.Context, addr string) {
 	s := n.snap.Load()
-	k := s.gossipState()
-	k.SuspectChecksum, k.LimitChecksum = n.quarantine.Sum(), n.limits.Sum()
-	theirs, err := n.peers.Exchange(ctx, addr, k)
-	n.stabilizer.recordExchange(k.Digest, theirs.Digest, err)
+	state := s.gossipState()
+	state.SuspectChecksum, state.LimitChecksum = n.quarantine.Sum(), n.limits.Sum()
+	theirs, err := n.peers.Exchange(ctx, addr, state)
+	n.stabilizer.recordExchange(state.Digest, theirs.Digest, err)
 	if err != nil {
 		citronevent.Log(ctx, n.log, citronevent.GossipFailed, "peer", addr, "err", err)
 		return
@@ -189,26 +189,26 @@
 	if theirs.Missing.Empty() && same && sameLimits {
 		return
 	}
-	k = s.update()
-	k.Diff = s.roster.Requested(theirs.Missing)
+	state = s.update()
+	state.Diff = s.roster.Requested(theirs.Missing)
 	if !same {
-		k.Suspects = n.allSuspects()
+		state.Suspects = n.allSuspects()
 	}
 	if !sameLimits {
-		k.Limits = n.limits.All()
+		state.Limits = n.limits.All()
 	}
-	n.push(ctx, addr, k)
+	n.push(ctx, addr, state)
 }
 
-// withDocuments adds to k the bodies of the documents of which the peer, described by
+// withDocuments adds to state the bodies of the documents of which the peer, described by
 // other, has an older version.
-func (s *snapshot) withDocuments(k, other citronpeer.GossipState) (citronpeer.GossipState, error) {
+func (s *snapshot) withDocuments(state, other citronpeer.GossipState) (citronpeer.GossipState, error) {
 	if other.Config.Version < s.config.Version {
-		k.Config = s.config
+		state.Config = s.config
 	}
 	var err error
-	k.Engines, err = s.list.ChangesSince(other.Engines.Revision)
-	return k, err
+	state.Engines, err = s.list.ChangesSince(other.Engines.Revision)
+	return state, err
 }
 
 // answerer answers the calls of other nodes.
@@ -218,19 +218,19 @@
 // what the peer lacks, and names the items missing here.
 func (a answerer) Exchange(theirs citronpeer.GossipState) citronpeer.GossipState {
 	s := a.n.snap.Load()
-	k := s.gossipState()
+	state := s.gossipState()
 	sameZone := theirs.From.Zone == s.self.Zone
-	k.Diff = s.roster.Diff(theirs.Digest, sameZone)
-	k.Missing = s.roster.Missing(theirs.Digest, sameZone)
-	k.SuspectChecksum = a.n.quarantine.Sum()
-	if theirs.SuspectChecksum != k.SuspectChecksum {
-		k.Suspects = a.n.allSuspects()
+	state.Diff = s.roster.Diff(theirs.Digest, sameZone)
+	state.Missing = s.roster.Missing(theirs.Digest, sameZone)
+	state.SuspectChecksum = a.n.quarantine.Sum()
+	if theirs.SuspectChecksum != state.SuspectChecksum {
+		state.Suspects = a.n.allSuspects()
 	}
-	k.LimitChecksum = a.n.limits.Sum()
-	if theirs.LimitChecksum != k.LimitChecksum {
-		k.Limits = a.n.limits.All()
+	state.LimitChecksum = a.n.limits.Sum()
+	if theirs.LimitChecksum != state.LimitChecksum {
+		state.Limits = a.n.limits.All()
 	}
-	return a.n.respond(s, k, theirs)
+	return a.n.respond(s, state, theirs)
 }
 
 // Update implements citronpeer.Answerer. It takes a peer's update and answers with this
@@ -240,27 +240,27 @@
 	return a.n.respond(s, s.update(), theirs)
 }
 
-// respond merges the message of another node and returns k, completed with the
+// respond merges the message of another node and returns state, completed with the
 // documents that the peer lacks.
-func (n *Node) respond(s *snapshot, k, theirs citronpeer.GossipState) citronpeer.GossipState {
+func (n *Node) respond(s *snapshot, state, theirs citronpeer.GossipState) citronpeer.GossipState {
 	ctx := context.Background()
 	n.applyAccused(theirs.Accused)
-	if k.Suspects == nil {
-		k.Suspects = n.recentSuspects()
+	if state.Suspects == nil {
+		state.Suspects = n.recentSuspects()
 	}
-	if k.Limits == nil {
-		k.Limits = n.limits.Recent()
+	if state.Limits == nil {
+		state.Limits = n.limits.Recent()
 	}
 	n.merge(ctx, theirs)
 	if theirs.From.Peer != "" && s.isBehind(theirs) {
 		n.pull.enqueue(ctx, n, theirs.From.Peer, theirs)
 	}
-	k, err := s.withDocuments(k, theirs)
+	state, err := s.withDocuments(state, theirs)
 	if err != nil {
 		// Encoding plain values does not fail. If it does, the peer asks again.
 		citronevent.Log(ctx, n.log, citronevent.EngineRejected, "key", "exchange", "err", err)
 	}
-	return k
+	return state
 }
 
 // isBehind reports whether the peer's message names a newer version of a document.
@@ -317,28 +317,28 @@
 
 // merge applies a message of another node: it merges suspects and rate limits, and passes
 // members and documents on to the control loop.
-func (n *Node) merge(ctx context.Context, k citronpeer.GossipState) {
-	n.mergeSuspects(ctx, k.From.Name, k.Suspects)
-	n.mergeLimits(ctx, k.From.Name, k.Limits)
-	n.sendToLoop(ctx, memberUpdate{from: k.From, diff: k.Diff, digest: k.Digest, zoneTotals: k.ZoneTotals})
-	if len(k.Config.Body) > 0 {
-		n.offerConfig(ctx, k.Config.Version, k.Config.Body, sourceNode)
-	}
-	if len(k.Engines.Body) == 0 {
+func (n *Node) merge(ctx context.Context, state citronpeer.GossipState) {
+	n.mergeSuspects(ctx, state.From.Name, state.Suspects)
+	n.mergeLimits(ctx, state.From.Name, state.Limits)
+	n.sendToLoop(ctx, memberUpdate{from: state.From, diff: state.Diff, digest: state.Digest, zoneTotals: state.ZoneTotals})
+	if len(state.Config.Body) > 0 {
+		n.offerConfig(ctx, state.Config.Version, state.Config.Body, sourceNode)
+	}
+	if len(state.Engines.Body) == 0 {
 		return
 	}
-	if own := n.storeEra(); k.Engines.Revision.Era() > own+maxErasAhead && !n.snap.Load().list.Revision.IsZero() {
-		citronevent.Log(ctx, n.log, citronevent.EngineRejected, "key", "exchange", "peer", k.From.Name, "revision", k.Engines.Revision.String(), "era", own)
+	if own := n.storeEra(); state.Engines.Revision.Era() > own+maxErasAhead && !n.snap.Load().list.Revision.IsZero() {
+		citronevent.Log(ctx, n.log, citronevent.EngineRejected, "key", "exchange", "peer", state.From.Name, "revision", state.Engines.Revision.String(), "era", own)
 		return
 	}
 	var items []citronkv.Item
-	if err := json.Unmarshal(k.Engines.Body, &items); err != nil {
+	if err := json.Unmarshal(state.Engines.Body, &items); err != nil {
 		citronevent.Log(ctx, n.log, citronevent.EngineRejected, "key", "exchange", "err", err)
 		return
 	}
-	if !k.Engines.Base.IsZero() {
-		n.sendToLoop(ctx, listDelta{items: items, base: k.Engines.Base, revision: k.Engines.Revision, source: sourceNode})
+	if !state.Engines.Base.IsZero() {
+		n.sendToLoop(ctx, listDelta{items: items, base: state.Engines.Base, revision: state.Engines.Revision, source: sourceNode})
 		return
 	}
-	n.sendToLoop(ctx, listSnapshot{items: items, revision: k.Engines.Revision, source: sourceNode})
+	n.sendToLoop(ctx, listSnapshot{items: items, revision: state.Engines.Revision, source: sourceNode})
 }
