--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -29,15 +29,15 @@
 // history since then, follow reads the whole prefix again.
 func (n *Node) follow(ctx context.Context, prefix string, config bool) {
 	wait := minRetryWait
-	down, healthy := false, false
-	answered := func(ok bool) {
-		if ok && !healthy {
+	down, watching := false, false
+	setWatching := func(ok bool) {
+		if ok && !watching {
 			n.watchedPrefixes.Add(1)
 		}
-		if !ok && healthy {
+		if !ok && watching {
 			n.watchedPrefixes.Add(-1)
 		}
-		healthy = ok
+		watching = ok
 	}
 	n.initialRead(ctx, prefix, config)
 	quarantineLoaded := config // only the goroutine that follows the list reads the quarantine records
@@ -47,7 +47,7 @@
 		}
 		quarantineLoaded = quarantineLoaded || n.loadQuarantine(ctx) == nil // after a failure, the next iteration reads them
 		err := n.followOnce(ctx, prefix, config, func() {
-			answered(true)
+			setWatching(true)
 			wait = minRetryWait
 			if down {
 				down = false
@@ -60,7 +60,7 @@
 		if errors.Is(err, citronkv.ErrCompacted) {
 			continue
 		}
-		answered(false)
+		setWatching(false)
 		if errors.Is(err, errStandby) {
 			continue
 		}
