--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -1,10 +1,11 @@
 package citronnode
 
 // Quarantined requests are kept in the store. Nodes hold the quarantine in memory and
-// pass it on to a node that starts. If all of them restarted at once without the store,
-// a request would have to crash three more engines before it is quarantined again. The
-// nodes that observed a crash write the record, under a lease of quarantineTTL. A node
-// reads all records before it watches the store for the first time.
+// pass it on to a node that starts. Without the records in the store, a restart of all
+// nodes at once would lose the quarantine, and a request would have to crash three more
+// engines before it is quarantined again. The nodes that observed a crash write the
+// record, under a lease of quarantineTTL. A node reads all records before it watches the
+// store for the first time.
 
 import (
 	"context"
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -58,7 +58,7 @@
 // memberUpdate is an update about other nodes: complete entries, gauges, or only the
 // heartbeat counters in a digest, together with the zone totals.
 type memberUpdate struct {
-	// from is the node that sent the update. told is what it knows about others.
+	// from is the node that sent the update. diff is what it knows about others.
 	from       citronpeer.Member
 	diff       citronpeer.Diff
 	digest     citronpeer.Digest
@@ -97,7 +97,8 @@
 	// collectDue means that the state of the other nodes must be collected for the next
 	// snapshot.
 	configChanged, collectDue bool
-	// changedMembers holds the names of nodes that appeared or changed since the last tick.
+	// changedMembers holds the names of nodes that appeared, returned or changed since the
+	// last tick.
 	changedMembers []string
 }
 
@@ -171,12 +172,13 @@
 	c.n.notifyPeers()
 	e := citronevent.EnginesChanged
 	if source != sourceStore {
-		e = citronevent.EnginesLearned // one line of each node for each change would hide everything else
+		e = citronevent.EnginesLearned // logged at debug level, because one line per node and change would hide all others
 	}
 	citronevent.Log(ctx, c.n.log, e, "revision", c.list.Revision().String(), "engines", c.list.Len(), "source", source)
 }
 
-// onEngineEnded moves the requests that run on an engine that has onEngineEnded.
+// onEngineEnded marks an engine that has ended, so that the requests that run on it are
+// moved to other engines.
 func (c *control) onEngineEnded(e citronmodel.Engine) {
 	if c.view == nil {
 		return
--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// Guards against invalid lists from other nodes: of an era that no store can have
-// reached, or unreadable. A node that accepted one would treat all later lists as
-// outdated.
+// Guards against invalid lists from other nodes: of an era too far ahead, unreadable,
+// with the changes since a revision that the node does not have, or with a revision that
+// only requests use. A node that accepted one could treat all later lists as outdated.
 func TestInvalidEngineListsAreRejected(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// exchangeUpdate sends this node's update to the node at addr and merges the newer documents in
-// its answer.
+// exchangeUpdate sends this node's update to the node at addr and merges the newer
+// documents in its answer.
 func (n *Node) exchangeUpdate(ctx context.Context, addr string) {
 	n.push(ctx, addr, n.snap.Load().update())
 }
--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -1,7 +1,7 @@
 package citronnode
 
 // Leadership: the node that holds the leader key under a lease places layers. A leader
-// whose lease has expired stops giving orders.
+// stops giving orders when the store reports that its lease has expired.
 //
 // While the store is unavailable no node can take the lease, but engines still die. So
 // a leader that cannot renew its lease continues as long as it hears from more than
@@ -120,7 +120,7 @@
 }
 
 // leaderKnown reports whether another node declares itself the leader in gossip. It makes
-// no call to the store: callers read the leader key there only if no node does.
+// no call to the store: its callers read the leader key there only if it returns false.
 func (n *Node) leaderKnown() bool {
 	for _, m := range n.snap.Load().members {
 		if m.Leads && !m.Leaving {
@@ -164,8 +164,8 @@
 	return term{}, err
 }
 
-// serveTerm places layers while the lease is renewed in time. A leader that cannot
-// reach the store continues as described at the head of this file.
+// serveTerm places layers until the lease has expired or another node leads. A leader
+// that cannot reach the store continues as described at the top of this file.
 func (n *Node) serveTerm(ctx context.Context, t term) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -1,7 +1,7 @@
 package citronnode
 
 // Rate limits of engines: how nodes tell each other of them, and the permits that a
-// node needs before it sends a request to an engine that names a limit.
+// node needs before it sends a request to an engine that declares a limit.
 
 import (
 	"context"
@@ -53,7 +53,7 @@
 }
 
 // Permit asks the permit issuer of an engine for a permit to send it a request that can
-// wait for up to patience.
+// wait for up to maxWait.
 func (n *Node) Permit(ctx context.Context, e *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
 	r := n.limits.Get(e.ID)
 	if !r.Limited {
@@ -103,9 +103,9 @@
 	return out
 }
 
-// decidePermit decides a permit request of another node. A node that takes this node
-// for the permit issuer when it is not has a different view of the members; it is told
-// to ask again.
+// decidePermit decides a permit request of another node. If this node does not consider
+// itself the permit issuer, the two nodes know different members, and the other node is
+// told to ask again.
 func (n *Node) decidePermit(engine string, known citronlimit.Record, q citronpeer.PermitRequest) citronpermit.Decision {
 	t := n.snap.Load().traffic
 	if t == nil {
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -92,8 +92,8 @@
 	// updates wakes the gossip loop after a document has changed on this node. urgentUpdates
 	// does the same if the leader must be informed too.
 	updates, urgentUpdates chan struct{}
-	// lastAccusation is when this node last reported an lastAccusation engine: an engine that another
-	// engine named as the cause of a failed request.
+	// lastAccusation is when this node last reported an accused engine: an engine that
+	// another engine named as the cause of a failed request.
 	lastAccusation atomic.Pointer[time.Time]
 	// configs holds the newest decoded configuration for the control loop.
 	configs configInbox
@@ -123,7 +123,8 @@
 	// the records.
 	suspectsRejected     atomic.Int64
 	suspectsRejectedFrom sync.Map
-	// watchedPrefixes is the number of followed prefixes for which the store answers.
+	// watchedPrefixes is the number of followed prefixes that this node watches and for
+	// which the store answers.
 	watchedPrefixes atomic.Int64
 	// health records the results of this node's calls to the store.
 	health *citronhealth.StoreMonitor
@@ -155,7 +156,8 @@
 	roster citronroster.Roster
 	// zoneTotals holds the zone totals, including those of this node's zone.
 	zoneTotals []citronpeer.ZoneTotals
-	// otherNodesCache is the cache used by the requests of other nodes, by zone.
+	// otherNodesCache maps each zone to the cache, in tokens, that requests of other nodes
+	// occupy there.
 	otherNodesCache map[string]int64
 	// eraAt is when this node observed that the store was restored from an older copy.
 	eraAt time.Time
--- a/citronnode/node_test.go
+++ b/citronnode/node_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// Each watch is priced and answered at every change, so only a few of nine nodes watch,
+// Each watch is billed and answered at every change, so only a few of nine nodes watch,
 // and all nodes get a new configuration. When the store rejects all watching nodes,
 // others must take over, or the fleet would keep the old configuration for as long as
 // the store rejects them.
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -1,6 +1,6 @@
 package citronnode
 
-// Reads from and watches on the store, and this node's own entry in it.
+// How a node reads and watches the store, and registers its own address there.
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	minRetryWait = 150 * time.Millisecond
 	maxRetryWait = 800 * time.Millisecond
 	// watchBatchDelay is how long changes to the list of engines are collected before
-	// the next watch, because each watch is a priced call.
+	// the next watch, because each watch is a billed call.
 	watchBatchDelay = 150 * time.Millisecond
 )
 
@@ -187,7 +187,7 @@
 	// and the list of engines.
 	followedPrefixes = 2
 	// maxWatchers is the number of nodes that watch the store. The other nodes hear of
-	// changes from them within about 0.3 s. Each watch is a priced call and is answered
+	// changes from them within about 0.3 s. Each watch is a billed call and is answered
 	// at every change, so the calls of the fleet would grow with the number of nodes
 	// times the number of changes. Four watchers tolerate the loss of any three of them,
 	// or of their connection to the store.
@@ -247,7 +247,7 @@
 }
 
 const (
-	// rereadInterval is how often some node of the fleet reads the store again.
+	// rereadInterval is how often some node of the fleet starts a new watch.
 	rereadInterval = 650 * time.Millisecond
 	// maxWatch limits the duration of a watch regardless of the number of nodes.
 	maxWatch = 20 * time.Second
@@ -256,13 +256,14 @@
 	watchReplyTimeout = time.Second
 )
 
-// watch waits for changes, at most until it is this node's turn to read the store again.
+// watch waits for changes, at most until it is this node's turn to start a new watch.
 //
 // A watch can miss changes without an error: the store may delay it while it drops its
 // history, and a connection may stall for good. The node then has outdated state until
 // the watch ends. The watches of the nodes therefore end in turn, one every
-// rereadInterval, and gossip takes what the node whose turn it is finds to the others.
-// This way each node needs only a few long watches.
+// rereadInterval. The next watch of that node returns the missed changes, or an error if
+// the store has dropped them, and gossip passes the changes on to the other nodes. This
+// way each node needs only a few long watches.
 func (n *Node) watch(ctx context.Context, prefix string, after citronkv.Revision) ([]citronkv.Item, citronkv.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.untilTurn()+watchReplyTimeout)
 	defer cancel()
@@ -329,9 +330,9 @@
 // others, if this node ranks among the first maxRegistered. A node that hears of no
 // others reads the addresses too.
 //
-// The configured seeds may all be gone when a machine is replaced. A node without peers
-// would serve callers that no directory sends to it, and two halves of a fleet that lost
-// each other would never meet again. In each half some nodes come first, and those know
+// The configured seeds may all be gone after machines were replaced. A node without
+// peers would get no callers, because no directory names it, and two halves of a fleet
+// that lost each other would never meet again. In each half some nodes come first, and those know
 // the addresses of both halves. The entries need no lease: an address where nothing
 // answers costs only a failed connection now and then, and the entry is overwritten when
 // its name is used again. A store that was restored from an older copy may have lost the
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -13,10 +13,12 @@
 	"citrondeck.dev/citrondeck/citronupstream"
 )
 
-// benchmarkFleetSizes are the fleet sizes for which the spreading of updates is measured.
+// benchmarkFleetSizes are the numbers of nodes of the fleets in which the benchmarks of
+// this file measure how updates spread.
 var benchmarkFleetSizes = []int{30, 300}
 
-// startBenchmarkFleet starts a fleet of five zones and waits until all nodes know each other.
+// startBenchmarkFleet starts a fleet of five zones with 200 engines and waits until all
+// nodes know each other and the updates of the start are over.
 func startBenchmarkFleet(b *testing.B, size int) (*fleet, *mesh) {
 	b.Helper()
 	f := newFleet(b)
--- a/citronnode/status.go
+++ b/citronnode/status.go
@@ -23,7 +23,7 @@
 	Unreadable int
 	// Retained counts the retained engines: engines in use whose entries are missing.
 	Retained int
-	// Suspects counts the requests under which engines have ended. Quarantined counts those
+	// Suspects counts the requests under which engines have crashed. Quarantined counts those
 	// of them that are quarantined and not sent to engines. SuspectsRejected counts the
 	// rejected messages of other nodes, and the rejected records in the store, about such
 	// requests.
