--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -247,8 +247,8 @@
 }
 
 const (
-	// rereadInterval is how often some node of the fleet starts a new watch.
-	rereadInterval = 650 * time.Millisecond
+	// watchRenewalInterval is how often some node of the fleet starts a new watch.
+	watchRenewalInterval = 650 * time.Millisecond
 	// maxWatch limits the duration of a watch regardless of the number of nodes.
 	maxWatch = 20 * time.Second
 	// watchReplyTimeout is the time allowed for the reply to a watch that ends without
@@ -261,7 +261,7 @@
 // A watch can miss changes without an error: the store may delay it while it drops its
 // history, and a connection may stall for good. The node then has outdated state until
 // the watch ends. The watches of the nodes therefore end in turn, one every
-// rereadInterval. The next watch of that node returns the missed changes, or an error if
+// watchRenewalInterval. The next watch of that node returns the missed changes, or an error if
 // the store has dropped them, and gossip passes the changes on to the other nodes. This
 // way each node needs only a few long watches.
 func (n *Node) watch(ctx context.Context, prefix string, after citronkv.Revision) ([]citronkv.Item, citronkv.Revision, error) {
@@ -280,10 +280,10 @@
 		}
 	}
 	rank := n.watchersBefore()
-	period := min(rereadInterval*time.Duration(watchers), maxWatch)
+	period := min(watchRenewalInterval*time.Duration(watchers), maxWatch)
 	now := time.Duration(n.clock.Now().UnixNano())
-	wait := (time.Duration(rank)*rereadInterval - now%period + period) % period
-	if wait < rereadInterval/2 {
+	wait := (time.Duration(rank)*watchRenewalInterval - now%period + period) % period
+	if wait < watchRenewalInterval/2 {
 		wait += period
 	}
 	return wait
