--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -128,8 +128,8 @@
 }
 
 // Guards against invalid lists from other nodes: of an era too far ahead, unreadable,
-// with the changes since a revision that the node does not have, or with a revision that
-// only requests use. A node that accepted one could treat all later lists as outdated.
+// with the changes since a revision that the node does not have, or at AnyRevision, which
+// no list has. A node that accepted one could treat all later lists as outdated.
 func TestInvalidEngineListsAreRejected(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -34,7 +34,7 @@
 	knewLimit bool
 }
 
-// limitedUpstreams are fake upstreams, some of which name a rate limit.
+// limitedUpstreams are fake upstreams, some of which declare a rate limit.
 type limitedUpstreams struct {
 	mu       sync.Mutex
 	limits   map[string]float64
@@ -69,7 +69,7 @@
 	return citronupstream.PerSecond(limit)
 }
 
-// setLimit sets the limit that an engine names from now on. A negative value removes
+// setLimit sets the limit that an engine declares from now on. A negative value removes
 // it.
 func (u *limitedUpstreams) setLimit(engine string, perSecond float64) {
 	u.mu.Lock()
@@ -256,7 +256,7 @@
 const minUtilization = 0.8
 
 // Guards against nodes that together send an upstream more than the rate limit that it
-// named.
+// declared.
 func TestNodesTogetherKeepUpstreamRateLimit(t *testing.T) {
 	for _, c := range []struct {
 		nodes     int
--- a/citronnode/reborn_test.go
+++ b/citronnode/reborn_test.go
@@ -57,7 +57,7 @@
 	return text
 }
 
-// deliver has the store write entries and the loop take them.
+// deliver passes entries to the loop as if the store had written them.
 func (r *loopRig) deliver(entries map[string][]byte) {
 	var items []citronkv.Item
 	for key, text := range entries {
