--- a/citronnode/accuse.go
+++ b/citronnode/accuse.go
@@ -28,15 +28,15 @@
 // answered. Accusations within minAccuseGap of the last one are dropped.
 func (n *Node) Accuse(e *citronpool.Engine) {
 	now := n.clock.Now()
-	last := n.accused.Load()
-	if last != nil && now.Sub(*last) < minAccuseGap || !n.accused.CompareAndSwap(last, &now) {
+	last := n.lastAccusation.Load()
+	if last != nil && now.Sub(*last) < minAccuseGap || !n.lastAccusation.CompareAndSwap(last, &now) {
 		return
 	}
 	s := n.snap.Load()
 	update := s.update()
 	update.Accused = []string{e.ID}
 	for _, m := range s.members {
-		if m.Zone == n.set.Zone || m.Zone == e.Zone || m.Leads {
+		if m.Zone == n.settings.Zone || m.Zone == e.Zone || m.Leads {
 			go n.sendAccusation(m.Peer, update)
 		}
 	}
--- a/citronnode/barred.go
+++ b/citronnode/barred.go
@@ -1,10 +1,11 @@
 package citronnode
 
 // Quarantined requests are kept in the store. Nodes hold the quarantine in memory and
-// pass it on to a node that starts. If all of them restarted at once without the store,
-// a request would have to crash three more engines before it is quarantined again. The
-// nodes that observed a crash write the record, under a lease of quarantineTTL. A node
-// reads all records before it watches the store for the first time.
+// pass it on to a node that starts. Without the records in the store, a restart of all
+// nodes at once would lose the quarantine, and a request would have to crash three more
+// engines before it is quarantined again. The nodes that observed a crash write the
+// record, under a lease of quarantineTTL. A node reads all records before it watches the
+// store for the first time.
 
 import (
 	"context"
@@ -68,17 +69,17 @@
 	if err != nil {
 		return errors.Wrap(err, "encode quarantine record")
 	}
-	lease, err := n.src.Store.Grant(ctx, quarantineTTL)
+	lease, err := n.sources.Store.Grant(ctx, quarantineTTL)
 	if err != nil {
 		return errors.Wrap(err, "grant lease for quarantine record")
 	}
-	_, err = n.src.Store.Put(ctx, quarantinePrefix+e.Fingerprint.String(), text, citronkv.AnyRevision, lease)
+	_, err = n.sources.Store.Put(ctx, quarantinePrefix+e.Fingerprint.String(), text, citronkv.AnyRevision, lease)
 	return errors.Wrap(err, "put quarantine record")
 }
 
 // loadQuarantine merges the quarantine records in the store.
 func (n *Node) loadQuarantine(ctx context.Context) error {
-	items, _, err := n.src.Store.Range(ctx, quarantinePrefix)
+	items, _, err := n.sources.Store.Range(ctx, quarantinePrefix)
 	if err != nil {
 		return errors.Wrap(err, "read quarantine records")
 	}
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -58,9 +58,9 @@
 // memberUpdate is an update about other nodes: complete entries, gauges, or only the
 // heartbeat counters in a digest, together with the zone totals.
 type memberUpdate struct {
-	// from is the node that sent the update. told is what it knows about others.
+	// from is the node that sent the update. diff is what it knows about others.
 	from       citronpeer.Member
-	told       citronpeer.Diff
+	diff       citronpeer.Diff
 	digest     citronpeer.Digest
 	zoneTotals []citronpeer.ZoneTotals
 }
@@ -97,14 +97,15 @@
 	// collectDue means that the state of the other nodes must be collected for the next
 	// snapshot.
 	configChanged, collectDue bool
-	// joined holds the names of nodes that appeared or changed since the last tick.
-	joined []string
+	// changedMembers holds the names of nodes that appeared, returned or changed since the
+	// last tick.
+	changedMembers []string
 }
 
 func newControl(n *Node) *control {
-	c := &control{n: n, members: citronroster.NewTable(n.set.Name, n.set.Zone), zoneTotals: citronroster.NewZoneTotals(n.set.Zone), self: n.snap.Load().self}
+	c := &control{n: n, members: citronroster.NewTable(n.settings.Name, n.settings.Zone), zoneTotals: citronroster.NewZoneTotals(n.settings.Zone), self: n.snap.Load().self}
 	c.list = citronlist.New(citronlist.Settings{
-		Prefix: n.src.EnginePrefix, Decode: n.src.DecodeEngine, DrainWithin: n.set.DrainWithin, Clock: n.clock, Log: n.log, OnEnded: c.ended,
+		Prefix: n.sources.EnginePrefix, Decode: n.sources.DecodeEngine, DrainWithin: n.settings.DrainWithin, Clock: n.clock, Log: n.log, OnEnded: c.onEngineEnded,
 	})
 	return c
 }
@@ -127,7 +128,7 @@
 		case <-n.configs.ready:
 			c.applyNewestConfig(ctx)
 		case m := <-n.control:
-			c.take(ctx, m)
+			c.handleMessage(ctx, m)
 		case <-tick.C:
 			c.tick(ctx)
 		}
@@ -135,7 +136,7 @@
 	}
 }
 
-func (c *control) take(ctx context.Context, m message) {
+func (c *control) handleMessage(ctx context.Context, m message) {
 	switch m := m.(type) {
 	case listSnapshot:
 		if c.list.ApplyFull(ctx, m.items, m.revision, m.source == sourceStore) {
@@ -147,8 +148,8 @@
 		}
 	case memberUpdate:
 		c.mergeMembers(citronpeer.Diff{Members: []citronpeer.Member{m.from}})
-		c.mergeMembers(m.told)
-		c.mergeGauges(m.told.Gauges)
+		c.mergeMembers(m.diff)
+		c.mergeGauges(m.diff.Gauges)
 		c.mergeDigest(m.digest)
 		c.mergeZoneTotals(m.zoneTotals)
 	}
@@ -171,13 +172,14 @@
 	c.n.notifyPeers()
 	e := citronevent.EnginesChanged
 	if source != sourceStore {
-		e = citronevent.EnginesLearned // one line of each node for each change would hide everything else
+		e = citronevent.EnginesLearned // logged at debug level, because one line per node and change would hide all others
 	}
 	citronevent.Log(ctx, c.n.log, e, "revision", c.list.Revision().String(), "engines", c.list.Len(), "source", source)
 }
 
-// ended moves the requests that run on an engine that has ended.
-func (c *control) ended(e citronmodel.Engine) {
+// onEngineEnded marks an engine that has ended, so that the requests that run on it are
+// moved to other engines.
+func (c *control) onEngineEnded(e citronmodel.Engine) {
 	if c.view == nil {
 		return
 	}
@@ -230,12 +232,12 @@
 	now := c.n.clock.Now()
 	c.ageMembers(ctx, now)
 	c.updateStoreStatus(ctx, now) // after ageMembers, which determines the lost nodes
-	c.logJoined(ctx)
+	c.logChangedMembers(ctx)
 	c.self.Heartbeat++
 	c.self.Leaving = c.n.leaving.Load()
 	c.self.Ready = c.n.Ready()
 	c.self.Leads = c.n.leads.Load()
-	c.self.Watching = c.n.readablePrefixes.Load() == followedPrefixes
+	c.self.Watching = c.n.watchedPrefixes.Load() == followedPrefixes
 	c.recordRestarts(ctx)
 	c.n.limits.Tick()
 	c.publishTargets()
@@ -330,7 +332,7 @@
 		c.collectDue = false
 		c.collectMembers(s)
 	} else {
-		s.members, s.stale, s.roster, s.zoneTotals, s.others, s.targets = old.members, old.stale, old.roster, old.zoneTotals, old.others, old.targets
+		s.members, s.stale, s.roster, s.zoneTotals, s.otherNodesCache, s.targets = old.members, old.stale, old.roster, old.zoneTotals, old.otherNodesCache, old.targets
 	}
 	if c.configChanged || c.listVersion != c.list.Version() {
 		c.configChanged, c.listVersion = false, c.list.Version()
@@ -341,7 +343,7 @@
 		}
 	}
 	if c.table != nil {
-		s.traffic = &citronforward.State{Table: c.table, View: c.view, ListRevision: c.list.Revision(), OtherNodesCache: s.others}
+		s.traffic = &citronforward.State{Table: c.table, View: c.view, ListRevision: c.list.Revision(), OtherNodesCache: s.otherNodesCache}
 	}
 	s.list = c.list.Snapshot()
 	c.n.snap.Store(s)
--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -13,8 +13,8 @@
 	"github.com/matryer/is"
 )
 
-// usableAt returns how many nodes send new work to an engine.
-func (f *fleet) usableAt(id string) int {
+// nodesUsing returns how many nodes send new work to an engine.
+func (f *fleet) nodesUsing(id string) int {
 	n := 0
 	for _, m := range f.nodes {
 		if s := m.Traffic(); s != nil {
@@ -38,46 +38,46 @@
 	is := is.New(t)
 	f := newFleet(t)
 	f.net = newMesh()
-	f.config("1")
+	f.putConfig("1")
 	const size = 12
 	for i := range 20 {
-		f.engine(appEngine(fmt.Sprintf("e%d", i)))
+		f.putEngine(appEngine(fmt.Sprintf("e%d", i)))
 	}
 	for i := range size {
-		m := f.add(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
+		m := f.addNode(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
 		m.gate.rejecting.Store(i%4 == 3) // these nodes learn of the restore from other nodes only
 	}
 	f.awaitFullMembership()
-	eventually(t, "all nodes use all engines", func() bool { return f.usableAt("e0") == size && f.usableAt("e19") == size })
+	eventually(t, "all nodes use all engines", func() bool { return f.nodesUsing("e0") == size && f.nodesUsing("e19") == size })
 	copied := f.store.Snapshot()
 
 	// After the copy is made, one engine leaves, one joins, and many entries change.
 	gone := appEngine("e0")
 	gone.Leaving = true
-	f.engine(gone)
-	f.engine(appEngine("late"))
+	f.putEngine(gone)
+	f.putEngine(appEngine("late"))
 	for i := range 200 {
 		e := appEngine(fmt.Sprintf("e%d", 10+i%5))
 		e.Slots = i
-		f.engine(e)
+		f.putEngine(e)
 	}
-	f.config("2")
-	eventually(t, "all nodes know the changes since the copy", func() bool { return f.usableAt("e0") == 0 && f.usableAt("late") == size })
+	f.putConfig("2")
+	eventually(t, "all nodes know the changes since the copy", func() bool { return f.nodesUsing("e0") == 0 && f.nodesUsing("late") == size })
 
 	f.store.Restore(copied)
 	from := time.Now()
-	f.engine(appEngine("late")) // the engine renews its entry
-	f.engine(appEngine("new"))
+	f.putEngine(appEngine("late")) // the engine renews its entry
+	f.putEngine(appEngine("new"))
 	left := appEngine("e1")
 	left.Leaving = true
-	f.engine(left)
+	f.putEngine(left)
 	eventually(t, "all nodes use the list of the new era", func() bool {
-		is.Equal(f.usableAt("e0"), 0)
-		return f.usableAt("new") == size && f.usableAt("e1") == 0
+		is.Equal(f.nodesUsing("e0"), 0)
+		return f.nodesUsing("new") == size && f.nodesUsing("e1") == 0
 	})
 	t.Logf("%d nodes use the new list after %v", size, time.Since(from))
 	is.True(time.Since(from) < 2*time.Second)
-	is.Equal(f.usableAt("late"), size)
+	is.Equal(f.nodesUsing("late"), size)
 	for _, m := range f.nodes {
 		is.Equal(m.version(), int64(2)) // a configuration never reverts
 		is.Equal(m.Status().StoreEra, int64(1))
@@ -90,10 +90,10 @@
 func TestNodesRewriteRecordsMissingAfterRestore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	copied := f.store.Snapshot()
 	for _, name := range []string{"a", "b", "c"} {
-		f.add(name, "z1")
+		f.addNode(name, "z1")
 	}
 	f.awaitFullMembership()
 	for i := range 3 {
@@ -109,8 +109,8 @@
 	}
 	eventually(t, "all records are in the store", allWritten)
 	f.store.Restore(copied)
-	f.config("1")
-	f.engine(appEngine("e1"))
+	f.putConfig("1")
+	f.putEngine(appEngine("e1"))
 	eventually(t, "all records are in the store again", allWritten)
 	leaders := 0
 	for _, m := range f.nodes {
@@ -127,17 +127,17 @@
 	}
 }
 
-// Guards against invalid lists from other nodes: of an era that no store can have
-// reached, or unreadable. A node that accepted one would treat all later lists as
-// outdated.
+// Guards against invalid lists from other nodes: of an era too far ahead, unreadable,
+// with the changes since a revision that the node does not have, or at AnyRevision, which
+// no list has. A node that accepted one could treat all later lists as outdated.
 func TestInvalidEngineListsAreRejected(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
-	f.config("1")
-	m := f.add("a", "z1")
-	f.engine(appEngine("e0"))
-	eventually(t, "the node uses the engine", func() bool { return f.usableAt("e0") == 1 })
+	f.putConfig("1")
+	m := f.addNode("a", "z1")
+	f.putEngine(appEngine("e0"))
+	eventually(t, "the node uses the engine", func() bool { return f.nodesUsing("e0") == 1 })
 	client := citronpeer.Client{HC: http.DefaultClient, Timeout: time.Second}
 	for _, list := range []citronpeer.ListDocument{
 		{Revision: citronkv.RevisionOf(citronkv.MaxEra, citronkv.MaxNumber), Body: []byte("[]")},
@@ -149,9 +149,9 @@
 		_, err := client.Update(context.Background(), m.addr, citronpeer.GossipState{From: citronpeer.Member{Name: "stranger"}, Engines: list})
 		is.NoErr(err)
 	}
-	f.engine(appEngine("e1"))
-	eventually(t, "the node uses the next engine", func() bool { return f.usableAt("e1") == 1 })
-	is.Equal(f.usableAt("e0"), 1)
+	f.putEngine(appEngine("e1"))
+	eventually(t, "the node uses the next engine", func() bool { return f.nodesUsing("e1") == 1 })
+	is.Equal(f.nodesUsing("e0"), 1)
 	is.Equal(m.Status().StoreEra, int64(0))
 }
 
@@ -159,10 +159,10 @@
 // store is restored repeatedly within a few seconds and rejects one node at a time.
 func TestSingleLeaderDuringStoreRestores(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	copied := f.store.Snapshot()
 	for i := range 5 {
-		f.add(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
+		f.addNode(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
 	}
 	f.awaitFullMembership()
 	placers := func() (names []string) {
--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -50,9 +50,9 @@
 	f := newFleet(t)
 	c, m := newLossCounter(), newMesh()
 	f.log, f.net = c, m
-	f.config("1")
+	f.putConfig("1")
 	for _, name := range []string{"a", "b", "c"} {
-		f.add(name, "z1")
+		f.addNode(name, "z1")
 	}
 	allKnown := func() bool {
 		for _, n := range f.nodes {
@@ -81,9 +81,9 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for _, name := range []string{"a", "b", "c"} {
-		m := f.add(name, "z1")
+		m := f.addNode(name, "z1")
 		m.budget.CountRequest("model", time.Now())
 	}
 	a := f.nodes[0]
@@ -112,13 +112,13 @@
 	is := is.New(t)
 	f := newFleet(t)
 	f.net = newMesh()
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(12) {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	const nodes = 60
 	for i := range nodes {
-		f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
+		f.addNode(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 	}
 	eventually(t, "all nodes have the configuration and the list", func() bool {
 		for _, m := range f.nodes {
@@ -144,9 +144,9 @@
 	for range 5 {
 		f := newFleet(t)
 		f.net = newMesh()
-		f.config("1")
+		f.putConfig("1")
 		from := time.Now()
-		m := f.add("a", "z1")
+		m := f.addNode("a", "z1")
 		eventually(t, "the configuration is active", func() bool { return m.version() == 1 })
 		if time.Since(from) < discoveryTime/2 {
 			return // a slow machine may take longer now and then
@@ -163,17 +163,17 @@
 	for try := range 5 {
 		f := newFleet(t)
 		f.net = newMesh()
-		f.config("1")
-		f.engine(appEngine("e0"))
+		f.putConfig("1")
+		f.putEngine(appEngine("e0"))
 		f.storeUnavailable.Store(true)
 		const size = 20
 		for i := range size {
-			f.add(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
+			f.addNode(fmt.Sprintf("z%d-n%d", i%3, i), fmt.Sprintf("z%d", i%3))
 		}
 		time.Sleep(100 * time.Millisecond)
 		f.storeUnavailable.Store(false)
 		from := time.Now()
-		eventually(t, "all nodes can serve", func() bool { return f.usableAt("e0") == size })
+		eventually(t, "all nodes can serve", func() bool { return f.nodesUsing("e0") == size })
 		took := time.Since(from)
 		t.Logf("try %d: all nodes can serve after %v", try, took)
 		if took < maxStart {
@@ -191,9 +191,9 @@
 	t.Parallel()
 	f := newFleet(t)
 	f.net, f.ownZoneSeedsOnly = newMesh(), true
-	f.config("1")
+	f.putConfig("1")
 	for i := range 6 {
-		f.add(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
+		f.addNode(fmt.Sprintf("n%d", i), fmt.Sprintf("z%d", i%2))
 	}
 	eventually(t, "all nodes know each other", func() bool {
 		for _, n := range f.nodes {
@@ -213,12 +213,12 @@
 			f := newFleet(b)
 			c, m := newLossCounter(), newMesh()
 			f.log, f.net = c, m
-			f.config("1")
+			f.putConfig("1")
 			for _, e := range engines(200) {
-				f.engine(e)
+				f.putEngine(e)
 			}
 			for i := range size {
-				f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
+				f.addNode(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 			}
 			eventually(b, "all nodes know each other", func() bool {
 				for _, n := range f.nodes {
@@ -251,25 +251,25 @@
 }
 
 func benchmarkChangingFleet(b *testing.B, size, count int) {
-	const every = 100 * time.Millisecond
+	const changeInterval = 100 * time.Millisecond
 	f := newFleet(b)
 	f.net = newMesh()
-	f.config("1")
+	f.putConfig("1")
 	all := engines(count)
 	for _, e := range all {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	for i := range size {
-		f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
+		f.addNode(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 	}
 	time.Sleep(4 * time.Second)
 	from, cpu := time.Now(), processorTime()
 	b.ResetTimer()
-	for i := range b.N * int(time.Second/every) {
+	for i := range b.N * int(time.Second/changeInterval) {
 		e := all[i%len(all)]
 		e.Slots = i
-		f.engine(e)
-		time.Sleep(every)
+		f.putEngine(e)
+		time.Sleep(changeInterval)
 	}
 	spent := processorTime() - cpu
 	b.ReportMetric(float64(spent.Milliseconds())/float64(size)/time.Since(from).Seconds(), "ms/s/node")
@@ -280,26 +280,26 @@
 // to probe it.
 func TestStartingNodesDropDeadNode(t *testing.T) {
 	const (
-		maxNamed = 3 * time.Second
-		every    = 300 * time.Millisecond
+		maxRemovalDelay = 3 * time.Second
+		startInterval   = 300 * time.Millisecond
 	)
 	f := newFleet(t)
 	f.net = newMesh()
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(3) {
-		f.engine(e)
+		f.putEngine(e)
 	}
-	dead := f.add("dead", "z1")
-	b := f.add("b", "z1")
+	dead := f.addNode("dead", "z1")
+	b := f.addNode("b", "z1")
 	eventually(t, "callers are told of both nodes", func() bool { return slices.Contains(b.Addresses("z1"), "front-dead") })
 	dead.stop()
 	from := time.Now()
-	for i := 0; time.Since(from) < 2*maxNamed; i++ {
-		f.add(fmt.Sprintf("n%d", i), "z1")
-		time.Sleep(every)
+	for i := 0; time.Since(from) < 2*maxRemovalDelay; i++ {
+		f.addNode(fmt.Sprintf("n%d", i), "z1")
+		time.Sleep(startInterval)
 		since := time.Since(from)
 		for _, m := range f.nodes[1:] {
-			if since > maxNamed && slices.Contains(m.Addresses("z1"), "front-dead") {
+			if since > maxRemovalDelay && slices.Contains(m.Addresses("z1"), "front-dead") {
 				t.Fatalf("node %s still names a node that has been dead for %v", m.name, since)
 			}
 		}
--- a/citronnode/leader.go
+++ b/citronnode/leader.go
@@ -1,7 +1,7 @@
 package citronnode
 
 // Leadership: the node that holds the leader key under a lease places layers. A leader
-// whose lease has expired stops giving orders.
+// stops giving orders when the store reports that its lease has expired.
 //
 // While the store is unavailable no node can take the lease, but engines still die. So
 // a leader that cannot renew its lease continues as long as it hears from more than
@@ -58,7 +58,7 @@
 		if n.leaderKnown() {
 			continue
 		}
-		if n.set.lowCPU() {
+		if n.settings.lowCPU() {
 			_ = n.clock.Sleep(ctx, lowCPUDelay)
 			if n.leaderKnown() {
 				continue
@@ -69,7 +69,7 @@
 		case err == nil:
 			n.serveTerm(ctx, t)
 		case !errors.Is(err, errHeld):
-			if n.ranksFirst() && n.leaderlessFor() > n.set.LeaseTTL/2 {
+			if n.ranksFirst() && n.leaderlessFor() > n.settings.LeaseTTL/2 {
 				n.actAsLeader(ctx)
 			}
 		}
@@ -109,7 +109,7 @@
 	defer n.leads.Store(false)
 	wait := n.startPlacing(ctx)
 	for !n.leaving.Load() && !n.leaderKnown() && ctx.Err() == nil {
-		_, err := n.src.Store.Get(ctx, leaderKey)
+		_, err := n.sources.Store.Get(ctx, leaderKey)
 		if err == nil || errors.Is(err, citronkv.ErrNotFound) {
 			break
 		}
@@ -120,7 +120,7 @@
 }
 
 // leaderKnown reports whether another node declares itself the leader in gossip. It makes
-// no call to the store: callers read the leader key there only if no node does.
+// no call to the store: its callers read the leader key there only if it returns false.
 func (n *Node) leaderKnown() bool {
 	for _, m := range n.snap.Load().members {
 		if m.Leads && !m.Leaving {
@@ -142,30 +142,30 @@
 // campaign takes the leader key if it is free. It returns errHeld if another node holds
 // it.
 func (n *Node) campaign(ctx context.Context) (term, error) {
-	_, err := n.src.Store.Get(ctx, leaderKey)
+	_, err := n.sources.Store.Get(ctx, leaderKey)
 	if err == nil {
 		return term{}, errHeld
 	}
 	if !errors.Is(err, citronkv.ErrNotFound) {
 		return term{}, err
 	}
-	lease, err := n.src.Store.Grant(ctx, n.set.LeaseTTL)
+	lease, err := n.sources.Store.Grant(ctx, n.settings.LeaseTTL)
 	if err != nil {
 		return term{}, err
 	}
-	rev, err := n.src.Store.Put(ctx, leaderKey, []byte(n.set.Name), citronkv.Absent, lease)
+	rev, err := n.sources.Store.Put(ctx, leaderKey, []byte(n.settings.Name), citronkv.Absent, lease)
 	if err == nil {
 		return term{lease, rev.Era()}, nil
 	}
-	_ = n.src.Store.Revoke(ctx, lease) // if this fails, the lease expires
+	_ = n.sources.Store.Revoke(ctx, lease) // if this fails, the lease expires
 	if errors.Is(err, citronkv.ErrConflict) {
 		return term{}, errHeld
 	}
 	return term{}, err
 }
 
-// serveTerm places layers while the lease is renewed in time. A leader that cannot
-// reach the store continues as described at the head of this file.
+// serveTerm places layers until the lease has expired or another node leads. A leader
+// that cannot reach the store continues as described at the top of this file.
 func (n *Node) serveTerm(ctx context.Context, t term) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -181,7 +181,7 @@
 			waitPlacing = n.startPlacing(ctx)
 		}
 		_ = n.clock.Sleep(ctx, termPoll)
-		if n.clock.Now().Sub(lastAttempt) < n.set.LeaseTTL/(renewalsPerLease+1) {
+		if n.clock.Now().Sub(lastAttempt) < n.settings.LeaseTTL/(renewalsPerLease+1) {
 			continue
 		}
 		lastAttempt = n.clock.Now()
@@ -201,15 +201,15 @@
 	}
 	revokeCtx, done := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer done()
-	_ = n.src.Store.Revoke(revokeCtx, t.lease) // if this fails, the lease expires
+	_ = n.sources.Store.Revoke(revokeCtx, t.lease) // if this fails, the lease expires
 }
 
 // renew renews the lease. It waits for the store for at most half of the lease's time
 // to live.
 func (n *Node) renew(ctx context.Context, lease citronkv.LeaseID) error {
-	limit, done := context.WithTimeout(ctx, n.set.LeaseTTL/2)
+	limit, done := context.WithTimeout(ctx, n.settings.LeaseTTL/2)
 	defer done()
-	return n.src.Store.KeepAlive(limit, lease)
+	return n.sources.Store.KeepAlive(limit, lease)
 }
 
 // earlierLeasesEnded reports whether no node can still lead under a lease of an earlier
@@ -219,14 +219,14 @@
 // store was restored would give orders alongside the next leader.
 func (n *Node) earlierLeasesEnded(t term) bool {
 	s := n.snap.Load()
-	return s.list.Revision.Era() == t.era && n.clock.Now().Sub(s.eraAt) >= n.set.LeaseTTL
+	return s.list.Revision.Era() == t.era && n.clock.Now().Sub(s.eraAt) >= n.settings.LeaseTTL
 }
 
 // startPlacing places layers until ctx ends. The returned function waits until placing
 // has stopped.
 func (n *Node) startPlacing(ctx context.Context) (wait func()) {
 	n.places.Store(true)
-	p := &citronplacer.Placer{EngineClient: n.src.EngineClient, Clock: n.clock, Log: n.log, Current: n.placement}
+	p := &citronplacer.Placer{EngineClient: n.sources.EngineClient, Clock: n.clock, Log: n.log, Current: n.placement}
 	targets := p.Targets
 	n.targets.Store(&targets)
 	done := make(chan struct{})
--- a/citronnode/leaving_test.go
+++ b/citronnode/leaving_test.go
@@ -22,12 +22,12 @@
 func startFleetWithTwelveEngines(t *testing.T, names ...string) *fleet {
 	t.Helper()
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(12) {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	for _, name := range names {
-		f.add(name, "z1")
+		f.addNode(name, "z1")
 	}
 	eventually(t, "all nodes use twelve engines, hear each other, and some watch the store", func() bool {
 		watching := 0
@@ -151,8 +151,8 @@
 				m.stop()
 			}
 			f.nodes = f.nodes[:1]
-			f.add("d", "z1")
-			f.add("e", "z1")
+			f.addNode("d", "z1")
+			f.addNode("e", "z1")
 			eventually(t, "the new nodes use all engines and hear the old one", func() bool {
 				for _, m := range f.nodes {
 					if m.usable() != 12 || m.Status().Nodes < 2 {
@@ -204,7 +204,7 @@
 		}
 	}
 	for _, e := range engines(10) {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	eventually(t, "the two engines that did not write their entries again are removed", func() bool {
 		for _, m := range f.nodes {
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -34,7 +34,7 @@
 	knewLimit bool
 }
 
-// limitedUpstreams are fake upstreams, some of which name a rate limit.
+// limitedUpstreams are fake upstreams, some of which declare a rate limit.
 type limitedUpstreams struct {
 	mu       sync.Mutex
 	limits   map[string]float64
@@ -69,7 +69,7 @@
 	return citronupstream.PerSecond(limit)
 }
 
-// setLimit sets the limit that an engine names from now on. A negative value removes
+// setLimit sets the limit that an engine declares from now on. A negative value removes
 // it.
 func (u *limitedUpstreams) setLimit(engine string, perSecond float64) {
 	u.mu.Lock()
@@ -233,12 +233,12 @@
 func (f *fleet) startApps(nodes, upstreams int) {
 	f.t.Helper()
 	f.net = newMesh()
-	f.config("1")
+	f.putConfig("1")
 	for i := range upstreams {
-		f.engine(citronmodel.Engine{ID: fmt.Sprintf("i-%d", i), Service: "app", Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: fmt.Sprintf("z%d", i%3)})
+		f.putEngine(citronmodel.Engine{ID: fmt.Sprintf("i-%d", i), Service: "app", Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: fmt.Sprintf("z%d", i%3)})
 	}
 	for i := range nodes {
-		f.add(fmt.Sprintf("z%d-n%03d", i%3, i), fmt.Sprintf("z%d", i%3))
+		f.addNode(fmt.Sprintf("z%d-n%03d", i%3, i), fmt.Sprintf("z%d", i%3))
 	}
 	f.awaitFullMembership()
 	eventually(f.t, "all nodes know all upstreams", func() bool {
@@ -256,7 +256,7 @@
 const minUtilization = 0.8
 
 // Guards against nodes that together send an upstream more than the rate limit that it
-// named.
+// declared.
 func TestNodesTogetherKeepUpstreamRateLimit(t *testing.T) {
 	for _, c := range []struct {
 		nodes     int
@@ -282,8 +282,8 @@
 	}
 }
 
-// limitedAt returns how many nodes know a limit of an engine.
-func (f *fleet) limitedAt(engine string) int {
+// nodesLimiting returns how many nodes know a limit of an engine.
+func (f *fleet) nodesLimiting(engine string) int {
 	n := 0
 	for _, m := range f.nodes {
 		if m.Limits().Get(engine).Limited {
@@ -306,7 +306,7 @@
 	hear := func(m *member, l citronupstream.RateLimit) { m.Limits().Observe("i-0", m.Limits().Get("i-0"), l) }
 	timed := func(what string, nodes int) time.Duration {
 		from := time.Now()
-		eventually(t, what, func() bool { return f.limitedAt("i-0") == nodes })
+		eventually(t, what, func() bool { return f.nodesLimiting("i-0") == nodes })
 		return time.Since(from)
 	}
 	inTime := false
@@ -321,8 +321,8 @@
 	}
 	is.True(inTime)
 	hear(f.nodes[0], citronupstream.PerSecond(4))
-	f.add("late", "z1")
-	eventually(t, "a node that starts knows the limit", func() bool { return f.limitedAt("i-0") == len(f.nodes) })
+	f.addNode("late", "z1")
+	eventually(t, "a node that starts knows the limit", func() bool { return f.nodesLimiting("i-0") == len(f.nodes) })
 }
 
 // Guards against an upstream that receives nothing, or more than its limit, after the
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -1,7 +1,7 @@
 package citronnode
 
 // Rate limits of engines: how nodes tell each other of them, and the permits that a
-// node needs before it sends a request to an engine that names a limit.
+// node needs before it sends a request to an engine that declares a limit.
 
 import (
 	"context"
@@ -28,13 +28,13 @@
 
 // limitsChanged tells other nodes that limits changed, and stops throttling the engines
 // in eased, whose limits were raised or removed.
-func (n *Node) limitsChanged(eased []string) {
+func (n *Node) limitsChanged(relaxed []string) {
 	n.notifyPeers()
 	t := n.snap.Load().traffic
 	if t == nil {
 		return
 	}
-	for _, id := range eased {
+	for _, id := range relaxed {
 		if e, ok := t.View.ByID(id); ok {
 			e.Throttle(n.clock.Now(), 0)
 		}
@@ -53,8 +53,8 @@
 }
 
 // Permit asks the permit issuer of an engine for a permit to send it a request that can
-// wait for up to patience.
-func (n *Node) Permit(ctx context.Context, e *citronpool.Engine, patience time.Duration) citronpermit.Decision {
+// wait for up to maxWait.
+func (n *Node) Permit(ctx context.Context, e *citronpool.Engine, maxWait time.Duration) citronpermit.Decision {
 	r := n.limits.Get(e.ID)
 	if !r.Limited {
 		return citronpermit.Granted{}
@@ -63,10 +63,10 @@
 	switch {
 	case !ok:
 		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
-	case issuer.Name == n.set.Name:
-		return n.permits.Issue(e.ID, r.PerSecond, patience, n.clock.Now())
+	case issuer.Name == n.settings.Name:
+		return n.permits.Issue(e.ID, r.PerSecond, maxWait, n.clock.Now())
 	}
-	p, err := n.peers.AskPermit(ctx, issuer.Peer, citronpeer.PermitRequest{Node: n.set.Name, Limit: r.Wire(e.ID), MaxWaitMS: patience.Milliseconds()}, permitTimeout)
+	p, err := n.peers.AskPermit(ctx, issuer.Peer, citronpeer.PermitRequest{Node: n.settings.Name, Limit: r.Wire(e.ID), MaxWaitMS: maxWait.Milliseconds()}, permitTimeout)
 	if err != nil {
 		citronevent.Log(ctx, n.log, citronevent.PermitFailed, "engine", e.ID, "peer", issuer.Peer, "err", err)
 		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
@@ -103,9 +103,9 @@
 	return out
 }
 
-// decidePermit decides a permit request of another node. A node that takes this node
-// for the permit issuer when it is not has a different view of the members; it is told
-// to ask again.
+// decidePermit decides a permit request of another node. If this node does not consider
+// itself the permit issuer, the two nodes know different members, and the other node is
+// told to ask again.
 func (n *Node) decidePermit(engine string, known citronlimit.Record, q citronpeer.PermitRequest) citronpermit.Decision {
 	t := n.snap.Load().traffic
 	if t == nil {
@@ -115,7 +115,7 @@
 	if !ok {
 		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	}
-	if issuer, ok := n.permitIssuer(engine, e.Zone); !ok || issuer.Name != n.set.Name {
+	if issuer, ok := n.permitIssuer(engine, e.Zone); !ok || issuer.Name != n.settings.Name {
 		return citronpermit.Denied{AvailableIn: permitRetryDelay, RetryAfter: permitRetryDelay}
 	}
 	if !known.Limited {
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -73,13 +73,13 @@
 
 // Node is one node of the fleet. New creates it, and Run keeps it up to date.
 type Node struct {
-	set    Settings
-	src    Sources
-	clock  citronclock.Clock
-	log    *slog.Logger
-	budget *citronbudget.Budget
-	loads  *citronpool.Loads
-	peers  *citronpeer.Client
+	settings Settings
+	sources  Sources
+	clock    citronclock.Clock
+	log      *slog.Logger
+	budget   *citronbudget.Budget
+	loads    *citronpool.Loads
+	peers    *citronpeer.Client
 
 	// control is the inbox of the control loop (control.go).
 	control chan message
@@ -92,9 +92,9 @@
 	// updates wakes the gossip loop after a document has changed on this node. urgentUpdates
 	// does the same if the leader must be informed too.
 	updates, urgentUpdates chan struct{}
-	// accused is when this node last reported an accused engine: an engine that another
-	// engine named as the cause of a failed request.
-	accused atomic.Pointer[time.Time]
+	// lastAccusation is when this node last reported an accused engine: an engine that
+	// another engine named as the cause of a failed request.
+	lastAccusation atomic.Pointer[time.Time]
 	// configs holds the newest decoded configuration for the control loop.
 	configs configInbox
 	// pull fetches documents that other nodes have announced.
@@ -123,8 +123,9 @@
 	// the records.
 	suspectsRejected     atomic.Int64
 	suspectsRejectedFrom sync.Map
-	// readablePrefixes is the number of followed prefixes for which the store answers.
-	readablePrefixes atomic.Int64
+	// watchedPrefixes is the number of followed prefixes that this node watches and for
+	// which the store answers.
+	watchedPrefixes atomic.Int64
 	// health records the results of this node's calls to the store.
 	health *citronhealth.StoreMonitor
 	// leads is set while this node holds the lease or is the acting leader. places is set
@@ -155,8 +156,9 @@
 	roster citronroster.Roster
 	// zoneTotals holds the zone totals, including those of this node's zone.
 	zoneTotals []citronpeer.ZoneTotals
-	// others is the cache used by the requests of other nodes, by zone.
-	others map[string]int64
+	// otherNodesCache maps each zone to the cache, in tokens, that requests of other nodes
+	// occupy there.
+	otherNodesCache map[string]int64
 	// eraAt is when this node observed that the store was restored from an older copy.
 	eraAt time.Time
 	// configAt and listAt are when the configuration and the list last changed here.
@@ -174,28 +176,28 @@
 }
 
 // New returns a node. hc is used to talk to other nodes.
-func New(set Settings, src Sources, clock citronclock.Clock, log *slog.Logger, budget *citronbudget.Budget, loads *citronpool.Loads, hc *http.Client) *Node {
-	health := citronhealth.NewStoreMonitor(set.Heartbeat)
-	src.Store = citronhealth.Observe(src.Store, clock, health.RecordCall)
+func New(settings Settings, sources Sources, clock citronclock.Clock, log *slog.Logger, budget *citronbudget.Budget, loads *citronpool.Loads, hc *http.Client) *Node {
+	health := citronhealth.NewStoreMonitor(settings.Heartbeat)
+	sources.Store = citronhealth.Observe(sources.Store, clock, health.RecordCall)
 	n := &Node{
-		set: set, src: src, health: health, clock: clock, log: log, budget: budget, loads: loads,
+		settings: settings, sources: sources, health: health, clock: clock, log: log, budget: budget, loads: loads,
 		peers:         &citronpeer.Client{HC: hc, Timeout: exchangeTimeout},
 		control:       make(chan message, inboxSize),
 		updates:       make(chan struct{}, 1),
 		urgentUpdates: make(chan struct{}, 1),
 
 		quarantineChanged: make(chan struct{}, 1),
-		configs:           newConfigInbox(src.DecodeConfig),
+		configs:           newConfigInbox(sources.DecodeConfig),
 	}
 	n.limits, n.permits = citronlimit.NewRegistry(clock), citronpermit.NewIssuer()
 	n.limits.Notify(n.limitsChanged)
-	n.quarantine = citronquarantine.New(set.Name, clock)
+	n.quarantine = citronquarantine.New(settings.Name, clock)
 	n.quarantine.Notify(func() {
 		n.notifyPeers()
 		wake(n.quarantineChanged)
 	})
 	n.loans = citronloan.New(budget, n.peers, clock, func() []citronpeer.Member { return n.snap.Load().members })
-	n.snap.Store(&snapshot{self: citronpeer.Member{Name: set.Name, Zone: set.Zone, Front: set.Front, Peer: set.Peer, Weak: set.lowCPU(), Started: clock.Now().UnixNano()}})
+	n.snap.Store(&snapshot{self: citronpeer.Member{Name: settings.Name, Zone: settings.Zone, Front: settings.Front, Peer: settings.Peer, Weak: settings.lowCPU(), Started: clock.Now().UnixNano()}})
 	return n
 }
 
@@ -244,8 +246,8 @@
 	defer tasks.Wait()
 	tasks.Go(func() { n.loop(ctx) })
 	tasks.Go(func() { n.gossip(ctx) })
-	tasks.Go(func() { n.follow(ctx, n.src.ConfigKey, true) })
-	tasks.Go(func() { n.follow(ctx, n.src.EnginePrefix, false) })
+	tasks.Go(func() { n.follow(ctx, n.sources.ConfigKey, true) })
+	tasks.Go(func() { n.follow(ctx, n.sources.EnginePrefix, false) })
 	tasks.Go(func() { n.lead(ctx) })
 	tasks.Go(func() { n.register(ctx) })
 	tasks.Go(func() { n.persistQuarantine(ctx) })
@@ -267,7 +269,7 @@
 	}
 	since := n.clock.Now().Sub(*at)
 	others := slices.ContainsFunc(n.snap.Load().members, acceptsCallers)
-	return citronforward.Stopping{Active: true, Since: since, Left: n.set.Grace - killMargin - since, OtherNodeServing: others}
+	return citronforward.Stopping{Active: true, Since: since, Left: n.settings.Grace - killMargin - since, OtherNodeServing: others}
 }
 
 func acceptsCallers(m citronpeer.Member) bool { return m.Ready && !m.Leaving }
@@ -281,8 +283,8 @@
 	n.leaving.Store(true)
 	n.announce(ctx)
 	citronevent.Log(ctx, n.log, citronevent.DrainStarted, "inflight", n.running.Load())
-	end := n.clock.Now().Add(n.set.Grace - killMargin)
-	_ = n.clock.Sleep(ctx, time.Duration(float64(n.set.Grace)*drainServeShare))
+	end := n.clock.Now().Add(n.settings.Grace - killMargin)
+	_ = n.clock.Sleep(ctx, time.Duration(float64(n.settings.Grace)*drainServeShare))
 	for n.running.Load() > 0 && n.clock.Now().Before(end) && ctx.Err() == nil {
 		_ = n.clock.Sleep(ctx, drainPollInterval)
 	}
--- a/citronnode/node_test.go
+++ b/citronnode/node_test.go
@@ -17,11 +17,11 @@
 // it would serve callers by the old one for as long as the store rejects it.
 func TestConfigReachesNodeRejectedByStore(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
-	a, b := f.add("a", "z1"), f.add("b", "z1")
+	f.putConfig("1")
+	a, b := f.addNode("a", "z1"), f.addNode("b", "z1")
 	eventually(t, "both nodes have version 1", func() bool { return a.version() == 1 && b.version() == 1 })
 	b.gate.rejecting.Store(true)
-	f.config("2")
+	f.putConfig("2")
 	eventually(t, "the rejected node has version 2", func() bool { return b.version() == 2 })
 }
 
@@ -29,26 +29,26 @@
 // engines from the others.
 func TestNodeStartsWithoutStore(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
-	f.engine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
-	a := f.add("a", "z1")
+	f.putConfig("1")
+	f.putEngine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
+	a := f.addNode("a", "z1")
 	eventually(t, "the first node is ready", a.Ready)
-	b := f.add("b", "z1")
+	b := f.addNode("b", "z1")
 	b.gate.rejecting.Store(true)
 	eventually(t, "the second node has the configuration and the engines", func() bool {
 		return b.version() == 1 && len(b.Traffic().View.ByService["app"]) == 1
 	})
 }
 
-// Each watch is priced and answered at every change, so only a few of nine nodes watch,
+// Each watch is billed and answered at every change, so only a few of nine nodes watch,
 // and all nodes get a new configuration. When the store rejects all watching nodes,
 // others must take over, or the fleet would keep the old configuration for as long as
 // the store rejects them.
 func TestFewNodesWatchForTheFleet(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for i := range 9 {
-		f.add(fmt.Sprintf("n%d", i), "z1")
+		f.addNode(fmt.Sprintf("n%d", i), "z1")
 	}
 	all := func(version int64) func() bool {
 		return func() bool {
@@ -60,12 +60,12 @@
 	}
 	eventually(t, "all nodes have version 1", all(1))
 	eventually(t, "four nodes watch", func() bool { return len(watching()) == 4 })
-	f.config("2")
+	f.putConfig("2")
 	eventually(t, "all nodes have version 2", all(2))
 	for _, m := range f.nodes[:4] {
 		m.gate.rejecting.Store(true)
 	}
-	f.config("3")
+	f.putConfig("3")
 	eventually(t, "all nodes have version 3, from nodes that did not watch before", all(3))
 }
 
@@ -74,11 +74,11 @@
 // is not; it must not serve the old version until its watch ends.
 func TestStalledWatchDoesNotKeepOldConfig(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
-	a, b := f.add("a", "z1"), f.add("b", "z2")
+	f.putConfig("1")
+	a, b := f.addNode("a", "z1"), f.addNode("b", "z2")
 	eventually(t, "both nodes have version 1", func() bool { return a.version() == 1 && b.version() == 1 })
 	b.gate.stalled.Store(true)
-	f.config("2")
+	f.putConfig("2")
 	eventually(t, "the node with the stalled watch has version 2", func() bool { return b.version() == 2 })
 }
 
@@ -86,14 +86,14 @@
 func TestInvalidOrOlderConfigIsIgnored(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
-	f.config("5")
-	a := f.add("a", "z1")
+	f.putConfig("5")
+	a := f.addNode("a", "z1")
 	eventually(t, "the node has version 5", func() bool { return a.version() == 5 })
-	f.config("nonsense")
-	f.config("4")
-	f.config("6")
+	f.putConfig("nonsense")
+	f.putConfig("4")
+	f.putConfig("6")
 	eventually(t, "the node has version 6", func() bool { return a.version() == 6 })
-	f.config("3")
+	f.putConfig("3")
 	time.Sleep(300 * time.Millisecond)
 	is.Equal(a.version(), int64(6))
 }
@@ -101,11 +101,11 @@
 // An engine entry that cannot be decoded is skipped; the other engines serve.
 func TestInvalidEngineEntryIsSkipped(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	_, err := f.store.Put(context.Background(), "engines/bad", []byte("{"), citronkv.Absent, 0)
 	is.New(t).NoErr(err)
-	f.engine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
-	a := f.add("a", "z1")
+	f.putEngine(citronmodel.Engine{ID: "e1", Service: "app", Addr: "e1:1"})
+	a := f.addNode("a", "z1")
 	eventually(t, "the valid engine is listed", func() bool {
 		return a.Traffic() != nil && len(a.Traffic().View.ByService["app"]) == 1
 	})
@@ -140,11 +140,11 @@
 	is := is.New(t)
 	f := newFleet(t)
 	f.drainWithin = 5 * time.Second
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(12) {
-		f.engine(e)
+		f.putEngine(e)
 	}
-	a := f.add("a", "z1")
+	a := f.addNode("a", "z1")
 	eventually(t, "the node uses twelve engines", func() bool { return a.usable() == 12 })
 	for _, e := range engines(12) {
 		is.NoErr(f.store.Delete(context.Background(), "engines/"+e.ID, citronkv.AnyRevision))
@@ -152,7 +152,7 @@
 	time.Sleep(time.Second)
 	is.Equal(a.usable(), 12)
 	for _, e := range engines(10) {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	eventually(t, "the two engines that are not back are removed", func() bool {
 		return a.usable() == 10 && len(a.Traffic().View.ByService["app"]) == 10
@@ -163,11 +163,11 @@
 // without announcing it. It must stop getting new work immediately.
 func TestSingleMissingEntryMeansEngineLeaves(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(12) {
-		f.engine(e)
+		f.putEngine(e)
 	}
-	a := f.add("a", "z1")
+	a := f.addNode("a", "z1")
 	eventually(t, "the node uses twelve engines", func() bool { return a.usable() == 12 })
 	is.New(t).NoErr(f.store.Delete(context.Background(), "engines/e3", citronkv.AnyRevision))
 	eventually(t, "the node uses eleven engines", func() bool { return a.usable() == 11 })
@@ -177,8 +177,8 @@
 // Callers are sent to their own zone, and never to a node that is stopping.
 func TestDirectoryPrefersOwnZone(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
-	a, b, c := f.add("a", "z1"), f.add("b", "z1"), f.add("c", "z2")
+	f.putConfig("1")
+	a, b, c := f.addNode("a", "z1"), f.addNode("b", "z1"), f.addNode("c", "z2")
 	count := func(m *member, zone string) string { return fmt.Sprint(len(m.Addresses(zone))) }
 	eventually(t, "callers get nodes of their own zone if it has two, and of all zones if it has one", func() bool {
 		return count(a, "z1") == "2" && count(c, "z1") == "2" && count(c, "z2") == "3"
@@ -194,11 +194,11 @@
 func TestNewLeaderPlacesOnlyMissingLayers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for i := range 3 {
-		f.engine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
+		f.putEngine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
 	}
-	a := f.add("a", "z1")
+	a := f.addNode("a", "z1")
 	covered := func(m *member) bool {
 		held := make([]bool, spec.Layers)
 		if s := m.Traffic(); s != nil {
@@ -217,7 +217,7 @@
 	}
 	eventually(t, "all layers are held", func() bool { return covered(a) })
 	time.Sleep(500 * time.Millisecond) // spare layer ranges are placed
-	b := f.add("b", "z1")
+	b := f.addNode("b", "z1")
 	eventually(t, "the second node knows all layers", func() bool { return covered(b) })
 	before := f.orders.count()
 	a.stop()
@@ -234,13 +234,13 @@
 // until the store is back.
 func TestLeaderContinuesDuringStoreOutage(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for i := range 3 {
-		f.engine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
+		f.putEngine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
 	}
-	b := f.add("b", "z1")
+	b := f.addNode("b", "z1")
 	eventually(t, "the first node leads", func() bool { return f.orders.count() > 0 })
-	a := f.add("a", "z1") // would become acting leader if the leader resigned
+	a := f.addNode("a", "z1") // would become acting leader if the leader resigned
 	held := func() (n int) {
 		if s := a.Traffic(); s != nil {
 			for _, e := range s.View.ByService["model"] {
@@ -271,13 +271,13 @@
 // leader must fill the gap.
 func TestActingLeaderFillsGapDuringStoreOutage(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for i := range 3 {
-		f.engine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
+		f.putEngine(citronmodel.Engine{ID: fmt.Sprintf("m%d", i), Service: "model", Addr: fmt.Sprintf("m%d:1", i), Zone: "z1", Kind: "fast"})
 	}
-	a := f.add("a", "z1")
+	a := f.addNode("a", "z1")
 	eventually(t, "the first node leads", func() bool { return f.orders.count() >= 2 })
-	b, c := f.add("b", "z1"), f.add("c", "z1")
+	b, c := f.addNode("b", "z1"), f.addNode("c", "z1")
 	eventually(t, "the second and third node are ready", func() bool { return b.Ready() && c.Ready() })
 	time.Sleep(2500 * time.Millisecond) // their lists count as complete
 	b.gate.rejecting.Store(true)
@@ -309,12 +309,12 @@
 // of them would learn of the fault by a rejected request of its own.
 func TestAccusationReachesTheZone(t *testing.T) {
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(2) {
 		e.Zone = "z1"
-		f.engine(e)
+		f.putEngine(e)
 	}
-	a, b := f.add("a", "z1"), f.add("b", "z1")
+	a, b := f.addNode("a", "z1"), f.addNode("b", "z1")
 	eventually(t, "both nodes know the engines and each other", func() bool {
 		return a.usable() == 2 && b.usable() == 2 && len(a.Addresses("z1")) == 2
 	})
--- a/citronnode/rig_test.go
+++ b/citronnode/rig_test.go
@@ -285,8 +285,8 @@
 // maxSeeds is the number of seed addresses that a node is given.
 const maxSeeds = 8
 
-// add starts a node that knows the addresses of the last nodes before it.
-func (f *fleet) add(name, zone string) *member {
+// addNode starts a node that knows the addresses of the last nodes before it.
+func (f *fleet) addNode(name, zone string) *member {
 	f.t.Helper()
 	mux := http.NewServeMux()
 	addr, hc, disconnect := f.net.listen(mux)
@@ -321,14 +321,14 @@
 	return m
 }
 
-func (f *fleet) config(text string) {
+func (f *fleet) putConfig(text string) {
 	f.t.Helper()
 	if _, err := f.store.Put(context.Background(), "config", []byte(text), citronkv.AnyRevision, 0); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *fleet) engine(e citronmodel.Engine) {
+func (f *fleet) putEngine(e citronmodel.Engine) {
 	f.t.Helper()
 	if err := putEngine(context.Background(), f.store, e); err != nil {
 		f.t.Fatal(err)
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -1,6 +1,6 @@
 package citronnode
 
-// Reads from and watches on the store, and this node's own entry in it.
+// How a node reads and watches the store, and registers its own address there.
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	minRetryWait = 150 * time.Millisecond
 	maxRetryWait = 800 * time.Millisecond
 	// watchBatchDelay is how long changes to the list of engines are collected before
-	// the next watch, because each watch is a priced call.
+	// the next watch, because each watch is a billed call.
 	watchBatchDelay = 150 * time.Millisecond
 )
 
@@ -29,25 +29,25 @@
 // history since then, follow reads the whole prefix again.
 func (n *Node) follow(ctx context.Context, prefix string, config bool) {
 	wait := minRetryWait
-	down, healthy := false, false
-	answered := func(ok bool) {
-		if ok && !healthy {
-			n.readablePrefixes.Add(1)
+	down, watching := false, false
+	setWatching := func(ok bool) {
+		if ok && !watching {
+			n.watchedPrefixes.Add(1)
 		}
-		if !ok && healthy {
-			n.readablePrefixes.Add(-1)
+		if !ok && watching {
+			n.watchedPrefixes.Add(-1)
 		}
-		healthy = ok
+		watching = ok
 	}
 	n.initialRead(ctx, prefix, config)
-	readBarred := config // only the goroutine that follows the list reads the quarantine records
+	quarantineLoaded := config // only the goroutine that follows the list reads the quarantine records
 	for ctx.Err() == nil {
 		if !n.mayWatch(ctx) {
 			continue
 		}
-		readBarred = readBarred || n.loadQuarantine(ctx) == nil // after a failure, the next iteration reads them
+		quarantineLoaded = quarantineLoaded || n.loadQuarantine(ctx) == nil // after a failure, the next iteration reads them
 		err := n.followOnce(ctx, prefix, config, func() {
-			answered(true)
+			setWatching(true)
 			wait = minRetryWait
 			if down {
 				down = false
@@ -60,7 +60,7 @@
 		if errors.Is(err, citronkv.ErrCompacted) {
 			continue
 		}
-		answered(false)
+		setWatching(false)
 		if errors.Is(err, errStandby) {
 			continue
 		}
@@ -122,7 +122,7 @@
 	}
 	members := n.snap.Load().members
 	for _, m := range members[:min(len(members), announceFanout)] {
-		go n.fetch(ctx, m.Peer)
+		go n.exchangeUpdate(ctx, m.Peer)
 	}
 }
 
@@ -138,7 +138,7 @@
 // read loads a whole prefix from the store. A node that starts does so at once,
 // regardless of which nodes watch, because callers wait for it.
 func (n *Node) read(ctx context.Context, prefix string, config bool) (citronkv.Revision, error) {
-	items, rev, err := n.src.Store.Range(ctx, prefix)
+	items, rev, err := n.sources.Store.Range(ctx, prefix)
 	if err != nil {
 		return citronkv.Revision{}, err
 	}
@@ -187,7 +187,7 @@
 	// and the list of engines.
 	followedPrefixes = 2
 	// maxWatchers is the number of nodes that watch the store. The other nodes hear of
-	// changes from them within about 0.3 s. Each watch is a priced call and is answered
+	// changes from them within about 0.3 s. Each watch is a billed call and is answered
 	// at every change, so the calls of the fleet would grow with the number of nodes
 	// times the number of changes. Four watchers tolerate the loss of any three of them,
 	// or of their connection to the store.
@@ -247,8 +247,8 @@
 }
 
 const (
-	// rereadInterval is how often some node of the fleet reads the store again.
-	rereadInterval = 650 * time.Millisecond
+	// watchRenewalInterval is how often some node of the fleet starts a new watch.
+	watchRenewalInterval = 650 * time.Millisecond
 	// maxWatch limits the duration of a watch regardless of the number of nodes.
 	maxWatch = 20 * time.Second
 	// watchReplyTimeout is the time allowed for the reply to a watch that ends without
@@ -256,17 +256,18 @@
 	watchReplyTimeout = time.Second
 )
 
-// watch waits for changes, at most until it is this node's turn to read the store again.
+// watch waits for changes, at most until it is this node's turn to start a new watch.
 //
 // A watch can miss changes without an error: the store may delay it while it drops its
 // history, and a connection may stall for good. The node then has outdated state until
 // the watch ends. The watches of the nodes therefore end in turn, one every
-// rereadInterval, and gossip takes what the node whose turn it is finds to the others.
-// This way each node needs only a few long watches.
+// watchRenewalInterval. The next watch of that node returns the missed changes, or an error if
+// the store has dropped them, and gossip passes the changes on to the other nodes. This
+// way each node needs only a few long watches.
 func (n *Node) watch(ctx context.Context, prefix string, after citronkv.Revision) ([]citronkv.Item, citronkv.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.untilTurn()+watchReplyTimeout)
 	defer cancel()
-	return n.src.Store.Watch(ctx, prefix, after)
+	return n.sources.Store.Watch(ctx, prefix, after)
 }
 
 // untilTurn is the time until this node's next turn, by its position among the nodes
@@ -279,10 +280,10 @@
 		}
 	}
 	rank := n.watchersBefore()
-	period := min(rereadInterval*time.Duration(watchers), maxWatch)
+	period := min(watchRenewalInterval*time.Duration(watchers), maxWatch)
 	now := time.Duration(n.clock.Now().UnixNano())
-	wait := (time.Duration(rank)*rereadInterval - now%period + period) % period
-	if wait < rereadInterval/2 {
+	wait := (time.Duration(rank)*watchRenewalInterval - now%period + period) % period
+	if wait < watchRenewalInterval/2 {
 		wait += period
 	}
 	return wait
@@ -292,7 +293,7 @@
 // ones are superseded.
 func (n *Node) sendConfig(ctx context.Context, items []citronkv.Item) {
 	for _, it := range slices.Backward(items) {
-		if it.Key == n.src.ConfigKey && !it.Deleted {
+		if it.Key == n.sources.ConfigKey && !it.Deleted {
 			n.offerConfig(ctx, 0, it.Value, sourceStore)
 			return
 		}
@@ -329,9 +330,9 @@
 // others, if this node ranks among the first maxRegistered. A node that hears of no
 // others reads the addresses too.
 //
-// The configured seeds may all be gone when a machine is replaced. A node without peers
-// would serve callers that no directory sends to it, and two halves of a fleet that lost
-// each other would never meet again. In each half some nodes come first, and those know
+// The configured seeds may all be gone after machines were replaced. A node without
+// peers would get no callers, because no directory names it, and two halves of a fleet
+// that lost each other would never meet again. In each half some nodes come first, and those know
 // the addresses of both halves. The entries need no lease: an address where nothing
 // answers costs only a failed connection now and then, and the entry is overwritten when
 // its name is used again. A store that was restored from an older copy may have lost the
@@ -345,7 +346,7 @@
 		var err error
 		era := n.storeEra()
 		if registered != era && n.rank() < maxRegistered {
-			_, err = n.src.Store.Put(ctx, nodePrefix+n.set.Name, []byte(n.set.Peer), citronkv.AnyRevision, 0)
+			_, err = n.sources.Store.Put(ctx, nodePrefix+n.settings.Name, []byte(n.settings.Peer), citronkv.AnyRevision, 0)
 			if err == nil {
 				err = n.readRegistered(ctx)
 			}
@@ -366,7 +367,7 @@
 
 // readRegistered reads the addresses that nodes have registered in the store.
 func (n *Node) readRegistered(ctx context.Context) error {
-	items, _, err := n.src.Store.Range(ctx, nodePrefix)
+	items, _, err := n.sources.Store.Range(ctx, nodePrefix)
 	if err != nil {
 		return err
 	}
--- a/citronnode/spread_test.go
+++ b/citronnode/spread_test.go
@@ -13,21 +13,23 @@
 	"citrondeck.dev/citrondeck/citronupstream"
 )
 
-// spreadSizes are the fleet sizes for which the spreading of updates is measured.
-var spreadSizes = []int{30, 300}
+// benchmarkFleetSizes are the numbers of nodes of the fleets in which the benchmarks of
+// this file measure how updates spread.
+var benchmarkFleetSizes = []int{30, 300}
 
-// fleetOf starts a fleet of five zones and waits until all nodes know each other.
-func fleetOf(b *testing.B, size int) (*fleet, *mesh) {
+// startBenchmarkFleet starts a fleet of five zones with 200 engines and waits until all
+// nodes know each other and the updates of the start are over.
+func startBenchmarkFleet(b *testing.B, size int) (*fleet, *mesh) {
 	b.Helper()
 	f := newFleet(b)
 	m := newMesh()
 	f.net = m
-	f.config("1")
+	f.putConfig("1")
 	for _, e := range engines(200) {
-		f.engine(e)
+		f.putEngine(e)
 	}
 	for i := range size {
-		f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
+		f.addNode(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 	}
 	f.awaitFullMembership()
 	time.Sleep(2 * time.Second)
@@ -37,9 +39,9 @@
 // BenchmarkQuarantineSpreads measures the time until all nodes quarantine a request
 // that three of them saw crash one engine each, and the bytes sent meanwhile.
 func BenchmarkQuarantineSpreads(b *testing.B) {
-	for _, size := range spreadSizes {
+	for _, size := range benchmarkFleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			f, m := fleetOf(b, size)
+			f, m := startBenchmarkFleet(b, size)
 			m.bytes.Store(0)
 			b.ResetTimer()
 			for i := range b.N {
@@ -47,7 +49,7 @@
 				for k := range 3 {
 					f.nodes[k*size/3].Quarantine().RecordCrash(p, fmt.Sprintf("i-%d", k), time.Time{})
 				}
-				eventually(b, "all nodes quarantine the request", func() bool { return f.quarantinedAt(p) == size })
+				eventually(b, "all nodes quarantine the request", func() bool { return f.nodesQuarantining(p) == size })
 			}
 			b.ReportMetric(float64(m.bytes.Load())/1024/float64(size)/float64(b.N), "KB/node")
 		})
@@ -57,9 +59,9 @@
 // BenchmarkStoreRestore measures the time from the restore of the store from an older
 // copy until all nodes use the list of the new era, and the calls to the store.
 func BenchmarkStoreRestore(b *testing.B) {
-	for _, size := range spreadSizes {
+	for _, size := range benchmarkFleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			f, _ := fleetOf(b, size)
+			f, _ := startBenchmarkFleet(b, size)
 			calls := func() (n int64) {
 				for _, m := range f.nodes {
 					n += m.gate.calls.Load()
@@ -71,11 +73,11 @@
 			for i := range b.N {
 				backup := f.store.Snapshot()
 				for k := range 20 {
-					f.engine(appEngine(fmt.Sprintf("gap%d", k)))
+					f.putEngine(appEngine(fmt.Sprintf("gap%d", k)))
 				}
 				f.store.Restore(backup)
-				f.engine(appEngine(fmt.Sprintf("new%d", i)))
-				eventually(b, "all nodes use the list of the new era", func() bool { return f.usableAt(fmt.Sprintf("new%d", i)) == size })
+				f.putEngine(appEngine(fmt.Sprintf("new%d", i)))
+				eventually(b, "all nodes use the list of the new era", func() bool { return f.nodesUsing(fmt.Sprintf("new%d", i)) == size })
 			}
 			b.ReportMetric(float64(calls()-before)/float64(b.N), "calls")
 		})
@@ -85,11 +87,11 @@
 // BenchmarkLimitSpreads measures the time until all nodes know a rate limit that one of
 // them learned, and the bytes sent meanwhile.
 func BenchmarkLimitSpreads(b *testing.B) {
-	for _, size := range spreadSizes {
+	for _, size := range benchmarkFleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			f, m := fleetOf(b, size)
-			f.engine(appEngine("limited"))
-			eventually(b, "all nodes know the engine", func() bool { return f.usableAt("limited") == size })
+			f, m := startBenchmarkFleet(b, size)
+			f.putEngine(appEngine("limited"))
+			eventually(b, "all nodes know the engine", func() bool { return f.nodesUsing("limited") == size })
 			m.bytes.Store(0)
 			b.ResetTimer()
 			for i := range b.N {
@@ -114,14 +116,14 @@
 // a loopback connection, and the processor time of both.
 func BenchmarkPermit(b *testing.B) {
 	f := newFleet(b)
-	f.config("1")
-	f.engine(appEngine("limited"))
-	f.add("a", "z1")
-	f.add("b", "z1")
+	f.putConfig("1")
+	f.putEngine(appEngine("limited"))
+	f.addNode("a", "z1")
+	f.addNode("b", "z1")
 	f.awaitFullMembership()
-	eventually(b, "all nodes know the engine", func() bool { return f.usableAt("limited") == 2 })
+	eventually(b, "all nodes know the engine", func() bool { return f.nodesUsing("limited") == 2 })
 	f.nodes[0].Limits().Observe("limited", citronlimit.Record{}, citronupstream.PerSecond(1e9))
-	eventually(b, "both nodes know the limit", func() bool { return f.limitedAt("limited") == 2 })
+	eventually(b, "both nodes know the limit", func() bool { return f.nodesLimiting("limited") == 2 })
 	e, _ := f.nodes[0].Traffic().View.ByID("limited")
 	requester := f.nodes[0]
 	for _, m := range f.nodes {
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -14,8 +14,8 @@
 
 var suspect = citronquarantine.FingerprintOf("council", "POST", "h", "/nest/7", []byte("a plan"))
 
-// quarantinedAt returns how many nodes quarantine a request.
-func (f *fleet) quarantinedAt(p citronquarantine.Fingerprint) int {
+// nodesQuarantining returns how many nodes quarantine a request.
+func (f *fleet) nodesQuarantining(p citronquarantine.Fingerprint) int {
 	n := 0
 	for _, m := range f.nodes {
 		if _, quarantined := m.Quarantine().QuarantinedFor(p); quarantined {
@@ -47,10 +47,10 @@
 	is := is.New(t)
 	f := newFleet(t)
 	f.net = newMesh()
-	f.config("1")
+	f.putConfig("1")
 	const size = 45
 	for i := range size {
-		m := f.add(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
+		m := f.addNode(fmt.Sprintf("z%d-n%03d", i%5, i), fmt.Sprintf("z%d", i%5))
 		m.gate.rejecting.Store(i%3 == 1)
 	}
 	f.awaitFullMembership()
@@ -58,7 +58,7 @@
 		f.nodes[i*size/3].Quarantine().RecordCrash(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
 	from := time.Now()
-	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == size })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.nodesQuarantining(suspect) == size })
 	took := time.Since(from)
 	t.Logf("%d nodes quarantined the request within %v", size, took)
 	is.True(took < knownWithin)
@@ -69,20 +69,20 @@
 func TestStartingNodeLearnsQuarantine(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	for _, name := range []string{"a", "b", "c"} {
-		f.add(name, "z1")
+		f.addNode(name, "z1")
 	}
 	f.awaitFullMembership()
 	for i := range 3 {
 		f.nodes[0].Quarantine().RecordCrash(suspect, fmt.Sprintf("i-%d", i), time.Time{})
 	}
-	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == 3 })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.nodesQuarantining(suspect) == 3 })
 	time.Sleep(2 * time.Second) // its record is no longer recent
-	f.add("d", "z1")
-	eventually(t, "the new node quarantines it too", func() bool { return f.quarantinedAt(suspect) == 4 })
+	f.addNode("d", "z1")
+	eventually(t, "the new node quarantines it too", func() bool { return f.nodesQuarantining(suspect) == 4 })
 	f.nodes[3].Quarantine().RecordSuccess(suspect)
-	eventually(t, "all nodes learn that it succeeded", func() bool { return f.quarantinedAt(suspect) == 0 })
+	eventually(t, "all nodes learn that it succeeded", func() bool { return f.nodesQuarantining(suspect) == 0 })
 }
 
 // Guards against a request that crashes three more engines after all nodes restarted at
@@ -91,10 +91,10 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
-	f.config("1")
+	f.putConfig("1")
 	names := []string{"a", "b", "c"}
 	for _, name := range names {
-		f.add(name, "z1")
+		f.addNode(name, "z1")
 	}
 	f.awaitFullMembership()
 	for i := range 3 {
@@ -110,16 +110,16 @@
 		}
 		f.nodes = nil
 		for _, name := range names {
-			f.add(name, "z1")
+			f.addNode(name, "z1")
 		}
 	}
 	restart()
 	from := time.Now()
-	eventually(t, "all nodes quarantine the request", func() bool { return f.quarantinedAt(suspect) == len(names) })
+	eventually(t, "all nodes quarantine the request", func() bool { return f.nodesQuarantining(suspect) == len(names) })
 	is.True(time.Since(from) < knownWithin)
 	// The request turns out to be harmless. No node quarantines it again.
 	f.nodes[0].Quarantine().RecordSuccess(suspect)
-	eventually(t, "no node quarantines it", func() bool { return f.quarantinedAt(suspect) == 0 })
+	eventually(t, "no node quarantines it", func() bool { return f.nodesQuarantining(suspect) == 0 })
 }
 
 // Guards against messages that no healthy node sends: impossible counts and ages, or a
@@ -128,8 +128,8 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t)
-	f.config("1")
-	m := f.add("a", "z1")
+	f.putConfig("1")
+	m := f.addNode("a", "z1")
 	crashes := func(count int, age int64) []citronpeer.SuspectCrash {
 		var out []citronpeer.SuspectCrash
 		for i := range count {
@@ -157,5 +157,5 @@
 	}
 	is.Equal(m.Status().SuspectsRejected, int64(len(invalid)))
 	is.Equal(m.Status().Suspects, 0)
-	is.Equal(f.quarantinedAt(suspect), 0)
+	is.Equal(f.nodesQuarantining(suspect), 0)
 }
