--- a/citronbudget/budget_test.go
+++ b/citronbudget/budget_test.go
@@ -13,11 +13,11 @@
 var limits = citronbudget.Limits{Ratio: 0.2, Slack: 200, Window: 10 * time.Second}
 
 // updateAge is the maximum age of an update in a small fleet.
-const updateAge = maxUpdateAge * 100 * time.Millisecond
+const updateAge = updateAgeSteps * 100 * time.Millisecond
 
-// maxUpdateAge is the maximum age of an update, in steps of 100 ms. Gossip
+// updateAgeSteps is the maximum age of an update, in steps of 100 ms. Gossip
 // reaches all nodes within two rounds.
-const maxUpdateAge = 7
+const updateAgeSteps = 7
 
 // Engines fail repeatedly, all nodes want to retry every request, and updates
 // about the other nodes' usage arrive late. In no window may all nodes together
@@ -60,7 +60,7 @@
 			}
 			taken = append(taken, step{at, got})
 			age++
-			if age >= maxUpdateAge || rapid.IntRange(0, 2).Draw(t, "news") == 0 {
+			if age >= updateAgeSteps || rapid.IntRange(0, 2).Draw(t, "news") == 0 {
 				age = 0
 				for i, b := range nodes {
 					updates[i] = b.Used(at)["s"]
