--- a/citronadmit/admit.go
+++ b/citronadmit/admit.go
@@ -7,9 +7,9 @@
 // ones wait behind the rest. An entry therefore limits the number of requests in
 // flight to a window. The others wait in a queue that is ordered by priority and,
 // within a priority, by weighted fair queueing over customers, so that a large
-// customer's burst cannot starve a small customer. A request that would wait past
-// its deadline or that finds the queue full is rejected immediately with a time
-// after which a retry is useful.
+// customer's burst cannot starve a small customer. A request that is not expected
+// to finish before its deadline or that finds the queue full is rejected
+// immediately with a time after which a retry is useful.
 package citronadmit
 
 import (
@@ -28,8 +28,8 @@
 
 // Refusal is the error for a request that is rejected without waiting.
 type Refusal struct {
-	// RetryAfter is the estimated time until the requests ahead in the queue have
-	// been admitted.
+	// RetryAfter is the estimated time that the request would have waited in the
+	// queue.
 	RetryAfter time.Duration
 	// Reason says which limit the request would have exceeded.
 	Reason string
@@ -65,9 +65,9 @@
 	inflight int
 	queue    waiters
 	seq      int64
-	// virtualTime is the clock of fair queueing: the highest tag
-	// admitted since the queue was last empty. lastTag is the newest tag of each
-	// customer.
+	// Fair queueing gives each request a tag, its virtual finish time. virtualTime
+	// is the highest tag admitted since the queue was last empty. lastTag is the
+	// newest tag of each customer.
 	virtualTime float64
 	lastTag     map[string]float64
 	// holdTime is the exponential moving average of the time for which an admitted
@@ -145,7 +145,7 @@
 		return &Refusal{RetryAfter: wait, Reason: "the queue is full"}
 	}
 	if !r.Deadline.IsZero() && g.clock.Now().Add(wait+g.holdTime).After(r.Deadline) {
-		return &Refusal{RetryAfter: wait, Reason: "the wait would pass the deadline"}
+		return &Refusal{RetryAfter: wait, Reason: "the request would not finish before its deadline"}
 	}
 	return nil
 }
@@ -201,7 +201,7 @@
 	req Request
 	tag float64
 	seq int64
-	// index is the position in the heap, -1 once the request has been admitted.
+	// index is the position in the heap, -1 once the request has left it.
 	index    int
 	admitted chan struct{}
 }
