--- a/citronbudget/budget.go
+++ b/citronbudget/budget.go
@@ -9,10 +9,10 @@
 // A failure affects the nodes unevenly: the nodes in the zone of the failed
 // engine need many retries at once, the other nodes none. The budget is
 // therefore not divided permanently. Nodes tell each other how many retries
-// they have used. In each allocation interval a node may use an equal share
-// of what was left at the last update. A node in need thus gets more and more
-// of what the other nodes leave, and all nodes together stay within the limit
-// however late in an interval they use their shares.
+// they have used. In each allocation interval the nodes divide a fraction of
+// what was left at the last update into equal shares. A node in need thus gets
+// more and more of what the other nodes leave, and all nodes together stay
+// within the limit however late in an interval they use their shares.
 //
 // In a large fleet an equal share is only one or two retries, so a node in
 // need borrows from other nodes. The lender gives up what it lends, so the
@@ -44,8 +44,9 @@
 	// together may use before updates about the used retries arrive. The rest is
 	// reserved for updates that are later than usual.
 	allocatableShare = 0.8
-	// allocationInterval is how long an allowance is valid. In a small fleet
-	// updates about used retries reach all nodes within it.
+	// allocationInterval is the minimum time between two allocations, and the
+	// time after which a node no longer lends from its allowance. In a small
+	// fleet updates about used retries reach all nodes within it.
 	allocationInterval = 800 * time.Millisecond
 )
 
@@ -226,7 +227,8 @@
 }
 
 // AddLoan adds a loan from another node. It ignores a loan of no retries, and
-// one that ends later than any lender's current interval can.
+// one that ends more than allocationInterval after now: no lender's interval
+// lasts that long.
 func (b *Budget) AddLoan(service string, l Loan, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/citronbudget/budget_test.go
+++ b/citronbudget/budget_test.go
@@ -12,11 +12,12 @@
 
 var limits = citronbudget.Limits{Ratio: 0.2, Slack: 200, Window: 10 * time.Second}
 
-// updateAge is the maximum age of an update in a small fleet.
+// updateAge is the maximum age of an update about the other nodes' usage, in a
+// small fleet where gossip reaches all nodes within two rounds.
 const updateAge = updateAgeSteps * 100 * time.Millisecond
 
-// updateAgeSteps is the maximum age of an update, in steps of 100 ms. Gossip
-// reaches all nodes within two rounds.
+// updateAgeSteps is updateAge in steps of 100 ms, the time steps of
+// TestBudgetIsNeverExceeded.
 const updateAgeSteps = 7
 
 // Engines fail repeatedly, all nodes want to retry every request, and updates
