--- a/citronmodel/model.go
+++ b/citronmodel/model.go
@@ -90,15 +90,15 @@
 }
 
 // StepTimeMS returns the time in milliseconds that an engine of this kind needs
-// for one token step over the given number of layers. writers is the number of
+// for one token step over the given number of layers. sequences is the number of
 // requests that are generating tokens, contextTokens the number of tokens that
 // they have cached.
-func (s Spec) StepTimeMS(kind string, layers int, writers, contextTokens float64) float64 {
+func (s Spec) StepTimeMS(kind string, layers int, sequences, contextTokens float64) float64 {
 	k, ok := s.Kinds[kind]
 	if !ok || s.Layers == 0 {
 		return 0
 	}
-	allLayers := s.StepMS + s.PerSeqMS*writers + s.ContextMSPerK*contextTokens/1000
+	allLayers := s.StepMS + s.PerSeqMS*sequences + s.ContextMSPerK*contextTokens/1000
 	return allLayers * k.StepFactor * float64(layers) / float64(s.Layers)
 }
 
