--- a/citronmodel/model.go
+++ b/citronmodel/model.go
@@ -125,19 +125,20 @@
 	Slots   int
 }
 
-// IncarnationID returns the ID of the engine's incarnation that started at born,
-// in Unix milliseconds. born is zero if the engine does not report its start.
-func IncarnationID(instance string, born int64) string {
-	if born == 0 {
+// IncarnationID returns the ID of the engine's incarnation that started at
+// startMS, in Unix milliseconds. startMS is zero if the engine does not report its
+// start time.
+func IncarnationID(instance string, startMS int64) string {
+	if startMS == 0 {
 		return instance
 	}
-	return instance + "@" + strconv.FormatInt(born, 10)
+	return instance + "@" + strconv.FormatInt(startMS, 10)
 }
 
-// Restarted returns the engine after a restart at born, in Unix milliseconds: a new
-// incarnation that holds no layers and is not leaving.
-func (e Engine) Restarted(born int64) Engine {
-	e.ID, e.StartMS = IncarnationID(e.Instance, born), born
+// Restarted returns the engine after a restart at startMS, in Unix milliseconds: a
+// new incarnation that holds no layers and is not leaving.
+func (e Engine) Restarted(startMS int64) Engine {
+	e.ID, e.StartMS = IncarnationID(e.Instance, startMS), startMS
 	e.Layers, e.Leaving = Span{}, false
 	return e
 }
