--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -70,34 +70,34 @@
 }
 
 // RecordCall records a call that has ended.
-func (h *StoreMonitor) RecordCall(c Call) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (m *StoreMonitor) RecordCall(c Call) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	switch {
 	case c.Canceled():
 	case c.Answered():
-		h.noteAnswer(c)
-	case c.Begun.Before(h.lastAnswer):
+		m.noteAnswer(c)
+	case c.Begun.Before(m.lastAnswer):
 		// The store has answered another call since this one began, so only this call's
 		// connection failed. The next call shows whether the store is unreachable by
 		// now.
 	default:
-		h.lastFailed = &c
+		m.lastFailed = &c
 	}
 }
 
 // noteAnswer adds an answered call to the record. It starts a new period of service if
 // the store had been unreachable, or the node had made no calls, for expireAfter.
-func (h *StoreMonitor) noteAnswer(c Call) {
-	stalled := c.Ended.Sub(h.lastAnswer) >= h.expireAfter
-	unasked := c.Begun.Sub(h.lastAnswer) >= h.expireAfter
-	if stalled && (h.lastFailed != nil || unasked) {
-		h.servedSince, h.afterOutage = c.Ended, h.lastFailed != nil
+func (m *StoreMonitor) noteAnswer(c Call) {
+	stalled := c.Ended.Sub(m.lastAnswer) >= m.expireAfter
+	unasked := c.Begun.Sub(m.lastAnswer) >= m.expireAfter
+	if stalled && (m.lastFailed != nil || unasked) {
+		m.servedSince, m.afterOutage = c.Ended, m.lastFailed != nil
 	}
-	if c.Ended.After(h.lastAnswer) {
-		h.lastAnswer = c.Ended
+	if c.Ended.After(m.lastAnswer) {
+		m.lastAnswer = c.Ended
 	}
-	h.lastFailed = nil
+	m.lastFailed = nil
 }
 
 // Status is what one node reports to the other nodes about the store.
@@ -115,14 +115,14 @@
 }
 
 // Status returns what the calls recorded so far show at the given time.
-func (h *StoreMonitor) Status(now time.Time) Status {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	stalled := now.Sub(h.lastAnswer) >= h.expireAfter
-	stable := now.Sub(h.servedSince) >= ExpiryGrace
+func (m *StoreMonitor) Status(now time.Time) Status {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	stalled := now.Sub(m.lastAnswer) >= m.expireAfter
+	stable := now.Sub(m.servedSince) >= ExpiryGrace
 	return Status{
-		Outage:    stalled && h.lastFailed != nil && now.Sub(h.lastFailed.Ended) < failedCallMaxAge,
-		Recovered: h.afterOutage && !stable,
+		Outage:    stalled && m.lastFailed != nil && now.Sub(m.lastFailed.Ended) < failedCallMaxAge,
+		Recovered: m.afterOutage && !stable,
 		Answered:  !stalled,
 		Served:    !stalled && stable,
 	}
@@ -130,10 +130,10 @@
 
 // LastFailed returns the newest unanswered call since the store last answered, or nil if
 // there is none.
-func (h *StoreMonitor) LastFailed() *Call {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.lastFailed
+func (m *StoreMonitor) LastFailed() *Call {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.lastFailed
 }
 
 // ConfirmedOutage reports whether the store is unreachable for all nodes, or was within the last
