--- a/citronhealth/observe_test.go
+++ b/citronhealth/observe_test.go
@@ -17,9 +17,9 @@
 // call that its caller canceled shows nothing about the store.
 func TestCallClassification(t *testing.T) {
 	cases := []struct {
-		name              string
-		err               error
-		answered, givenUp bool
+		name               string
+		err                error
+		answered, canceled bool
 	}{
 		{"answer", nil, true, false},
 		{"no such key", errors.Wrap(citronkv.ErrNotFound, "get"), true, false},
@@ -36,7 +36,7 @@
 			is := is.New(t)
 			call := citronhealth.Call{Err: c.err}
 			is.Equal(call.Answered(), c.answered)
-			is.Equal(call.Canceled(), c.givenUp)
+			is.Equal(call.Canceled(), c.canceled)
 		})
 	}
 }
