--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -136,10 +136,10 @@
 	return m.lastFailed
 }
 
-// ConfirmedOutage reports whether the store is unreachable for all nodes, or was within the last
-// ExpiryGrace. The statuses are those of all nodes currently heard. A node that the store
-// has served all along disproves an outage. While some nodes cannot reach the store, a
-// single answered node shows that the store rejects only those nodes.
+// ConfirmedOutage reports whether the store is unreachable for all nodes, or was within
+// the last ExpiryGrace. The statuses are those of all nodes currently heard. A node that
+// the store has served all along disproves an outage. While some nodes cannot reach the
+// store, a single answered node shows that the store rejects only those nodes.
 func ConfirmedOutage(statuses ...Status) bool {
 	var all Status
 	for _, s := range statuses {
--- a/citronhealth/health_test.go
+++ b/citronhealth/health_test.go
@@ -49,7 +49,7 @@
 		{"answered since the start", answeredCalls(2.4), []observation{{2.4, false, false}, {2.6, false, true}}},
 		{"the node was paused and its lease has expired", append(answeredUntil6, call(6.6, 12.1, citronkv.ErrLeaseExpired)), []observation{{12.2, false, true}}},
 		{"a call is rejected", append(answeredUntil6, call(6.6, 6.6, citronkv.ErrUnavailable)), []observation{{6.7, false, true}, {8.3, false, true}, {8.5, true, false}}},
-		{"rejected, and not called again", append(answeredUntil6, call(6.6, 6.6, citronkv.ErrUnavailable), call(8.6, 8.6, citronkv.ErrUnavailable)), []observation{{8.7, true, false}, {11.5, true, false}, {11.7, false, false}}},
+		{"two calls are rejected, then no more calls", append(answeredUntil6, call(6.6, 6.6, citronkv.ErrUnavailable), call(8.6, 8.6, citronkv.ErrUnavailable)), []observation{{8.7, true, false}, {11.5, true, false}, {11.7, false, false}}},
 		{"connection cut, and answered again at once", append(answeredUntil6, call(6.6, 8.1, citronkv.ErrUnavailable), call(8.2, 8.2, nil)), []observation{{8.1, false, true}, {8.3, false, true}}},
 		{"unanswered for long", append(answeredUntil6, call(6.6, 8.1, citronkv.ErrUnavailable), call(8.2, 9.7, citronkv.ErrUnavailable), call(10, 10, nil), call(11, 11, nil), call(12, 12, nil)), []observation{{8.3, false, true}, {8.5, true, false}, {10.1, true, false}, {12.4, true, false}, {12.6, false, true}}},
 		{"hung while others are answered", append(answeredUntil6, call(4, 9, citronkv.ErrUnavailable)), []observation{{9, false, false}}},
@@ -74,8 +74,9 @@
 	}
 }
 
-// Tests that one node that was served disproves an outage, that one answered node is
-// enough while others get no answer, and that a node without calls makes no difference.
+// Tests that one node that the store has served all along disproves an outage, that while
+// nodes cannot reach the store one answered node disproves it too, and that a node without
+// calls makes no difference.
 func TestOutageNeedsAgreementOfAllNodes(t *testing.T) {
 	outage, recovered := Status{Outage: true}, Status{Recovered: true, Answered: true}
 	served, restarted, idle := Status{Answered: true, Served: true}, Status{Answered: true}, Status{}
@@ -91,8 +92,8 @@
 		{"one node rejected, the others have just started", []Status{outage, restarted, idle}, false},
 		{"all nodes rejected", []Status{outage, outage, outage}, true},
 		{"the others make no calls", []Status{outage, idle, idle}, true},
-		{"makes no calls, hears of an outage only", []Status{idle, outage, idle}, true},
-		{"makes no calls, hears of an outage and of a served node", []Status{idle, outage, served}, false},
+		{"this node makes no calls and hears only of an outage", []Status{idle, outage, idle}, true},
+		{"this node makes no calls and hears of an outage and of a served node", []Status{idle, outage, served}, false},
 		{"the store answers one node again", []Status{outage, recovered, outage}, true},
 		{"the store answers one node again, and another has just started", []Status{recovered, restarted}, true},
 		{"one node rejected and answered again, another served throughout", []Status{recovered, served}, false},
