--- a/citronentry/trouble.go
+++ b/citronentry/trouble.go
@@ -46,11 +46,11 @@
 type failureRecords map[string]*failureRecord
 
 // avoid returns the back ends that get no new work, with the reasons.
-func (ts failureRecords) avoid() map[string]citronroute.Reason {
+func (records failureRecords) avoid() map[string]citronroute.Reason {
 	out := map[string]citronroute.Reason{}
-	for name, t := range ts {
-		if t.recoveredAt.IsZero() {
-			out[name] = t.reason
+	for name, record := range records {
+		if record.recoveredAt.IsZero() {
+			out[name] = record.reason
 		}
 	}
 	return out
@@ -58,18 +58,18 @@
 
 // report records a failure of the back end name. It returns true if the back
 // end was considered healthy until then.
-func (ts failureRecords) report(name string, reason citronroute.Reason, now time.Time) bool {
-	t := ts[name]
-	if t == nil {
-		ts[name] = &failureRecord{reason: reason, probeDelay: probeInitialDelay, nextProbe: now.Add(probeInitialDelay)}
+func (records failureRecords) report(name string, reason citronroute.Reason, now time.Time) bool {
+	record := records[name]
+	if record == nil {
+		records[name] = &failureRecord{reason: reason, probeDelay: probeInitialDelay, nextProbe: now.Add(probeInitialDelay)}
 		return true
 	}
-	if t.recoveredAt.IsZero() {
+	if record.recoveredAt.IsZero() {
 		return false
 	}
-	t.reason, t.recoveredAt = reason, time.Time{}
-	t.probeDelay = min(2*t.probeDelay, probeMaxDelay)
-	t.nextProbe = now.Add(t.probeDelay)
+	record.reason, record.recoveredAt = reason, time.Time{}
+	record.probeDelay = min(2*record.probeDelay, probeMaxDelay)
+	record.nextProbe = now.Add(record.probeDelay)
 	return true
 }
 
@@ -98,13 +98,13 @@
 // that recovered more than relapseWindow ago or are no longer configured.
 func (c *control) startDueProbes(ctx context.Context, now time.Time) {
 	s := c.e.snap.Load()
-	for name, t := range c.failures {
+	for name, record := range c.failures {
 		b, known := s.Backends[name]
 		switch {
-		case !known, !t.recoveredAt.IsZero() && now.Sub(t.recoveredAt) > relapseWindow:
+		case !known, !record.recoveredAt.IsZero() && now.Sub(record.recoveredAt) > relapseWindow:
 			delete(c.failures, name)
-		case t.recoveredAt.IsZero() && !t.probing && now.After(t.nextProbe):
-			t.probing = true
+		case record.recoveredAt.IsZero() && !record.probing && now.After(record.nextProbe):
+			record.probing = true
 			go c.probe(ctx, b)
 		}
 	}
@@ -125,13 +125,13 @@
 // handleProbe records the result of a probe: the back end has recovered, or the
 // next probe is postponed and the reason updated.
 func (c *control) handleProbe(ctx context.Context, p probeResult) {
-	t := c.failures[p.backend]
-	if t == nil {
+	record := c.failures[p.backend]
+	if record == nil {
 		return
 	}
 	now := c.e.clock.Now()
-	t.probing = false
-	newReason := t.reason
+	record.probing = false
+	newReason := record.reason
 	switch {
 	case p.err != nil:
 	case p.health.Leaving:
@@ -139,13 +139,13 @@
 	case p.health.WrongLayers:
 		newReason = citronroute.WrongLayers
 	default:
-		t.recoveredAt = now
+		record.recoveredAt = now
 		c.dirty = true
-		citronevent.Log(ctx, c.e.log, citronevent.UpstreamBack, "backend", p.backend, "was", string(t.reason))
+		citronevent.Log(ctx, c.e.log, citronevent.UpstreamBack, "backend", p.backend, "was", string(record.reason))
 		return
 	}
-	c.dirty = c.dirty || newReason != t.reason
-	t.reason = newReason
-	t.probeDelay = min(2*t.probeDelay, probeMaxDelay)
-	t.nextProbe = now.Add(t.probeDelay)
+	c.dirty = c.dirty || newReason != record.reason
+	record.reason = newReason
+	record.probeDelay = min(2*record.probeDelay, probeMaxDelay)
+	record.nextProbe = now.Add(record.probeDelay)
 }
