--- a/citronentry/bench_test.go
+++ b/citronentry/bench_test.go
@@ -46,7 +46,7 @@
 // stages. The entry and the engines share one process, so the result is an
 // upper bound of the entry's own cost.
 func BenchmarkModelRequest(b *testing.B) {
-	r := newModelRig(b, 8, 1, twoByTwo, nil)
+	r := newModelRig(b, 8, 1, twoStages, nil)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
@@ -84,7 +84,7 @@
 func benchRecovery(b *testing.B, injectFault func(*testBackend), tokens int) {
 	s := newLatencyStats()
 	for range b.N {
-		r := newModelRigWithSettings(b, 8, 1, twoByTwo, nil, func(s *citronentry.Settings) { s.ProbeTimeout = 0 }) // 0 selects the default
+		r := newModelRigWithSettings(b, 8, 1, twoStages, nil, func(s *citronentry.Settings) { s.ProbeTimeout = 0 }) // 0 selects the default
 		target := r.engines["b1"]
 		hold := make(chan struct{})
 		target.hold = hold
@@ -187,9 +187,9 @@
 func BenchmarkConfigInEffect(b *testing.B) {
 	for _, entries := range []int{3, 6, 9} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
-			r := newModelRig(b, 8, entries, twoByTwo, nil)
+			r := newModelRig(b, 8, entries, twoStages, nil)
 			cfg := citronconfig.Config{KV: r.kv, Clock: citronclock.Real{}}
-			text := modelFleet(8, twoByTwo, r.engines)
+			text := modelFleet(8, twoStages, r.engines)
 			s := newLatencyStats()
 			c0 := r.kv.Counts()
 			t0 := time.Now()
--- a/citronentry/membership_test.go
+++ b/citronentry/membership_test.go
@@ -76,7 +76,7 @@
 // responds nor resets the connection. The caller has a deadline of ten
 // minutes and must still get the complete response, from the spare engine.
 func TestEngineFreezesMidRequest(t *testing.T) {
-	r := newModelRig(t, 8, 1, twoByTwo, nil)
+	r := newModelRig(t, 8, 1, twoStages, nil)
 	r.engines["b1"].freezeAfter = 3
 	wantOracle(t, r.ask(0, "layout", 6), "layout", 8, 6)
 }
@@ -126,7 +126,7 @@
 // caches fill with abandoned requests, and a leaving engine waits for them.
 func TestAbandonedRequestFreesEngineCaches(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 8, 1, twoByTwo, nil)
+	r := newModelRig(t, 8, 1, twoStages, nil)
 	hold := make(chan struct{})
 	defer close(hold)
 	r.engines["b1"].hold = hold
--- a/citronentry/pipeline_test.go
+++ b/citronentry/pipeline_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-var twoByTwo = []stage{{name: "a1", from: 0, to: 4}, {name: "a2", from: 0, to: 4}, {name: "b1", from: 4, to: 8}, {name: "b2", from: 4, to: 8}}
+// twoStages is a chain of two stages with two interchangeable engines each.
+var twoStages = []stage{{name: "a1", from: 0, to: 4}, {name: "a2", from: 0, to: 4}, {name: "b1", from: 4, to: 8}, {name: "b2", from: 4, to: 8}}
 
 // TestStageFailsMidRequest kills the engine of a stage after a few steps of a
 // request. The caller must still get the complete answer, equal to the oracle's:
@@ -19,7 +20,7 @@
 func TestStageFailsMidRequest(t *testing.T) {
 	for _, victim := range []string{"a1", "b1"} {
 		t.Run(victim, func(t *testing.T) {
-			r := newModelRig(t, 8, 1, twoByTwo, nil)
+			r := newModelRig(t, 8, 1, twoStages, nil)
 			// With equal load, the entry prefers its own zone, so the
 			// request starts on a1 and b1.
 			r.engines[victim].dieAfter = 3
--- a/citronentry/stream_test.go
+++ b/citronentry/stream_test.go
@@ -46,7 +46,7 @@
 // equal to the oracle's, and "done" must give their number.
 func TestStreamUnderStageFailure(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 8, 1, twoByTwo, nil)
+	r := newModelRig(t, 8, 1, twoStages, nil)
 	r.engines["b1"].dieAfter = 3
 	status, events := r.stream(t, `{"customer":"c","prompt":"nest","max_tokens":6}`)
 	is.Equal(status, http.StatusOK)
