--- a/citronentry/lifecycle_test.go
+++ b/citronentry/lifecycle_test.go
@@ -13,7 +13,7 @@
 )
 
 // oneStage is a chain of one stage with two interchangeable engines.
-var oneStage = []stage{{name: "a1", from: 0, to: 4}, {name: "a2", from: 0, to: 4}}
+var oneStage = []engineSpec{{name: "a1", from: 0, to: 4}, {name: "a2", from: 0, to: 4}}
 
 // TestLeavingEngineGetsNoNewWork simulates an engine that begins to leave
 // before the instance list marks it as leaving. The engine rejects the first
--- a/citronentry/membership_test.go
+++ b/citronentry/membership_test.go
@@ -86,7 +86,7 @@
 // the step: under high load that would discard work that is only queued.
 func TestSlowEngineIsNotTreatedAsFrozen(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
+	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
 	hold := make(chan struct{})
 	r.engines["a1"].hold = hold
 	got := make(chan answer, 1)
@@ -147,7 +147,7 @@
 // entry that stops afterwards must be delisted.
 func TestDiscoverySurvivesExpiredLeases(t *testing.T) {
 	is := is.New(t)
-	r := newModelRigWithSettings(t, 4, 2, []stage{{name: "a1", to: 4}}, nil, func(s *citronentry.Settings) { s.LeaseTTL = 150 * time.Millisecond })
+	r := newModelRigWithSettings(t, 4, 2, []engineSpec{{name: "a1", to: 4}}, nil, func(s *citronentry.Settings) { s.LeaseTTL = 150 * time.Millisecond })
 	sweep, stop := context.WithCancel(context.Background())
 	defer stop()
 	go r.kv.Run(sweep)
--- a/citronentry/pipeline_test.go
+++ b/citronentry/pipeline_test.go
@@ -10,7 +10,7 @@
 )
 
 // twoStages is a chain of two stages with two interchangeable engines each.
-var twoStages = []stage{{name: "a1", from: 0, to: 4}, {name: "a2", from: 0, to: 4}, {name: "b1", from: 4, to: 8}, {name: "b2", from: 4, to: 8}}
+var twoStages = []engineSpec{{name: "a1", from: 0, to: 4}, {name: "a2", from: 0, to: 4}, {name: "b1", from: 4, to: 8}, {name: "b2", from: 4, to: 8}}
 
 // TestStageFailsMidRequest kills the engine of a stage after a few steps of a
 // request. The caller must still get the complete answer, equal to the oracle's:
@@ -39,8 +39,8 @@
 // caller: the entry checks the layer range that each stage reports, replaces that
 // engine and serves the request on an engine with the configured layers.
 func TestEngineWithWrongLayersIsReplaced(t *testing.T) {
-	stages := []stage{{name: "a1", from: 0, to: 4, runFrom: 0, runTo: 5}, {name: "a2", from: 0, to: 4}, {name: "b1", from: 4, to: 8}}
-	r := newModelRig(t, 8, 1, stages, nil)
+	engineSpecs := []engineSpec{{name: "a1", from: 0, to: 4, runFrom: 0, runTo: 5}, {name: "a2", from: 0, to: 4}, {name: "b1", from: 4, to: 8}}
+	r := newModelRig(t, 8, 1, engineSpecs, nil)
 	for i := range 4 {
 		p := fmt.Sprintf("nest-%d", i)
 		wantOracle(t, r.ask(0, p, 4), p, 8, 4)
@@ -53,7 +53,7 @@
 // complete out of order must not mix their tokens.
 func TestConcurrentAnswersUnderEngineFailures(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		stages := []stage{
+		engineSpecs := []engineSpec{
 			{name: "a1", from: 0, to: 3},
 			{name: "a2", from: 0, to: 3},
 			{name: "a3", from: 0, to: 3},
@@ -61,7 +61,7 @@
 			{name: "b2", from: 3, to: 5},
 			{name: "b3", from: 3, to: 5},
 		}
-		r := newModelRig(t, 5, 3, stages, nil)
+		r := newModelRig(t, 5, 3, engineSpecs, nil)
 		defer r.stop()
 		for _, n := range []string{"a1", "b2"} {
 			if rapid.Bool().Draw(rt, "kill-"+n) {
@@ -94,7 +94,7 @@
 // answer must be "outcome unknown" and not "not run".
 func TestDeadlineDuringFirstStep(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
+	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
 	hold := make(chan struct{})
 	defer close(hold)
 	r.engines["a1"].hold = hold
--- a/citronentry/rig_test.go
+++ b/citronentry/rig_test.go
@@ -275,22 +275,22 @@
 	return answer{status: res.StatusCode, body: string(b), retryAfter: res.Header.Get("Retry-After"), tokens: v.Tokens, code: v.Code, outcome: v.Outcome}
 }
 
-// stage describes an engine and the layer range it is configured to run.
-type stage struct {
+// engineSpec describes an engine and the layer range it is configured to run.
+type engineSpec struct {
 	name     string
 	from, to int
 	// runFrom and runTo are the layer range that a misconfigured engine
-	// actually runs. If runTo is zero, the engine runs from and to.
+	// actually runs. If runTo is zero, the engine runs the configured range.
 	runFrom, runTo int
 }
 
-// startEngine starts a fake engine for s.
-func startEngine(s stage) *testBackend {
-	rf, rt := s.from, s.to
-	if s.runTo != 0 {
-		rf, rt = s.runFrom, s.runTo
+// startEngine starts a fake engine as spec describes it.
+func startEngine(spec engineSpec) *testBackend {
+	rf, rt := spec.from, spec.to
+	if spec.runTo != 0 {
+		rf, rt = spec.runFrom, spec.runTo
 	}
-	e := citronengine.New(citronengine.Settings{Name: s.name, From: rf, To: rt})
+	e := citronengine.New(citronengine.Settings{Name: spec.name, From: rf, To: rt})
 	b := newBackend(e.Mount)
 	b.engine = e
 	return b
@@ -305,11 +305,11 @@
 
 // modelFleet returns a fleet configuration with the model service "m" on the
 // given engines.
-func modelFleet(layers int, stages []stage, engines map[string]*testBackend) string {
+func modelFleet(layers int, engineSpecs []engineSpec, engines map[string]*testBackend) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "fleet: t\nzones: [a, b]\ncustomers: [{name: c}]\nservices:\n  - name: m\n    kind: model\n    layers: %d\n    engines:\n", layers)
 	first := map[int]bool{}
-	for _, s := range stages {
+	for _, s := range engineSpecs {
 		fmt.Fprintf(&b, "      - {name: %s, addr: %q, zone: %s, layers: [%d, %d]}\n", s.name, engines[s.name].addr(), zoneOf(first, s.from), s.from, s.to)
 	}
 	return b.String()
@@ -328,21 +328,21 @@
 
 // newModelRig starts a modelRig with default settings. store, if set, wraps
 // the KV server that the entries use.
-func newModelRig(t testing.TB, layers, entries int, stages []stage, store func(*citronkv.Server) citronkv.Store) *modelRig {
+func newModelRig(t testing.TB, layers, entries int, engineSpecs []engineSpec, store func(*citronkv.Server) citronkv.Store) *modelRig {
 	t.Helper()
-	return newModelRigWithSettings(t, layers, entries, stages, store, nil)
+	return newModelRigWithSettings(t, layers, entries, engineSpecs, store, nil)
 }
 
 // newModelRigWithSettings is like newModelRig, but editSettings changes the
 // settings of each entry before it starts.
-func newModelRigWithSettings(t testing.TB, layers, entries int, stages []stage, store func(*citronkv.Server) citronkv.Store, editSettings func(*citronentry.Settings)) *modelRig {
+func newModelRigWithSettings(t testing.TB, layers, entries int, engineSpecs []engineSpec, store func(*citronkv.Server) citronkv.Store, editSettings func(*citronentry.Settings)) *modelRig {
 	t.Helper()
 	r := &modelRig{testCluster: newTestCluster(), engines: map[string]*testBackend{}, layers: layers}
 	r.editSettings = editSettings
-	for _, s := range stages {
+	for _, s := range engineSpecs {
 		r.engines[s.name] = startEngine(s)
 	}
-	r.apply(t, modelFleet(layers, stages, r.engines))
+	r.apply(t, modelFleet(layers, engineSpecs, r.engines))
 	if store != nil {
 		r.store = store(r.kv)
 	}
--- a/citronentry/stream_test.go
+++ b/citronentry/stream_test.go
@@ -64,7 +64,7 @@
 // one.
 func TestStreamEndsWithFailedEvent(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
+	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
 	r.engines["a1"].dieAfter = 2
 	status, events := r.stream(t, `{"customer":"c","prompt":"nest","max_tokens":6}`)
 	is.Equal(status, http.StatusOK)
@@ -80,7 +80,7 @@
 // The caller must get a refusal with an HTTP status and no stream.
 func TestStreamRefusedBeforeFirstToken(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
+	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
 	r.engines["a1"].set(refused)
 	status, _ := r.stream(t, `{"customer":"c","prompt":"nest","max_tokens":6}`)
 	is.Equal(status, http.StatusServiceUnavailable)
@@ -94,8 +94,8 @@
 // another caller.
 func TestStreamRejectsNonIdempotentService(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
-	fleet := modelFleet(4, []stage{{name: "a1", to: 4}}, r.engines)
+	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
+	fleet := modelFleet(4, []engineSpec{{name: "a1", to: 4}}, r.engines)
 	before := r.entries[0].Revision()
 	r.apply(t, strings.Replace(fleet, "kind: model", "kind: model\n    idempotent: false", 1))
 	eventually(t, "the fleet change in effect", func() bool { return r.entries[0].Revision().After(before) })
