--- a/citronentry/trouble.go
+++ b/citronentry/trouble.go
@@ -2,11 +2,11 @@
 
 // Unhealthy back ends. A back end that traffic or the watchdog reports gets
 // no new work until a probe finds it healthy, so that no caller's request is
-// used to test it. The state "leaving" ends in the same way: the name of a
-// back end is reused when its instance is replaced, and a probe then finds an
-// instance under that name that takes work. A back end that answers probes
-// but fails calls would alternate between the two states with every probe;
-// each relapse therefore doubles the time until the next probe.
+// used to test it. A back end that is leaving is probed too: when its instance
+// is replaced, the new instance has the same name and takes work again. A back
+// end that answers probes but fails calls would alternate between healthy and
+// avoided with every probe; each relapse therefore doubles the time until the
+// next probe.
 
 import (
 	"context"
@@ -41,8 +41,8 @@
 	recoveredAt time.Time
 }
 
-// failureRecords maps back end names to their failure records. The control goroutine
-// owns it.
+// failureRecords maps back end names to their failure records. The control
+// goroutine owns it.
 type failureRecords map[string]*failureRecord
 
 // avoid returns the back ends that get no new work, with the reasons.
@@ -56,8 +56,8 @@
 	return out
 }
 
-// report records a failure of the back end name. It returns true if the back
-// end was considered healthy until then.
+// report records a failure of the back end called name. It returns true if the
+// back end was considered healthy until then.
 func (records failureRecords) report(name string, reason citronroute.Reason, now time.Time) bool {
 	record := records[name]
 	if record == nil {
