--- a/citronpeer/limit.go
+++ b/citronpeer/limit.go
@@ -56,10 +56,10 @@
 }
 
 // HandlePermit mounts a permit issuer's procedure on mux.
-func HandlePermit(mux *http.ServeMux, d PermitIssuer) {
+func HandlePermit(mux *http.ServeMux, issuer PermitIssuer) {
 	inner := http.NewServeMux()
 	citronwire.Handle(inner, procedurePermit, func(_ context.Context, r *PermitRequest) (*Permit, error) {
-		p := d.Permit(*r)
+		p := issuer.Permit(*r)
 		return &p, nil
 	}, citronwire.CBOR())
 	mux.Handle(procedurePermit, limitConcurrency(inner, maxConcurrentPermits))
