--- a/citronpeer/fuzz_test.go
+++ b/citronpeer/fuzz_test.go
@@ -30,10 +30,10 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		mux := http.NewServeMux()
-		citronpeer.Handle(mux, answerFunc(func(k citronpeer.GossipState) citronpeer.GossipState {
-			k.Diff.Age(0)
-			k.Digest.Heartbeat(0)
-			return k
+		citronpeer.Handle(mux, answerFunc(func(state citronpeer.GossipState) citronpeer.GossipState {
+			state.Diff.Age(0)
+			state.Digest.Heartbeat(0)
+			return state
 		}))
 		for _, procedure := range []string{"/citron.peer/Exchange", "/citron.peer/News"} {
 			r := httptest.NewRequest(http.MethodPost, procedure, bytes.NewReader(data))
--- a/citronpeer/limit_test.go
+++ b/citronpeer/limit_test.go
@@ -56,9 +56,9 @@
 // blockingAnswerer is an Answerer that calls exchange in each exchange.
 type blockingAnswerer struct{ exchange func() }
 
-func (a blockingAnswerer) Exchange(k citronpeer.GossipState) citronpeer.GossipState {
+func (a blockingAnswerer) Exchange(state citronpeer.GossipState) citronpeer.GossipState {
 	a.exchange()
-	return k
+	return state
 }
 
-func (a blockingAnswerer) Update(k citronpeer.GossipState) citronpeer.GossipState { return k }
+func (a blockingAnswerer) Update(state citronpeer.GossipState) citronpeer.GossipState { return state }
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -304,21 +304,21 @@
 
 // Exchange sends this node's digest to the node at addr. It returns what that
 // node has newer, and what it is missing.
-func (c *Client) Exchange(ctx context.Context, addr string, k GossipState) (GossipState, error) {
-	return c.call(ctx, addr, procedureExchange, k)
+func (c *Client) Exchange(ctx context.Context, addr string, state GossipState) (GossipState, error) {
+	return c.call(ctx, addr, procedureExchange, state)
 }
 
 // Update sends the node at addr an update about this node and the revisions of
 // its documents. It returns that node's update, with the documents that this
 // node is missing.
-func (c *Client) Update(ctx context.Context, addr string, k GossipState) (GossipState, error) {
-	return c.call(ctx, addr, procedureUpdate, k)
+func (c *Client) Update(ctx context.Context, addr string, state GossipState) (GossipState, error) {
+	return c.call(ctx, addr, procedureUpdate, state)
 }
 
-func (c *Client) call(ctx context.Context, addr, procedure string, k GossipState) (GossipState, error) {
+func (c *Client) call(ctx context.Context, addr, procedure string, state GossipState) (GossipState, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	m := exchangeMessage(k)
+	m := exchangeMessage(state)
 	// The members in a message contain the same names many times. Compression
 	// shrinks a message to a quarter, and traffic between zones is expensive.
 	res, err := citronwire.NewUnary[exchangeMessage, exchangeMessage](c.HC, "http://"+addr, procedure, citronwire.CBOR(), citronwire.FastGzipClient, connect.WithSendGzip(), connect.WithCompressMinBytes(minCompressedBytes)).Call(ctx, &m)
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -33,8 +33,8 @@
 // answerFunc answers exchanges and updates alike.
 type answerFunc func(citronpeer.GossipState) citronpeer.GossipState
 
-func (a answerFunc) Exchange(k citronpeer.GossipState) citronpeer.GossipState { return a(k) }
-func (a answerFunc) Update(k citronpeer.GossipState) citronpeer.GossipState   { return a(k) }
+func (a answerFunc) Exchange(state citronpeer.GossipState) citronpeer.GossipState { return a(state) }
+func (a answerFunc) Update(state citronpeer.GossipState) citronpeer.GossipState   { return a(state) }
 
 // Each node receives exactly what the other node sent.
 func TestExchange(t *testing.T) {
@@ -45,8 +45,8 @@
 		From: member(2), Diff: citronpeer.Diff{Members: []citronpeer.Member{member(3)}, AgesMS: []int64{70}, Gauges: []citronpeer.GaugeUpdate{{Fingerprint: 7, Gauges: gauges(7)}}},
 		Missing: citronpeer.MissingItems{Gauges: []citronpeer.Fingerprint{1 << 31}}, Config: citronpeer.ConfigDocument{Version: 9, Body: []byte("nine")},
 	}
-	citronpeer.Handle(mux, answerFunc(func(k citronpeer.GossipState) citronpeer.GossipState {
-		received = k
+	citronpeer.Handle(mux, answerFunc(func(state citronpeer.GossipState) citronpeer.GossipState {
+		received = state
 		return answer
 	}))
 	hs := httptest.NewServer(mux)
@@ -113,7 +113,7 @@
 // revisions of its documents, without the other members of the fleet. The full
 // gossip state of a hundred nodes, which updates used to carry, is 3.8 KB.
 func BenchmarkUpdate(b *testing.B) {
-	k := citronpeer.GossipState{From: member(1), Config: citronpeer.ConfigDocument{Version: 9}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
+	state := citronpeer.GossipState{From: member(1), Config: citronpeer.ConfigDocument{Version: 9}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
 	var size int64
 	mux := http.NewServeMux()
 	citronpeer.Handle(mux, answerFunc(func(citronpeer.GossipState) citronpeer.GossipState { return citronpeer.GossipState{} }))
@@ -124,7 +124,7 @@
 	defer hs.Close()
 	c := &citronpeer.Client{HC: hs.Client(), Timeout: 30 * time.Second}
 	for range b.N {
-		if _, err := c.Update(context.Background(), strings.TrimPrefix(hs.URL, "http://"), k); err != nil {
+		if _, err := c.Update(context.Background(), strings.TrimPrefix(hs.URL, "http://"), state); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -135,9 +135,9 @@
 // the number of members in it.
 func BenchmarkMessage(b *testing.B) {
 	for _, n := range []int{9, 100, 295, 1200} {
-		k := citronpeer.GossipState{}
+		state := citronpeer.GossipState{}
 		for i := range n {
-			k.Members = append(k.Members, member(i))
+			state.Members = append(state.Members, member(i))
 		}
 		var size int64
 		mux := http.NewServeMux()
@@ -149,7 +149,7 @@
 		c := &citronpeer.Client{HC: hs.Client(), Timeout: 30 * time.Second}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				if _, err := c.Exchange(context.Background(), strings.TrimPrefix(hs.URL, "http://"), k); err != nil {
+				if _, err := c.Exchange(context.Background(), strings.TrimPrefix(hs.URL, "http://"), state); err != nil {
 					b.Fatal(err)
 				}
 			}
