--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -171,7 +171,7 @@
 }
 
 // Empty reports whether no item is missing.
-func (w MissingItems) Empty() bool { return len(w.Members)+len(w.Gauges) == 0 }
+func (m MissingItems) Empty() bool { return len(m.Members)+len(m.Gauges) == 0 }
 
 // ConfigDocument is the configuration as nodes pass it on. The higher version
 // wins.
