--- a/citronpeer/size_test.go
+++ b/citronpeer/size_test.go
@@ -9,10 +9,10 @@
 )
 
 // Updates about every node go to every other node, so their cost grows with the
-// square of the fleet. A node that does not query the store, as most do not,
-// adds no bytes for the store's status. A node that does query it adds fewer
-// than 64 bytes.
-func TestOnlyQueryingNodesPayForStoreStatus(t *testing.T) {
+// square of the fleet. Most nodes do not query the store; their updates must hold
+// no bytes for its status. The update of a node that does query it must hold fewer
+// than 64 bytes for that.
+func TestOnlyQueryingNodesSendStoreStatus(t *testing.T) {
 	is := is.New(t)
 	size := func(s citronhealth.Status) int {
 		text, err := json.Marshal(Member{Name: "n", Store: s})
