--- a/citronpeer/limit.go
+++ b/citronpeer/limit.go
@@ -16,7 +16,8 @@
 	// number of requests it accepts per second from all nodes together.
 	Limited   bool    `json:"limited,omitempty"`
 	PerSecond float64 `json:"perSecond,omitempty"`
-	// Version orders the known limits of one engine.
+	// Version orders the known limits of one engine. A limit with a higher version
+	// replaces one with a lower version.
 	Version int64 `json:"version"`
 }
 
@@ -39,9 +40,9 @@
 
 // Permit is the answer to a PermitRequest.
 type Permit struct {
-	// Granted reports whether the request may be sent after WaitMS. If not, the
-	// engine has no free capacity for it before WaitMS has passed, and the node
-	// should ask again after AskAgainMS. Both are in milliseconds.
+	// Granted reports whether the request may be sent after WaitMS. If not, no
+	// permit becomes available before WaitMS has passed, and the node should ask
+	// again after AskAgainMS. Both are in milliseconds.
 	Granted    bool  `json:"granted,omitempty"`
 	WaitMS     int64 `json:"waitMs,omitempty"`
 	AskAgainMS int64 `json:"againMs,omitempty"`
@@ -49,9 +50,9 @@
 	Limit Limit `json:"limit"`
 }
 
-// PermitIssuer is the issuer of permits: it serves the permit requests of other
-// nodes.
+// PermitIssuer serves the permit requests of other nodes.
 type PermitIssuer interface {
+	// Permit grants a permit or says when to ask again.
 	Permit(PermitRequest) Permit
 }
 
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -153,7 +153,7 @@
 // maxPlausibleAge is above any age of a state that nodes send.
 const maxPlausibleAge = time.Minute
 
-// ZoneTotals holds the zone totals: the load and usage of all nodes of a zone.
+// ZoneTotals holds the load and usage of all nodes of one zone.
 type ZoneTotals struct {
 	Zone string `json:"zone"`
 	// AgeMS is how long ago a node of the zone computed the totals, in
@@ -198,8 +198,8 @@
 	// Diff is what the receiver is missing according to the digest that it has
 	// sent, or what it has requested. It is empty in other messages.
 	Diff
-	// Digest lists the members that the sender knows. ZoneTotals are the zone totals.
-	// Both are empty in updates.
+	// Digest lists the members that the sender knows. ZoneTotals holds one item for
+	// each zone whose totals it knows. Both are empty in updates.
 	Digest     Digest
 	ZoneTotals []ZoneTotals
 	// Missing are the items of the receiver's digest that the sender is missing.
