--- a/citronplain/plain.go
+++ b/citronplain/plain.go
@@ -1,9 +1,8 @@
 // Package citronplain contains a fake plain service and the client that the entry
 // uses to call one. A plain service answers with one unary response and runs no
-// model; examples are the release check and sheet lock of the cutting floor, and the
-// checklist submission, audit summaries and scorecards of the kitchens. The fake
-// counts every execution by idempotency key, so that a test can detect a
-// non-idempotent call that ran twice. Like many real upstreams, it does not
+// model; examples are a release check, a lock, a checklist submission and an audit
+// summary. The fake counts every execution by idempotency key, so that a test can
+// detect a non-idempotent call that ran twice. Like many real upstreams, it does not
 // deduplicate calls: the router is responsible for at-most-once execution.
 package citronplain
 
