--- a/citronsoak/limit_test.go
+++ b/citronsoak/limit_test.go
@@ -38,8 +38,8 @@
 	perSecond float64
 	// since and until are the period [since, until) in which answers carry the limit.
 	since, until time.Time
-	// firstTold holds, for each node process, when it first received the limit.
-	firstTold map[string]time.Time
+	// firstAnnounced holds, for each node process, when it first received the limit.
+	firstAnnounced map[string]time.Time
 	// arrivals are the times of the requests that count against the limit.
 	arrivals []time.Time
 }
@@ -52,7 +52,7 @@
 	if !l.since.IsZero() {
 		return
 	}
-	l.perSecond, l.since, l.firstTold = perSecond, time.Now(), map[string]time.Time{}
+	l.perSecond, l.since, l.firstAnnounced = perSecond, time.Now(), map[string]time.Time{}
 	l.until = l.since.Add(lasts)
 }
 
@@ -76,9 +76,9 @@
 	}
 	h.Set("Server-Limit", strconv.FormatFloat(l.perSecond, 'g', -1, 64))
 	sender, bound := strings.CutSuffix(r.Header.Get(headerSender), " bound")
-	first, known := l.firstTold[sender]
+	first, known := l.firstAnnounced[sender]
 	if !known {
-		l.firstTold[sender] = now
+		l.firstAnnounced[sender] = now
 	}
 	if bound && known && now.Sub(first) >= limitGrace {
 		l.arrivals = append(l.arrivals, now)
