--- a/citronsoak/limit_test.go
+++ b/citronsoak/limit_test.go
@@ -46,14 +46,14 @@
 
 // announce makes the engine announce a limit from now on. Each engine announces only
 // one limit in its life; later calls have no effect.
-func (l *limit) announce(perSecond float64, lasts time.Duration) {
+func (l *limit) announce(perSecond float64, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.since.IsZero() {
 		return
 	}
 	l.perSecond, l.since, l.firstAnnounced = perSecond, time.Now(), map[string]time.Time{}
-	l.until = l.since.Add(lasts)
+	l.until = l.since.Add(duration)
 }
 
 // withdraw ends the announcement of the limit.
