--- a/citronsoak/store_test.go
+++ b/citronsoak/store_test.go
@@ -77,8 +77,8 @@
 // call runs one call of the store protocol and returns the JSON value of its answer.
 func (s *storeServer) call(r *http.Request) (any, error) {
 	q, ctx := r.URL.Query(), r.Context()
-	id, hasID := strings.CutPrefix(r.URL.Path, "/kv-keep/")
-	ended, ends := strings.CutPrefix(r.URL.Path, "/kv-lease-end/")
+	renewed, isRenewal := strings.CutPrefix(r.URL.Path, "/kv-keep/")
+	ended, isEnd := strings.CutPrefix(r.URL.Path, "/kv-lease-end/")
 	switch {
 	case r.URL.Path == "/kv-key":
 		it, err := s.kv.Get(ctx, q.Get("key"))
@@ -93,9 +93,9 @@
 	case r.URL.Path == "/kv-lease":
 		lease, err := s.kv.Grant(ctx, 2500*time.Millisecond)
 		return map[string]any{"lease": lease, "ttlMs": 2500}, err
-	case hasID:
-		return struct{}{}, s.kv.KeepAlive(ctx, citronkv.LeaseID(number(id)))
-	case ends:
+	case isRenewal:
+		return struct{}{}, s.kv.KeepAlive(ctx, citronkv.LeaseID(number(renewed)))
+	case isEnd:
 		return struct{}{}, s.kv.Revoke(ctx, citronkv.LeaseID(number(ended)))
 	}
 	return nil, citronkv.ErrNotFound
