--- a/citronsoak/limit_test.go
+++ b/citronsoak/limit_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// headerSender names the node process to which the caller sends a request. " bound"
-	// follows if the process has run for startupGrace, so that its requests count against
-	// limits. Nodes forward the header to engines.
+	// headerSender names the node process to which the caller sends a request. The value
+	// ends in " bound" if the process has run without interruption for startupGrace, so
+	// that its requests count against limits. Nodes forward the header to engines.
 	headerSender = "X-Soak-Sender"
 	// A process learns an engine's limit from the first answer that carries it. Once
 	// limitGrace has passed after that answer, the requests of the process count. In any
@@ -24,8 +24,8 @@
 	limitGrace  = 500 * time.Millisecond
 	limitWindow = 4 * time.Second
 	limitSlack  = 5
-	// startupGrace is the time after a process was started or resumed during which its
-	// requests do not count. While the store is unreachable, they do count.
+	// startupGrace is the time after a process was restarted or resumed during which its
+	// requests do not count. Requests do count while the store is unreachable.
 	startupGrace = time.Second
 	// limitInterval is the time between the announcements of two limits.
 	limitInterval = time.Second
@@ -37,8 +37,10 @@
 	mu        sync.Mutex
 	perSecond float64
 	// since and until are the period [since, until) in which answers carry the limit.
+	// since is zero if the engine has announced none.
 	since, until time.Time
-	// firstAnnounced holds, for each node process, when it first received the limit.
+	// firstAnnounced holds, for each node process, when an answer to it first carried the
+	// limit.
 	firstAnnounced map[string]time.Time
 	// arrivals are the times of the requests that count against the limit.
 	arrivals []time.Time
--- a/citronsoak/return_test.go
+++ b/citronsoak/return_test.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// maxCopyAge is the maximum age of a copy of the store at the beginning of the outage
-	// that ends with its restoration. outageTime is the length of that outage.
+	// The store is restored from a copy during an outage. maxCopyAge is the maximum age
+	// of the copy when the outage begins, and outageTime is the time from then until the
+	// store is restored.
 	maxCopyAge = 4 * time.Second
 	outageTime = 400 * time.Millisecond
 	// rewriteTime bounds the time within which the engines and the operator write again
-	// what the copy lacks; they do so after half of it. The restored entries of stopped
-	// engines expire expiryTime later.
+	// what the copy lacks; they do so after half of it. expiryTime after that, the
+	// restored entries of stopped engines expire.
 	rewriteTime = 800 * time.Millisecond
 	expiryTime  = 1500 * time.Millisecond
 )
