--- a/citronentry/membership_test.go
+++ b/citronentry/membership_test.go
@@ -76,7 +76,7 @@
 // responds nor resets the connection. The caller has a deadline of ten
 // minutes and must still get the complete response, from the spare engine.
 func TestEngineFreezesMidRequest(t *testing.T) {
-	r := newModelRig(t, 8, 1, twoByTwo, nil)
+	r := newModelRig(t, 8, 1, twoStages, nil)
 	r.engines["b1"].freezeAfter = 3
 	wantOracle(t, r.ask(0, "layout", 6), "layout", 8, 6)
 }
@@ -86,7 +86,7 @@
 // the step: under high load that would discard work that is only queued.
 func TestSlowEngineIsNotTreatedAsFrozen(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, []stage{{name: "a1", to: 4}}, nil)
+	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
 	hold := make(chan struct{})
 	r.engines["a1"].hold = hold
 	got := make(chan answer, 1)
@@ -126,7 +126,7 @@
 // caches fill with abandoned requests, and a leaving engine waits for them.
 func TestAbandonedRequestFreesEngineCaches(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 8, 1, twoByTwo, nil)
+	r := newModelRig(t, 8, 1, twoStages, nil)
 	hold := make(chan struct{})
 	defer close(hold)
 	r.engines["b1"].hold = hold
@@ -147,7 +147,7 @@
 // entry that stops afterwards must be delisted.
 func TestDiscoverySurvivesExpiredLeases(t *testing.T) {
 	is := is.New(t)
-	r := newModelRigWithSettings(t, 4, 2, []stage{{name: "a1", to: 4}}, nil, func(s *citronentry.Settings) { s.LeaseTTL = 150 * time.Millisecond })
+	r := newModelRigWithSettings(t, 4, 2, []engineSpec{{name: "a1", to: 4}}, nil, func(s *citronentry.Settings) { s.LeaseTTL = 150 * time.Millisecond })
 	sweep, stop := context.WithCancel(context.Background())
 	defer stop()
 	go r.kv.Run(sweep)
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -153,7 +153,7 @@
 // maxPlausibleAge is above any age of a state that nodes send.
 const maxPlausibleAge = time.Minute
 
-// ZoneTotals holds the zone totals: the load and usage of all nodes of a zone.
+// ZoneTotals holds the load and usage of all nodes of one zone.
 type ZoneTotals struct {
 	Zone string `json:"zone"`
 	// AgeMS is how long ago a node of the zone computed the totals, in
@@ -171,7 +171,7 @@
 }
 
 // Empty reports whether no item is missing.
-func (w MissingItems) Empty() bool { return len(w.Members)+len(w.Gauges) == 0 }
+func (m MissingItems) Empty() bool { return len(m.Members)+len(m.Gauges) == 0 }
 
 // ConfigDocument is the configuration as nodes pass it on. The higher version
 // wins.
@@ -198,8 +198,8 @@
 	// Diff is what the receiver is missing according to the digest that it has
 	// sent, or what it has requested. It is empty in other messages.
 	Diff
-	// Digest lists the members that the sender knows. ZoneTotals are the zone totals.
-	// Both are empty in updates.
+	// Digest lists the members that the sender knows. ZoneTotals holds one item for
+	// each zone whose totals it knows. Both are empty in updates.
 	Digest     Digest
 	ZoneTotals []ZoneTotals
 	// Missing are the items of the receiver's digest that the sender is missing.
@@ -304,21 +304,21 @@
 
 // Exchange sends this node's digest to the node at addr. It returns what that
 // node has newer, and what it is missing.
-func (c *Client) Exchange(ctx context.Context, addr string, k GossipState) (GossipState, error) {
-	return c.call(ctx, addr, procedureExchange, k)
+func (c *Client) Exchange(ctx context.Context, addr string, state GossipState) (GossipState, error) {
+	return c.call(ctx, addr, procedureExchange, state)
 }
 
 // Update sends the node at addr an update about this node and the revisions of
 // its documents. It returns that node's update, with the documents that this
 // node is missing.
-func (c *Client) Update(ctx context.Context, addr string, k GossipState) (GossipState, error) {
-	return c.call(ctx, addr, procedureUpdate, k)
+func (c *Client) Update(ctx context.Context, addr string, state GossipState) (GossipState, error) {
+	return c.call(ctx, addr, procedureUpdate, state)
 }
 
-func (c *Client) call(ctx context.Context, addr, procedure string, k GossipState) (GossipState, error) {
+func (c *Client) call(ctx context.Context, addr, procedure string, state GossipState) (GossipState, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	m := exchangeMessage(k)
+	m := exchangeMessage(state)
 	// The members in a message contain the same names many times. Compression
 	// shrinks a message to a quarter, and traffic between zones is expensive.
 	res, err := citronwire.NewUnary[exchangeMessage, exchangeMessage](c.HC, "http://"+addr, procedure, citronwire.CBOR(), citronwire.FastGzipClient, connect.WithSendGzip(), connect.WithCompressMinBytes(minCompressedBytes)).Call(ctx, &m)
