--- a/citronlist/era.go
+++ b/citronlist/era.go
@@ -64,7 +64,8 @@
 	return slices.ContainsFunc(l.superseded[it.Key], func(p supersededEntry) bool { return p.fingerprint == fingerprint })
 }
 
-// forgetSuperseded drops the superseded entries that are older than supersededMaxAge.
+// forgetSuperseded drops the superseded entries of each key whose latest one is older than
+// supersededMaxAge. rememberSuperseded drops the old ones of a key when it adds one.
 func (l *List) forgetSuperseded(now time.Time) {
 	for key, all := range l.superseded {
 		if now.Sub(all[len(all)-1].at) > supersededMaxAge {
--- a/citronlist/era_test.go
+++ b/citronlist/era_test.go
@@ -117,9 +117,9 @@
 	is.Equal(doc.Revision, citronkv.RevisionOf(1, 1))
 }
 
-// Tests that a list follows a store through any sequence of writes and restores. It
-// never uses an engine that was seen to leave or disappear and has not written its entry
-// since, and it agrees with the store once all engines have written.
+// Tests that a list follows a store through any sequence of writes and restores. From the
+// first restore on, it never uses an engine that was seen to leave or disappear and has
+// not written its entry since. It uses all engines once all have written.
 func TestListFollowsRestoredStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(0, 0))
--- a/citronlist/lapse.go
+++ b/citronlist/lapse.go
@@ -15,8 +15,8 @@
 
 const (
 	// massRemovalMin and massRemovalDivisor define a mass removal: if at least
-	// massRemovalMin entries and at least 1/massRemovalDivisor of the list disappear
-	// within ExpiryGrace, that is too many for a coincidence.
+	// massRemovalMin entries and at least 1/massRemovalDivisor of the list, rounded down,
+	// disappear within ExpiryGrace, that is too many for a coincidence.
 	massRemovalMin     = 4
 	massRemovalDivisor = 6
 	// defaultDrain applies if the settings give no DrainWithin.
@@ -89,8 +89,8 @@
 }
 
 // reviewMissing decides again which engines stay in use although their entries are
-// missing. It logs each change with the reason, because an engine that is retained by
-// mistake is sent work that it no longer accepts.
+// missing. If that changes, it logs how many changed, the first of them and the reason,
+// because an engine that is retained by mistake is sent work that it no longer accepts.
 func (l *List) reviewMissing(ctx context.Context) {
 	now := l.set.Clock.Now()
 	l.reason = l.currentRetainReason(now)
--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -74,7 +74,8 @@
 	// outage is true if the store is unreachable for all nodes, or was within the last
 	// ExpiryGrace.
 	outage bool
-	// removalTimes are the times of the latest removals. reason says why engines with
+	// removalTimes are the times at which entries were found missing within the last
+	// ExpiryGrace, except in the first list of an era. reason says why engines with
 	// missing entries stay in use, and retained is the number of such engines.
 	removalTimes []time.Time
 	reason       retainReason
--- a/citronlist/passed.go
+++ b/citronlist/passed.go
@@ -32,7 +32,8 @@
 		doc.Base = revision
 		items = nil
 		items = append(itemsAfter(revision, p.items), itemsAfter(revision, p.removed)...)
-		// An entry that expired and came back is in both lists.
+		// An entry that expired and came back is in both lists, and its removal must be
+		// applied first.
 		slices.SortFunc(items, func(a, b citronkv.Item) int { return a.Revision.Compare(b.Revision) })
 	}
 	var err error
--- a/citronlist/starts.go
+++ b/citronlist/starts.go
@@ -4,8 +4,9 @@
 	"context"
 )
 
-// RecordRestart records that the engine with the given instance name has reported a start
-// at born, later than its entry says. It ignores engines whose entry gives no start time.
+// RecordRestart records that the engine with the given instance name was started at
+// startMS, in Unix milliseconds. It ignores a start that is not later than the one already
+// known, and engines whose entry gives no start time.
 func (l *List) RecordRestart(ctx context.Context, instance string, born int64) {
 	key := l.set.Prefix + instance
 	e, ok := l.entries[key]
