--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -208,21 +208,21 @@
 	if l.resolveAddressConflict(ctx, it, e) {
 		return
 	}
-	now := entry{engine: e, item: it, listedStartMS: e.StartMS}
+	updated := entry{engine: e, item: it, listedStartMS: e.StartMS}
 	if had && old.engine.StartMS > e.StartMS && e.StartMS > 0 {
-		now.engine = old.engine // the entry was written before the engine restarted
+		updated.engine = old.engine // the entry was written before the engine restarted
 	}
-	if had && old.engine.ID != now.engine.ID {
-		l.reportEnded(ctx, old.engine, now.engine.ID)
+	if had && old.engine.ID != updated.engine.ID {
+		l.reportEnded(ctx, old.engine, updated.engine.ID)
 	}
-	if l.fromStore && (!had || old.engine != now.engine || !old.missingSince.IsZero()) {
+	if l.fromStore && (!had || old.engine != updated.engine || !old.missingSince.IsZero()) {
 		citronevent.Log(ctx, l.set.Log, citronevent.EnginesChanged, "engine", e.ID, "peer", e.Addr, "service", e.Service, "zone", e.Zone, "kind", e.Kind, "from", e.Layers.From, "to", e.Layers.To, "leaving", e.Leaving)
 	}
 	if had && fingerprintOf(old.item) != fingerprintOf(it) {
 		l.rememberSuperseded(old.item)
 	}
 	delete(l.rejected, it.Key)
-	l.setEntry(it.Key, now)
+	l.setEntry(it.Key, updated)
 	l.byAddr[e.Addr] = it.Key
 }
 
