--- a/citronlist/index.go
+++ b/citronlist/index.go
@@ -99,10 +99,10 @@
 	return true
 }
 
-// usableEngine returns the engine of an entry as other parts of the node see it: an
+// effectiveEngine returns the engine of an entry as other parts of the node see it: an
 // engine whose entry was overwritten, or is missing and not retained, is marked as
 // leaving. The second result reports whether the engine's service is configured.
-func (e entry) usableEngine(services map[string]citrontable.Service) (citronmodel.Engine, bool) {
+func (e entry) effectiveEngine(services map[string]citrontable.Service) (citronmodel.Engine, bool) {
 	out := e.engine
 	out.Leaving = out.Leaving || e.overwritten || !e.missingSince.IsZero() && !e.retained
 	_, configured := services[out.Service]
@@ -116,7 +116,7 @@
 	clear(x.idByKey)
 	x.engines = make([]citronmodel.Engine, 0, len(l.entries))
 	for key, listed := range l.entries {
-		if e, ok := listed.usableEngine(services); ok {
+		if e, ok := listed.effectiveEngine(services); ok {
 			x.engines = append(x.engines, e)
 			x.idByKey[key] = e.ID
 		}
@@ -137,7 +137,7 @@
 		listed, ok := l.entries[key]
 		var e citronmodel.Engine
 		if ok {
-			e, ok = listed.usableEngine(x.engineServices)
+			e, ok = listed.effectiveEngine(x.engineServices)
 		}
 		if id, had := x.idByKey[key]; had {
 			at, _ := findEngine(x.engines, id)
