--- a/citronkv/server.go
+++ b/citronkv/server.go
@@ -31,8 +31,9 @@
 	Down bool `json:"down"`
 	// Slow delays every store call by this duration.
 	Slow time.Duration `json:"slow"`
-	// LoseReplies is the number of writes that are applied but answered with
-	// ErrUnavailable, as if the reply were lost.
+	// LoseReplies is the number of puts and deletes that are applied but answered
+	// with ErrUnavailable, as if the reply were lost. Lease operations are not
+	// affected.
 	LoseReplies int `json:"loseReplies"`
 	// DownAfterLoss sets Down with the first lost reply, so that the writer
 	// cannot read back whether its write was applied.
@@ -293,7 +294,8 @@
 }
 
 // watchFor implements Watch with a maximum wait, which maxWatchWait bounds. A revision
-// of another era is reported as compacted, because a restore clears the history.
+// of another era is reported as compacted, because a restore clears the history. So is
+// a revision after which any change was dropped, even one of a key outside of prefix.
 func (s *Server) watchFor(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Item, Revision, error) {
 	s.watches.Add(1)
 	if err := s.applyFaults(ctx); err != nil {
