--- a/citronlist/starts.go
+++ b/citronlist/starts.go
@@ -7,14 +7,14 @@
 // RecordRestart records that the engine with the given instance name was started at
 // startMS, in Unix milliseconds. It ignores a start that is not later than the one already
 // known, and engines whose entry gives no start time.
-func (l *List) RecordRestart(ctx context.Context, instance string, born int64) {
+func (l *List) RecordRestart(ctx context.Context, instance string, startMS int64) {
 	key := l.set.Prefix + instance
 	e, ok := l.entries[key]
-	if !ok || e.engine.StartMS == 0 || e.engine.StartMS >= born {
+	if !ok || e.engine.StartMS == 0 || e.engine.StartMS >= startMS {
 		return
 	}
 	old := e.engine
-	e.engine = old.Restarted(born)
+	e.engine = old.Restarted(startMS)
 	l.setEntry(key, e)
 	l.version++
 	l.reportEnded(ctx, old, e.engine.ID)
