--- a/citronlist/era.go
+++ b/citronlist/era.go
@@ -7,7 +7,8 @@
 // The first list of a new era is applied as a full list. Where this node has seen later
 // entries of an engine than the restored copy holds, the restored entry is outdated: an
 // engine that is known to be leaving stays leaving, and an engine that is known to be
-// gone is not used, until it writes its entry again. Engines that are missing in the
+// gone is not used, until it writes its entry again. This holds only while the restored
+// entry is among those remembered (see maxSuperseded). Engines that are missing in the
 // restored copy get ExpiryGrace to write their entries again, as after an outage in which
 // entries expire.
 
