--- a/citronforward/accused.go
+++ b/citronforward/accused.go
@@ -1,20 +1,22 @@
 package citronforward
 
 // Streams through an accused engine. An engine is accused if another engine named it as
-// the cause of a failed request.
+// the cause of a refused request.
 //
 // When an engine dies at peak load and stops responding, the engine before it refuses
 // new requests at once and names it. Streams that already run through the dead engine
 // just stall. Neither sign alone proves that the engine is dead: it may be full or be
 // unloading layers, and a stream pauses now and then. If an accused engine does not
 // answer a probe while the stream stalls, the stream is moved, long before its stall
-// alone would cause a move. If no other engine in the zone holds the layers, the stream
-// still waits.
+// alone would cause a move. If no other engine in the zone holds the layers, a stream
+// that has begun or is late still waits before it moves to another zone
+// (mayWaitForZone).
 
 import "time"
 
 // accusedProbeTimeout is how long an accused engine may take to answer a probe while a
-// stream through it is stalled.
+// stream through it is stalled. It is also the maximum age of another stream's probe
+// whose result is used instead.
 const accusedProbeTimeout = 60 * time.Millisecond
 
 // accusedProbe is a probe of an accused engine.
@@ -27,8 +29,9 @@
 	cleared bool
 }
 
-// accusedHop returns the index of the first hop of a stalled stream whose engine is
-// accused and does not answer a probe, or -1.
+// accusedHop probes the first accused engine on the path of a stalled stream. It returns
+// the index of that engine's hop if the probe fails or is not answered in time, and -1
+// otherwise.
 func (w *watch) accusedHop(now time.Time, silence time.Duration) int {
 	if silence < stallCheckDelay {
 		w.accused = nil // the stream resumed; a later stall needs a new probe
--- a/citronforward/admit.go
+++ b/citronforward/admit.go
@@ -44,8 +44,8 @@
 	return time.Duration(share * float64(max(0, left)))
 }
 
-// awaitCapacity waits for a path with free capacity for the stream and returns it. full
-// reports that paths exist but none has free capacity.
+// awaitCapacity waits until the best path has free capacity for the stream and returns
+// it. full reports that there is a path, but the best one has no free capacity.
 func (s *streamJob) awaitCapacity(ctx context.Context) (p citronpath.Path, full, ok bool) {
 	until := s.f.Clock.Now().Add(time.Duration(float64(s.route.TargetLatency) * capacityWaitShare))
 	for {
--- a/citronforward/crash.go
+++ b/citronforward/crash.go
@@ -4,11 +4,11 @@
 //
 // A caller may send a request that crashes every engine that begins to run it, and may
 // send it again to any node. Retried from engine to engine, such a request stops the
-// engines of one zone after the other. Each engine whose process ends shortly after it
-// began a run is therefore recorded under the request's fingerprint and shared with all
-// nodes (citronquarantine). A request that would be quarantined after one more crash is
-// a suspect: it is not retried after a failed run. A quarantined request is refused
-// before it is sent.
+// engines of one zone after the other. Each engine whose process ends during a run, before
+// the request has run successfully, is therefore recorded under the request's fingerprint
+// and shared with all nodes (citronquarantine). A request that would be quarantined after
+// one more crash is a suspect: it is not retried after a failed run. A quarantined request
+// is refused before it is sent.
 
 import (
 	"context"
--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -79,7 +79,7 @@
 	Current func() *State
 	Metrics *Metrics
 	// Accuse, if set, reports an accused engine to the other nodes. An engine is
-	// accused if another engine named it as the cause of a failed request.
+	// accused if another engine named it as the cause of a refused request.
 	Accuse func(*citronpool.Engine)
 	// Borrow, if set, borrows retry budget for a service from other nodes and reports
 	// whether any node lent some.
@@ -136,10 +136,11 @@
 	// avoid holds the IDs of engines that this request must not use, for example because
 	// they failed, refused it or were found dead.
 	avoid map[string]bool
-	// runs counts the engines that may have run the request; refused counts the engines
-	// that did not run it.
+	// runs counts the attempts that may have run the request, without those in
+	// runsOnEndedEngines. refused counts the attempts that did not run it.
 	runs, refused int
-	// runsOnEndedEngines counts the runs on engines whose process has ended since.
+	// runsOnEndedEngines counts the runs of a stream whose first engine's process has
+	// ended since. They do not count against the route's limit.
 	runsOnEndedEngines int
 	// ranSuccessfully reports whether the request has run successfully under this ID.
 	ranSuccessfully bool
@@ -196,7 +197,7 @@
 	// the caller time that it could use elsewhere.
 	maxRefused = 4
 	// answerMargin is reserved so that the final response reaches the caller before its
-	// deadline.
+	// deadline, but at most a tenth of the request's time limit.
 	answerMargin = 15 * time.Millisecond
 	// defaultWait is the time limit of requests that state none.
 	defaultWait = 30 * time.Second
--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -78,8 +78,8 @@
 	return false
 }
 
-// requestPermit requests a permit, unless an earlier denial told this node not to ask
-// again yet.
+// requestPermit requests a permit. If an earlier denial told this node to ask again only
+// after the request's maximum wait, it denies the permit without asking.
 func (j *job) requestPermit(ctx context.Context, e *citronpool.Engine) citronpermit.Decision {
 	maxWait := j.maxPermitWait()
 	if throttled := e.ThrottledFor(j.f.Clock.Now()); throttled > maxWait {
@@ -135,7 +135,7 @@
 	return ok && now.Healthy(j.f.Clock.Now())
 }
 
-// logLimitHeld logs that an engine's rate limit delays the request or rejects it.
+// logLimitHeld logs that the request waits for an engine's permit or was denied one.
 func (j *job) logLimitHeld(e *citronpool.Engine, outcome string, wait time.Duration) {
 	citronevent.Log(context.Background(), j.f.Log, citronevent.LimitHeld, "request", j.ID, "service", j.service.Name, "engine", e.ID, "peer", e.Addr, "perSecond", j.f.Limits.Get(e.ID).PerSecond, "outcome", outcome, "wait", wait)
 }
--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -49,10 +49,11 @@
 	// repathTimeout limits the time for a repath order to the first engine.
 	repathTimeout = 400 * time.Millisecond
 	// A stream that waits for its first event when an engine fails may still meet
-	// its target, so it moves to another zone immediately. A stream that has begun
-	// is already late. It moves at a random time between zoneSwitchDelay and
-	// zoneSwitchDelay + zoneSwitchSpread after the failure was detected: all streams
-	// of a zone moving at once would delay the healthy streams of other zones.
+	// its target, so it moves to another zone immediately. A stream that has begun,
+	// or has waited for longer than its target latency, is already late. It moves
+	// at a random time between zoneSwitchDelay and zoneSwitchDelay +
+	// zoneSwitchSpread after the failure was detected: all streams of a zone moving
+	// at once would delay the healthy streams of other zones.
 	zoneSwitchDelay  = 50 * time.Millisecond
 	zoneSwitchSpread = 600 * time.Millisecond
 	// deadTTL is how long a stream assumes that an engine is still dead after
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// permittedPath returns a path with free capacity whose engines may be sent the
-// stream under their rate limits, or the reason why there is none.
+// permittedPath returns a path with free capacity for which the stream has taken all
+// permits it needs, or the reason why there is none.
 func (s *streamJob) permittedPath(ctx context.Context) (citronpath.Path, string) {
 	for {
 		p, full, ok := s.awaitCapacity(ctx)
@@ -536,7 +536,8 @@
 }
 
 // handleEngineFailure handles a response that is not a stream: the engine ran the
-// request and failed. The response is forwarded unless the request may be retried.
+// request and failed. The response is forwarded unless the request may be retried or
+// the caller already has part of a stream.
 func (s *streamJob) handleEngineFailure(ctx context.Context, reply *citronupstream.Reply) runOutcome {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes))
 	if err != nil && ctx.Err() != nil {
--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -203,8 +203,8 @@
 	// assumedLatency is the latency assumed for an engine that has not answered yet.
 	assumedLatency = 15 * time.Millisecond
 	// otherZoneCost is added to the cost of engines in other zones. At latencies around
-	// assumedLatency, they are selected only if the engines of this zone are half as
-	// fast or already have a request running.
+	// assumedLatency, they are selected only if the engines of this zone take about one
+	// and a half times as long or already have a request running.
 	otherZoneCost = 8 * time.Millisecond
 )
 
@@ -269,10 +269,12 @@
 	}
 }
 
-// maxZoneJitter is the maximum random cost added to a zone.
+// maxZoneJitter is the maximum random cost added to a zone other than this node's, in
+// the unit of citronpath's costs: milliseconds per token step.
 const maxZoneJitter = 15
 
-// drawZoneJitter draws a random cost per zone for one request.
+// drawZoneJitter draws a random cost for one request for each zone whose load is known
+// from other nodes.
 func drawZoneJitter(s *State) map[string]float64 {
 	out := map[string]float64{}
 	for zone := range s.OtherNodesCache {
