--- a/citronforward/limit.go
+++ b/citronforward/limit.go
@@ -131,8 +131,8 @@
 // stillHealthy reports whether the engine may still receive a request that has waited
 // for its permit.
 func (j *job) stillHealthy(e *citronpool.Engine) bool {
-	now, ok := j.f.Current().View.ByID(e.ID)
-	return ok && now.Healthy(j.f.Clock.Now())
+	current, ok := j.f.Current().View.ByID(e.ID)
+	return ok && current.Healthy(j.f.Clock.Now())
 }
 
 // logLimitHeld logs that the request waits for an engine's permit or was denied one.
