--- a/citronforward/repair.go
+++ b/citronforward/repair.go
@@ -400,10 +400,10 @@
 		return keepRun
 	}
 	citronevent.Log(w.ctx, s.f.Log, citronevent.RepathFailed, "request", s.ID, "peer", m.path[0].Engine.Addr, "err", m.err)
-	var part *citronupstream.HopError
-	if errors.As(m.err, &part) {
+	var hopErr *citronupstream.HopError
+	if errors.As(m.err, &hopErr) {
 		for i, h := range m.path {
-			if h.Engine.Addr == part.Addr && i > 0 {
+			if h.Engine.Addr == hopErr.Addr && i > 0 {
 				s.avoid[h.Engine.ID] = true
 				h.Engine.Avoid(s.f.Clock.Now(), busyPause)
 				return w.reroute()
