--- a/citronforward/whole.go
+++ b/citronforward/whole.go
@@ -182,14 +182,14 @@
 // engine as its cause, that engine is accused instead.
 func (j *job) noteRefusal(e *citronpool.Engine, reply *citronupstream.Reply) {
 	now := j.f.Clock.Now()
-	if at, ok := j.f.Current().View.ByAddr(reply.FaultAddr); reply.FaultAddr != "" && ok {
-		j.avoid[at.ID] = true
-		if at.Accuse(now) && j.f.Accuse != nil {
-			j.f.Accuse(at)
+	if accused, ok := j.f.Current().View.ByAddr(reply.FaultAddr); reply.FaultAddr != "" && ok {
+		j.avoid[accused.ID] = true
+		if accused.Accuse(now) && j.f.Accuse != nil {
+			j.f.Accuse(accused)
 		}
 		// The accused engine may be full or dead. Streams that run through it need to
 		// know which, so probe it.
-		go func() { _ = j.f.probe(context.Background(), at, citronprobe.MaxReportAge) }()
+		go func() { _ = j.f.probe(context.Background(), accused, citronprobe.MaxReportAge) }()
 		return
 	}
 	if reply.Status == http.StatusMisdirectedRequest {
