--- a/citronnode/config.go
+++ b/citronnode/config.go
@@ -5,9 +5,9 @@
 // Under load, many versions, each with hundreds of routes, arrive from the store and
 // from several nodes at once while engines die. The loop used to decode every copy of
 // every version between its other inputs, and a version took effect more than three
-// seconds after its acknowledgement. Therefore each version is decoded only once, outside
-// the loop, and only one at a time. Versions that have been superseded are not decoded,
-// and the loop takes the newest version before any other input.
+// seconds after its acknowledgement. Therefore versions are decoded outside the loop, one
+// at a time. A copy from another node is not decoded if its version is no newer than the
+// newest decoded one, and the loop takes the newest version before any other input.
 
 import (
 	"context"
@@ -42,8 +42,8 @@
 }
 
 // offer decodes a configuration unless it is known to be no newer than the newest one.
-// The version is zero if it is not known before decoding. offer is called by the
-// goroutines that read the store and by exchanges.
+// The version is zero if it is not known before decoding, as for copies from the store.
+// offer is called by the goroutines that read the store and by exchanges.
 func (b *configInbox) offer(version int64, body []byte, source string) error {
 	b.decoding.Lock()
 	defer b.decoding.Unlock()
--- a/citronnode/control.go
+++ b/citronnode/control.go
@@ -28,7 +28,8 @@
 	// increments the heartbeat counter of this node.
 	tickInterval = citronpeer.MinHeartbeatInterval
 	// deadReportAge is how long a node keeps reporting an engine that it found dead. Other
-	// nodes verify the report themselves.
+	// nodes avoid the engine briefly, and the leader checks it before it gives its layers
+	// to other engines.
 	deadReportAge = 1500 * time.Millisecond
 )
 
@@ -49,6 +50,8 @@
 }
 
 // listDelta is the set of changes to the list of engines after base, up to revision.
+// base is zero if they come from the store: the list that they follow has then been sent
+// to the loop before.
 type listDelta struct {
 	items          []citronkv.Item
 	base, revision citronkv.Revision
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -27,7 +27,7 @@
 func (n *Node) Limits() *citronlimit.Registry { return n.limits }
 
 // limitsChanged tells other nodes that limits changed, and stops throttling the engines
-// in eased, whose limits were raised or removed.
+// in relaxed, whose limits were raised or removed.
 func (n *Node) limitsChanged(relaxed []string) {
 	n.notifyPeers()
 	t := n.snap.Load().traffic
--- a/citronnode/members.go
+++ b/citronnode/members.go
@@ -87,8 +87,9 @@
 // maxLoggedNames limits the node names in a log line.
 const maxLoggedNames = 5
 
-// logChangedMembers logs in one line which nodes appeared or changed. One line for each node
-// would grow with the square of the number of nodes when they restart in turn.
+// logChangedMembers logs in one line which nodes appeared, returned or changed. With one
+// line for each node, the logs of the fleet would grow with the square of the number of
+// nodes when they restart in turn.
 func (c *control) logChangedMembers(ctx context.Context) {
 	if len(c.changedMembers) == 0 {
 		return
@@ -129,8 +130,8 @@
 }
 
 // collectMembers writes the state of the other nodes into a snapshot and reports their
-// usage to the retry budget. It visits every node, so it runs once per tick and not for
-// every message.
+// usage to the retry budget. It visits every node, so it runs once per tick and when a
+// node has appeared, returned or changed, but not for every message.
 func (c *control) collectMembers(s *snapshot) {
 	now := c.n.clock.Now()
 	alive := c.members.Alive(now)
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -93,7 +93,7 @@
 	// does the same if the leader must be informed too.
 	updates, urgentUpdates chan struct{}
 	// lastAccusation is when this node last reported an accused engine: an engine that
-	// another engine named as the cause of a failed request.
+	// another engine named as the cause of a refused request.
 	lastAccusation atomic.Pointer[time.Time]
 	// configs holds the newest decoded configuration for the control loop.
 	configs configInbox
--- a/citronnode/sources.go
+++ b/citronnode/sources.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// minRetryWait and maxRetryWait limit the wait after a failed call to the store. All
-	// nodes see an outage at the same time, so the wait is random and grows: the nodes
+	// minRetryWait and maxRetryWait are the least and the greatest mean wait of follow
+	// after a failed call to the store. All nodes see an outage at the same time, so the
+	// wait is random, from half to one and a half times the mean, and grows: the nodes
 	// must not all call the store again at the same moment.
 	minRetryWait = 150 * time.Millisecond
 	maxRetryWait = 800 * time.Millisecond
@@ -110,7 +111,7 @@
 	maxApplyPolls     = 50
 )
 
-// pushInitialDocument immediately announces a document that other nodes wait for, too.
+// pushInitialDocument immediately announces a document that other nodes also wait for.
 // Through gossip rounds it would reach them one after the other while callers are
 // rejected.
 func (n *Node) pushInitialDocument(ctx context.Context, config bool) {
@@ -192,8 +193,9 @@
 	// times the number of changes. Four watchers tolerate the loss of any three of them,
 	// or of their connection to the store.
 	maxWatchers = 4
-	// standbyInterval is how often a node that does not watch checks whether it has to.
-	// A watching node that the store rejects tells the others within a second.
+	// standbyInterval is the minimum wait of a node that does not watch before it checks
+	// again whether it has to. A watching node that the store rejects tells the others
+	// within a second.
 	standbyInterval = 300 * time.Millisecond
 )
 
@@ -311,9 +313,9 @@
 const nodePrefix = "deck/nodes/"
 
 const (
-	// maxRegistered is the number of nodes that register their addresses in the store,
-	// the first in their order. Any node finds the fleet through the registered nodes
-	// that are running.
+	// maxRegistered is the number of nodes that register their addresses in the store:
+	// those that rank first. Any node finds the fleet through the registered nodes that
+	// are running.
 	maxRegistered = 16
 	// registerInterval is how often a node checks whether it is one of them.
 	registerInterval = 2 * time.Second
--- a/citronnode/suspects.go
+++ b/citronnode/suspects.go
@@ -1,9 +1,11 @@
 package citronnode
 
-// Gossip of suspects. A suspect is a request under which engines have crashed. Changed
-// records are sent at once, and a node whose set of relevant records differs is sent
-// that whole set. A caller may send a suspect to any node, so all nodes must know what one
-// node has learned before the caller sends the suspect again.
+// Gossip of suspects. A suspect is here any request under which an engine has crashed;
+// citronquarantine uses the word only for a request that is quarantined or that one more
+// crash would quarantine. A changed record is sent at once if it has two crashes or more,
+// and with the next message otherwise. A node whose set of relevant records (allSuspects)
+// differs is sent that whole set. A caller may send a suspect to any node, so all nodes
+// must know what one node has learned before the caller sends the suspect again.
 
 import (
 	"context"
