--- a/citronnode/node_test.go
+++ b/citronnode/node_test.go
@@ -319,9 +319,9 @@
 		return a.usable() == 2 && b.usable() == 2 && len(a.Addresses("z1")) == 2
 	})
 	eventually(t, "the other node avoids the accused engine", func() bool {
-		at, _ := a.Traffic().View.ByID("e1")
-		at.Accuse(time.Now())
-		a.Accuse(at)
+		accused, _ := a.Traffic().View.ByID("e1")
+		accused.Accuse(time.Now())
+		a.Accuse(accused)
 		time.Sleep(20 * time.Millisecond)
 		there, _ := b.Traffic().View.ByID("e1")
 		other, _ := b.Traffic().View.ByID("e0")
