--- a/citronlist/list.go
+++ b/citronlist/list.go
@@ -3,8 +3,8 @@
 // themselves report, if that is newer.
 //
 //	full list, changes -> applyEntry, markMissing -> Engines -> traffic, placement
-//	engine reports     -> starts.go --^       |
-//	store outages      -> lapse.go  ----------+-> Snapshot -> other nodes
+//	engine reports     -> restarts.go --^     |
+//	store outages      -> retain.go ----------+-> Snapshot -> other nodes
 //
 // The higher revision wins, whichever source it comes from. A List must be used by one
 // goroutine only.
