--- a/citronpermit/issuer.go
+++ b/citronpermit/issuer.go
@@ -95,14 +95,14 @@
 
 // Issue decides whether a request may be sent to an engine that accepts perSecond requests
 // per second. maxWait is how long the request can wait for its permit.
-func (d *Issuer) Issue(engine string, perSecond float64, maxWait time.Duration, now time.Time) Decision {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.sweep(now)
-	b := d.buckets[engine]
+func (i *Issuer) Issue(engine string, perSecond float64, maxWait time.Duration, now time.Time) Decision {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.sweep(now)
+	b := i.buckets[engine]
 	if b == nil {
 		b = newBucket(perSecond, now)
-		d.buckets[engine] = b
+		i.buckets[engine] = b
 	}
 	return b.issue(perSecond, maxWait, now)
 }
@@ -155,14 +155,14 @@
 }
 
 // sweep drops the buckets for which no node has requested permits lately.
-func (d *Issuer) sweep(now time.Time) {
-	if now.Sub(d.sweptAt) < bucketTTL {
+func (i *Issuer) sweep(now time.Time) {
+	if now.Sub(i.sweptAt) < bucketTTL {
 		return
 	}
-	d.sweptAt = now
-	for engine, b := range d.buckets {
+	i.sweptAt = now
+	for engine, b := range i.buckets {
 		if now.Sub(b.requestedAt) > bucketTTL {
-			delete(d.buckets, engine)
+			delete(i.buckets, engine)
 		}
 	}
 }
