--- a/citronplace/plan.go
+++ b/citronplace/plan.go
@@ -4,7 +4,7 @@
 // part of an engine's memory that layers do not occupy caches the running
 // requests. So each zone gets one whole replica of the model, a set of
 // engines that together hold all layers, or several where its memory allows
-// that (copies.go). Within a replica, fast engines hold as many layers as
+// that (replicas.go). Within a replica, fast engines hold as many layers as
 // leave them the same cache as the other engines; slow engines hold the rest.
 // Engines left over are spares. Until they are needed they duplicate the
 // layers with the least cache (cover.go); of equal layers the first, since
