--- a/citronentry/rig_test.go
+++ b/citronentry/harness_test.go
@@ -1,6 +1,6 @@
 package citronentry_test
 
-// The test rig runs entries in-process on loopback listeners. They use an
+// The test harness runs entries in-process on loopback listeners. They use an
 // in-memory KV server as their Store, either directly or through a fake that
 // injects faults at the interface. Fake engines and plain upstreams run behind
 // httptest servers whose middleware injects faults.
--- a/citronentry/plain_test.go
+++ b/citronentry/plain_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// TestRefusedUpstreamKeepsItsPort tests the test rig. An upstream that refuses
+// TestRefusedUpstreamKeepsItsPort tests the test harness. An upstream that refuses
 // connections has closed its port. If another server could get that port in the
 // meantime, it would answer the caller, and a request that no upstream ran would
 // look served.
