--- a/citronlimit/gossip.go
+++ b/citronlimit/gossip.go
@@ -124,8 +124,8 @@
 	return out
 }
 
-// Sum returns a checksum of all records, and zero if there are none.
-func (reg *Registry) Sum() uint64 { return reg.sum.Load() }
+// Checksum returns a checksum of all records, and zero if there are none.
+func (reg *Registry) Checksum() uint64 { return reg.sum.Load() }
 
 // checksum returns the sum of the hashes of all records, which does not depend on their
 // order.
--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -60,7 +60,7 @@
 	is.Equal(reg.CountLimited(), 1) // i-9 is not in the engine list
 	reg.Retain(func(engine string) bool { return engine == "i-2" })
 	is.Equal(reg.Get("i-1"), citronlimit.Record{})
-	is.Equal(reg.Sum(), uint64(0))
+	is.Equal(reg.Checksum(), uint64(0))
 }
 
 func TestInvalidMessageIsRejected(t *testing.T) {
@@ -117,7 +117,7 @@
 			}
 		}
 		for _, reg := range registries[1:] {
-			if reg.Sum() != registries[0].Sum() {
+			if reg.Checksum() != registries[0].Checksum() {
 				t.Fatalf("registries have different records: %v and %v", registries[0].All(), reg.All())
 			}
 		}
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -177,7 +177,7 @@
 func (n *Node) exchange(ctx context.Context, addr string) {
 	s := n.snap.Load()
 	state := s.gossipState()
-	state.SuspectChecksum, state.LimitChecksum = n.quarantine.Sum(), n.limits.Sum()
+	state.SuspectChecksum, state.LimitChecksum = n.quarantine.Sum(), n.limits.Checksum()
 	theirs, err := n.peers.Exchange(ctx, addr, state)
 	n.stabilizer.recordExchange(state.Digest, theirs.Digest, err)
 	if err != nil {
@@ -185,7 +185,7 @@
 		return
 	}
 	n.merge(ctx, theirs)
-	same, sameLimits := theirs.SuspectChecksum == n.quarantine.Sum(), theirs.LimitChecksum == n.limits.Sum()
+	same, sameLimits := theirs.SuspectChecksum == n.quarantine.Sum(), theirs.LimitChecksum == n.limits.Checksum()
 	if theirs.Missing.Empty() && same && sameLimits {
 		return
 	}
@@ -226,7 +226,7 @@
 	if theirs.SuspectChecksum != state.SuspectChecksum {
 		state.Suspects = a.n.allSuspects()
 	}
-	state.LimitChecksum = a.n.limits.Sum()
+	state.LimitChecksum = a.n.limits.Checksum()
 	if theirs.LimitChecksum != state.LimitChecksum {
 		state.Limits = a.n.limits.All()
 	}
