--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -177,7 +177,7 @@
 func (n *Node) exchange(ctx context.Context, addr string) {
 	s := n.snap.Load()
 	state := s.gossipState()
-	state.SuspectChecksum, state.LimitChecksum = n.quarantine.Sum(), n.limits.Checksum()
+	state.SuspectChecksum, state.LimitChecksum = n.quarantine.Checksum(), n.limits.Checksum()
 	theirs, err := n.peers.Exchange(ctx, addr, state)
 	n.stabilizer.recordExchange(state.Digest, theirs.Digest, err)
 	if err != nil {
@@ -185,7 +185,7 @@
 		return
 	}
 	n.merge(ctx, theirs)
-	same, sameLimits := theirs.SuspectChecksum == n.quarantine.Sum(), theirs.LimitChecksum == n.limits.Checksum()
+	same, sameLimits := theirs.SuspectChecksum == n.quarantine.Checksum(), theirs.LimitChecksum == n.limits.Checksum()
 	if theirs.Missing.Empty() && same && sameLimits {
 		return
 	}
@@ -222,7 +222,7 @@
 	sameZone := theirs.From.Zone == s.self.Zone
 	state.Diff = s.roster.Diff(theirs.Digest, sameZone)
 	state.Missing = s.roster.Missing(theirs.Digest, sameZone)
-	state.SuspectChecksum = a.n.quarantine.Sum()
+	state.SuspectChecksum = a.n.quarantine.Checksum()
 	if theirs.SuspectChecksum != state.SuspectChecksum {
 		state.Suspects = a.n.allSuspects()
 	}
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -58,7 +58,7 @@
 	summary *summary
 }
 
-// summary holds the results of All and Sum.
+// summary holds the results of All and Checksum.
 type summary struct {
 	at  time.Time
 	all []Entry
@@ -296,9 +296,9 @@
 // of requests that are or were quarantined, or that one more crash could quarantine.
 func (l *Ledger) All() []Entry { return l.summarize().all }
 
-// Sum returns a checksum of the records that All returns, and zero if there are none.
+// Checksum returns a checksum of the records that All returns, and zero if there are none.
 // Nodes with the same records have the same checksum, whenever they learned them.
-func (l *Ledger) Sum() uint64 { return l.summarize().sum }
+func (l *Ledger) Checksum() uint64 { return l.summarize().sum }
 
 func (l *Ledger) summarize() summary {
 	if l.Empty() {
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -219,7 +219,7 @@
 			}
 		}
 		for i := range nodes {
-			if nodes[i].Sum() != nodes[0].Sum() {
+			if nodes[i].Checksum() != nodes[0].Checksum() {
 				t.Fatalf("node %d: checksum of the records differs from that of node 0", i)
 			}
 		}
@@ -253,7 +253,7 @@
 	is.Equal(updates, 0)
 	is.True(len(l.Recent()) <= 8)
 	is.Equal(len(l.All()), 0)
-	is.Equal(l.Sum(), uint64(0))
+	is.Equal(l.Checksum(), uint64(0))
 	crash(l, request(299), 20, 1)
 	is.Equal(updates, 1)
 	is.Equal(l.Recent()[0].Fingerprint, request(299)) // records with more crashes come first
