--- a/citronlimit/registry.go
+++ b/citronlimit/registry.go
@@ -76,10 +76,10 @@
 	return reg
 }
 
-// Notify sets the function that is called when there is an update for other nodes.
-// relaxed holds the engines that accept more requests than before. Notify must be called
+// OnChange sets the function that is called when there is an update for other nodes.
+// relaxed holds the engines that accept more requests than before. OnChange must be called
 // before the registry is used, and f must not block.
-func (reg *Registry) Notify(f func(relaxed []string)) { reg.onChange = f }
+func (reg *Registry) OnChange(f func(relaxed []string)) { reg.onChange = f }
 
 // Get returns the record of an engine. It is the zero Record if the engine has none.
 func (reg *Registry) Get(engine string) Record { return (*reg.records.Load())[engine] }
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -190,7 +190,7 @@
 		configs:           newConfigInbox(sources.DecodeConfig),
 	}
 	n.limits, n.permits = citronlimit.NewRegistry(clock), citronpermit.NewIssuer()
-	n.limits.Notify(n.limitsChanged)
+	n.limits.OnChange(n.limitsChanged)
 	n.quarantine = citronquarantine.New(settings.Name, clock)
 	n.quarantine.Notify(func() {
 		n.notifyPeers()
