--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -192,7 +192,7 @@
 	n.limits, n.permits = citronlimit.NewRegistry(clock), citronpermit.NewIssuer()
 	n.limits.OnChange(n.limitsChanged)
 	n.quarantine = citronquarantine.New(settings.Name, clock)
-	n.quarantine.Notify(func() {
+	n.quarantine.OnChange(func() {
 		n.notifyPeers()
 		wake(n.quarantineChanged)
 	})
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -83,9 +83,9 @@
 	return &Ledger{node: node, clock: clock, entries: map[Fingerprint]*entry{}, onChange: func() {}}
 }
 
-// Notify sets the function that is called when there is an update for other nodes.
+// OnChange sets the function that is called when there is an update for other nodes.
 // It must be called before the ledger is used.
-func (l *Ledger) Notify(f func()) { l.onChange = f }
+func (l *Ledger) OnChange(f func()) { l.onChange = f }
 
 // Empty reports whether the ledger has no records.
 func (l *Ledger) Empty() bool { return l.size.Load() == 0 }
@@ -231,7 +231,7 @@
 
 // Merge merges the records that another node sent, and returns the entries of the
 // requests that are quarantined on this node as a result. If a record that all nodes have
-// to agree on has changed, there is an update for other nodes (Notify).
+// to agree on has changed, there is an update for other nodes (OnChange).
 func (l *Ledger) Merge(received []Entry) ([]Entry, error) {
 	if err := l.validate(received); err != nil {
 		return nil, err
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -243,7 +243,7 @@
 	is := is.New(t)
 	l, clock := newLedger("n1")
 	updates := 0
-	l.Notify(func() { updates++ })
+	l.OnChange(func() { updates++ })
 	for i := range 300 {
 		crash(l, request(i), i%8, 1)
 	}
