--- a/citronforward/forwarder_test.go
+++ b/citronforward/forwarder_test.go
@@ -159,8 +159,8 @@
 	return &citronupstream.Reply{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), FromEngine: true}
 }
 
-func refusal(faultAddr string) *citronupstream.Reply {
+func refusal(accusedAddr string) *citronupstream.Reply {
 	r := reply(http.StatusServiceUnavailable, "")
-	r.NotExecuted, r.FaultAddr, r.FromEngine = true, faultAddr, false
+	r.NotExecuted, r.AccusedAddr, r.FromEngine = true, accusedAddr, false
 	return r
 }
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -405,7 +405,7 @@
 		_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxAnswerBytes)) // so that the connection can be reused
 		s.noteRefusal(first, reply)
 		s.f.Metrics.Attempts.WithLabelValues(notRun.String()).Inc()
-		s.logAttempt(first, result{outcome: notRun, status: reply.Status, err: errors.Newf("engine did not run the request, accused engine: %q", reply.FaultAddr)})
+		s.logAttempt(first, result{outcome: notRun, status: reply.Status, err: errors.Newf("engine did not run the request, accused engine: %q", reply.AccusedAddr)})
 		return runRefused
 	}
 	if reply.Status != http.StatusOK {
--- a/citronforward/unary.go
+++ b/citronforward/unary.go
@@ -182,7 +182,7 @@
 // engine as its cause, that engine is accused instead.
 func (j *job) noteRefusal(e *citronpool.Engine, reply *citronupstream.Reply) {
 	now := j.f.Clock.Now()
-	if at, ok := j.f.Current().View.ByAddr(reply.FaultAddr); reply.FaultAddr != "" && ok {
+	if at, ok := j.f.Current().View.ByAddr(reply.AccusedAddr); reply.AccusedAddr != "" && ok {
 		j.avoid[at.ID] = true
 		if at.Accuse(now) && j.f.Accuse != nil {
 			j.f.Accuse(at)
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -76,9 +76,9 @@
 	Body   io.ReadCloser
 	// NotExecuted is true if the response states that the request was not run.
 	NotExecuted bool
-	// FaultAddr is the address of the accused engine: the engine on the path that the
+	// AccusedAddr is the address of the accused engine: the engine on the path that the
 	// response names as the cause of the failure.
-	FaultAddr string
+	AccusedAddr string
 	// FromEngine is true if the response carries the stamp of an engine, so that it
 	// was not produced by a proxy in between.
 	FromEngine bool
