--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -295,7 +295,7 @@
 	}
 	j := &job{Request: r, f: f, out: out, version: s.Table.Version, route: route, avoid: map[string]bool{}, zoneJitter: drawZoneJitter(s), retryAfter: retryNoEngine}
 	if s.Table.NeedsKey(route) {
-		c, ok := s.Table.Customer(r.Key)
+		c, ok := s.Table.Customer(r.APIKey)
 		if !ok {
 			f.refuse(r, out, http.StatusUnauthorized, -1, "unknown key")
 			return nil, false
--- a/citronforward/unary_test.go
+++ b/citronforward/unary_test.go
@@ -142,9 +142,9 @@
 	}{
 		{"unknown path", "nowhere", func(*citronupstream.Request) {}, 404},
 		{"unknown host", "safe", func(q *citronupstream.Request) { q.Host = "other" }, 404},
-		{"unknown key", "safe", func(q *citronupstream.Request) { q.Key = "k2" }, 401},
-		{"no key", "safe", func(q *citronupstream.Request) { q.Key = "" }, 401},
-		{"no key, public route", "public", func(q *citronupstream.Request) { q.Key = "" }, 200},
+		{"unknown key", "safe", func(q *citronupstream.Request) { q.APIKey = "k2" }, 401},
+		{"no key", "safe", func(q *citronupstream.Request) { q.APIKey = "" }, 401},
+		{"no key, public route", "public", func(q *citronupstream.Request) { q.APIKey = "" }, 200},
 		{"body over the limit", "safe", func(q *citronupstream.Request) { q.Body = make([]byte, 101) }, 413},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -29,8 +29,8 @@
 	// the caller waits from then on, or zero if that is unknown.
 	Received time.Time
 	Wait     time.Duration
-	// Key is the caller's API key.
-	Key string
+	// APIKey is the API key of the caller.
+	APIKey string
 	// ResumeAfter is the ID of the last event that the caller received.
 	ResumeAfter string
 	// PromptTokens and OutputTokens are the declared size of the request, or
