--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -311,7 +311,7 @@
 	if !ok {
 		j.service = citrontable.Service{Name: name}
 	}
-	wait := r.Wait
+	wait := r.CallerTimeout
 	if wait <= 0 {
 		wait = defaultWait
 	}
--- a/citronforward/forwarder_test.go
+++ b/citronforward/forwarder_test.go
@@ -145,7 +145,7 @@
 func (r *testForwarder) ask(route string, wait time.Duration, change ...func(*citronupstream.Request)) *caller {
 	req := &citronupstream.Request{
 		ID: "r1", Method: "POST", Host: "h", Path: "/" + route + "/x", Target: "/" + route + "/x", Header: http.Header{},
-		Received: time.Now(), Wait: wait, APIKey: "k1", PromptTokens: 100, OutputTokens: 20,
+		Received: time.Now(), CallerTimeout: wait, APIKey: "k1", PromptTokens: 100, OutputTokens: 20,
 	}
 	for _, f := range change {
 		f(req)
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -161,7 +161,7 @@
 			close(moved)
 			return nil
 		}
-		got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.Wait = 5 * time.Second })
+		got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.CallerTimeout = 5 * time.Second })
 		is.Equal(got.body, events(1, 4))
 		is.Equal(len(asked), 3)
 		is.Equal(len(r.engines.repaths), 1)
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -170,7 +170,7 @@
 		close(moved)
 		return nil
 	}
-	got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.Wait = 5 * time.Second })
+	got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.CallerTimeout = 5 * time.Second })
 	is.Equal(got.body, events(1, 4))
 	is.Equal(len(r.engines.received()), 1) // the run continued
 	is.Equal(len(r.engines.repaths), 1)
@@ -200,7 +200,7 @@
 		close(moved)
 		return nil
 	}
-	got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.Wait = 5 * time.Second })
+	got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.CallerTimeout = 5 * time.Second })
 	is.Equal(got.body, events(1, 4))
 	is.Equal(len(r.engines.repaths), 1)
 	is.Equal(len(r.view.DeadAfter(time.Time{})), 0)
@@ -230,7 +230,7 @@
 		close(moved)
 		return nil
 	}
-	got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.Wait = 5 * time.Second })
+	got := r.ask("stream", 5*time.Second, func(q *citronupstream.Request) { q.CallerTimeout = 5 * time.Second })
 	is.Equal(got.body, events(1, 4))
 	is.Equal(len(r.engines.repaths), 1)
 	is.True(r.engines.repaths[0][1].Engine.Addr != dead)
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -216,7 +216,7 @@
 			for n := 0; time.Now().Before(end) && !m.stopped.Load(); n++ {
 				calls.Go(func() {
 					fw.Serve(context.Background(), &citronupstream.Request{
-						ID: fmt.Sprintf("%s-%d", m.name, n), Method: "POST", Host: "h", Path: "/x", Target: "/x", Header: http.Header{}, Received: time.Now(), Wait: 2 * time.Second,
+						ID: fmt.Sprintf("%s-%d", m.name, n), Method: "POST", Host: "h", Path: "/x", Target: "/x", Header: http.Header{}, Received: time.Now(), CallerTimeout: 2 * time.Second,
 					}, out)
 				})
 				time.Sleep(pause)
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -25,10 +25,10 @@
 	Path, Target string
 	Header       http.Header
 	Body         []byte
-	// Received is the time at which the request was read. Wait is the time that
-	// the caller waits from then on, or zero if that is unknown.
-	Received time.Time
-	Wait     time.Duration
+	// Received is the time at which the request was read. CallerTimeout is the
+	// time that the caller waits from then on, or zero if that is unknown.
+	Received      time.Time
+	CallerTimeout time.Duration
 	// APIKey is the API key of the caller.
 	APIKey string
 	// ResumeAfter is the ID of the last event that the caller received.
