--- a/citronconfig/config_test.go
+++ b/citronconfig/config_test.go
@@ -243,7 +243,7 @@
 		}
 		items, _, _ := kv.Range(ctx, "config/section/")
 		for _, it := range items {
-			if it.Revision.Number() > cur.Revision.Number()-3 { // the section written just before the text and the head
+			if it.Revision.Count() > cur.Revision.Count()-3 { // the section written just before the text and the head
 				bytes += size(it)
 			}
 		}
--- a/citronentry/control.go
+++ b/citronentry/control.go
@@ -145,7 +145,7 @@
 		}
 		return true
 	})
-	c.e.metrics.revision.Set(c.fleet.Revision.Number())
+	c.e.metrics.revision.Set(c.fleet.Revision.Count())
 	c.e.metrics.kvUp.Set(map[bool]int64{true: 1}[c.kvUp])
 }
 
--- a/citronentry/serve.go
+++ b/citronentry/serve.go
@@ -57,7 +57,7 @@
 
 // result returns a result with the given outcome and without an answer.
 func (r *request) result(outcome string, e *Entry) *deck.SubmitResult {
-	rev := r.snap.Fleet.Revision.Number()
+	rev := r.snap.Fleet.Revision.Count()
 	return &deck.SubmitResult{RequestID: r.id, Outcome: outcome, Entry: e.settings.Name, Revision: &rev}
 }
 
@@ -79,7 +79,7 @@
 	for _, en := range chooseEntries(a.e.discoverableEntries(s), deref(p.Zone)) {
 		out = append(out, &deck.EntryAddr{Name: en.Name, Addr: en.Addr, Zone: en.Zone})
 	}
-	rev := s.Fleet.Revision.Number()
+	rev := s.Fleet.Revision.Count()
 	return &deck.EntriesResult{Entries: out, TTLSeconds: int(a.e.settings.DiscoveryTTL / time.Second), Revision: &rev}, nil
 }
 
@@ -152,7 +152,7 @@
 // check resolves the service and the customer of r. It returns nil if the
 // request may proceed.
 func (a *api) check(r *request) *deck.Refusal {
-	rev := r.snap.Fleet.Revision.Number()
+	rev := r.snap.Fleet.Revision.Count()
 	svc, ok := r.snap.Service(r.Service)
 	if !ok {
 		return refusal("unknown_service", fmt.Sprintf("no service %q in fleet revision %d", r.Service, rev), retryAfterNow)
--- a/citronkv/revision.go
+++ b/citronkv/revision.go
@@ -44,8 +44,8 @@
 // Era returns the number of restores of the store before the write.
 func (r Revision) Era() int64 { return r.era }
 
-// Number returns the store's own count of writes.
-func (r Revision) Number() int64 { return r.number }
+// Count returns the store's own count of writes.
+func (r Revision) Count() int64 { return r.number }
 
 // IsZero reports whether r is the zero Revision, which belongs to no write.
 func (r Revision) IsZero() bool { return r == Revision{} }
--- a/citronkv/servercopy.go
+++ b/citronkv/servercopy.go
@@ -29,7 +29,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	era := s.rev.Era() + 1
-	s.rev = RevisionOf(era, c.rev.Number())
+	s.rev = RevisionOf(era, c.rev.Count())
 	s.items = map[string]Item{}
 	s.history = nil
 	s.leases = map[LeaseID]*lease{}
@@ -37,7 +37,7 @@
 		if it.Lease != 0 {
 			continue
 		}
-		it.Revision = RevisionOf(era, it.Revision.Number())
+		it.Revision = RevisionOf(era, it.Revision.Count())
 		s.items[key] = it
 	}
 	close(s.changed)
--- a/citronlist/era.go
+++ b/citronlist/era.go
@@ -40,7 +40,7 @@
 // in which the entry is read.
 func fingerprintOf(it citronkv.Item) uint64 {
 	h := xxhash.New()
-	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(it.Revision.Number()))) // writing to a hash never fails
+	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(it.Revision.Count()))) // writing to a hash never fails
 	_, _ = h.Write(it.Value)
 	return h.Sum64()
 }
--- a/citronlist/era_test.go
+++ b/citronlist/era_test.go
@@ -28,7 +28,7 @@
 func inEra(era int64, items ...citronkv.Item) []citronkv.Item {
 	out := make([]citronkv.Item, len(items))
 	for i, it := range items {
-		it.Revision = citronkv.RevisionOf(era, it.Revision.Number())
+		it.Revision = citronkv.RevisionOf(era, it.Revision.Count())
 		out[i] = it
 	}
 	return out
--- a/citronlist/retain_test.go
+++ b/citronlist/retain_test.go
@@ -50,9 +50,9 @@
 func (l *List) removeEntries(ctx context.Context, n int) bool {
 	items := make([]citronkv.Item, n)
 	for i := range items {
-		items[i] = citronkv.Item{Key: key(i), Revision: citronkv.RevisionOf(0, l.Revision().Number()+int64(i)+1), Deleted: true}
+		items[i] = citronkv.Item{Key: key(i), Revision: citronkv.RevisionOf(0, l.Revision().Count()+int64(i)+1), Deleted: true}
 	}
-	return l.ApplyChanges(ctx, items, l.Revision(), citronkv.RevisionOf(0, l.Revision().Number()+int64(n)), true)
+	return l.ApplyChanges(ctx, items, l.Revision(), citronkv.RevisionOf(0, l.Revision().Count()+int64(n)), true)
 }
 
 // countInUse returns the number of engines that get new work.
--- a/citronnode/status.go
+++ b/citronnode/status.go
@@ -42,7 +42,7 @@
 // Status returns the current status of the node.
 func (n *Node) Status() Status {
 	s := n.snap.Load()
-	out := Status{ConfigVersion: s.config.Version, ListRevision: s.list.Revision.Number(), StoreEra: s.list.Revision.Era(), Nodes: len(s.members), Unreadable: s.unreadable, Retained: s.retained, Watching: s.self.Watching, Leads: s.self.Leads, Places: n.places.Load()}
+	out := Status{ConfigVersion: s.config.Version, ListRevision: s.list.Revision.Count(), StoreEra: s.list.Revision.Era(), Nodes: len(s.members), Unreadable: s.unreadable, Retained: s.retained, Watching: s.self.Watching, Leads: s.self.Leads, Places: n.places.Load()}
 	out.Suspects, out.Quarantined = n.quarantine.Count()
 	out.Limited, out.LimitsRejected = n.limits.CountLimited(), n.limitsRejected.Load()
 	out.SuspectsRejected = n.suspectsRejected.Load()
--- a/citronsoak/store_test.go
+++ b/citronsoak/store_test.go
@@ -35,7 +35,7 @@
 func wire(items []citronkv.Item) []wireItem {
 	out := make([]wireItem, len(items))
 	for i, it := range items {
-		out[i] = wireItem{it.Key, it.Value, it.Revision.Number(), int64(it.Lease), it.Deleted}
+		out[i] = wireItem{it.Key, it.Value, it.Revision.Count(), int64(it.Lease), it.Deleted}
 	}
 	return out
 }
@@ -85,7 +85,7 @@
 		return wire([]citronkv.Item{it})[0], err
 	case r.URL.Path == "/kv-range":
 		items, rev, err := s.kv.Range(ctx, q.Get("prefix"))
-		return map[string]any{"items": wire(items), "storeRevision": rev.Number()}, err
+		return map[string]any{"items": wire(items), "storeRevision": rev.Count()}, err
 	case r.URL.Path == "/kv-watch":
 		return s.watch(ctx, q.Get("prefix"), number(q.Get("after")), number(q.Get("waitMs")))
 	case r.URL.Path == "/kv-txn":
@@ -118,7 +118,7 @@
 	if err != nil && ctx.Err() != nil {
 		items, rev, err = nil, from, nil // no change arrived in time
 	}
-	return map[string]any{"events": wire(items), "storeRevision": rev.Number()}, err
+	return map[string]any{"events": wire(items), "storeRevision": rev.Count()}, err
 }
 
 // commit runs a transaction. It is not atomic: the expected revision of a key is checked
@@ -155,5 +155,5 @@
 			return nil, err
 		}
 	}
-	return map[string]any{"revision": last.Number()}, nil
+	return map[string]any{"revision": last.Count()}, nil
 }
