--- a/citronkv/revision.go
+++ b/citronkv/revision.go
@@ -29,10 +29,10 @@
 // They last for over eighty years at 400 writes a second.
 const numberBits = 40
 
-// MaxEra and MaxNumber are the highest era and the highest count of a revision.
+// MaxEra and MaxCount are the highest era and the highest count of a revision.
 const (
-	MaxEra    = 1<<(63-numberBits) - 1
-	MaxNumber = 1<<numberBits - 1
+	MaxEra   = 1<<(63-numberBits) - 1
+	MaxCount = 1<<numberBits - 1
 )
 
 // next returns the revision of the following write.
@@ -131,7 +131,7 @@
 	case packed < 0:
 		return errors.Newf("packed revision %d is negative", packed)
 	default:
-		*r = Revision{era: packed >> numberBits, number: packed & MaxNumber}
+		*r = Revision{era: packed >> numberBits, number: packed & MaxCount}
 	}
 	return nil
 }
--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -140,7 +140,7 @@
 	eventually(t, "the node uses the engine", func() bool { return f.nodesUsing("e0") == 1 })
 	client := citronpeer.Client{HC: http.DefaultClient, Timeout: time.Second}
 	for _, list := range []citronpeer.ListDocument{
-		{Revision: citronkv.RevisionOf(citronkv.MaxEra, citronkv.MaxNumber), Body: []byte("[]")},
+		{Revision: citronkv.RevisionOf(citronkv.MaxEra, citronkv.MaxCount), Body: []byte("[]")},
 		{Revision: citronkv.RevisionOf(1000, 1), Body: []byte("[]")},
 		{Revision: citronkv.RevisionOf(1, 1), Body: []byte("{")},
 		{Revision: citronkv.RevisionOf(1, 1), Base: citronkv.RevisionOf(0, 900), Body: []byte("[]")},
