--- a/citronkv/revision.go
+++ b/citronkv/revision.go
@@ -15,12 +15,12 @@
 // the high part of a revision. The count is the store's own number of writes, which
 // a restore sets back. The era of a store that was never restored is zero. Compare
 // and After compare revisions; the zero Revision sorts before all writes.
-type Revision struct{ era, number int64 }
+type Revision struct{ era, count int64 }
 
 // Special expected revisions: AnyRevision for Put and Delete, Absent for Put.
 var (
 	// AnyRevision applies the operation regardless of the current revision.
-	AnyRevision = Revision{number: -1}
+	AnyRevision = Revision{count: -1}
 	// Absent makes Put write only if the key does not exist.
 	Absent = Revision{}
 )
@@ -36,7 +36,7 @@
 )
 
 // next returns the revision of the following write.
-func (r Revision) next() Revision { return Revision{r.era, r.number + 1} }
+func (r Revision) next() Revision { return Revision{r.era, r.count + 1} }
 
 // RevisionOf returns the revision with the given era and count.
 func RevisionOf(era, number int64) Revision { return Revision{era, number} }
@@ -45,7 +45,7 @@
 func (r Revision) Era() int64 { return r.era }
 
 // Count returns the store's own count of writes.
-func (r Revision) Count() int64 { return r.number }
+func (r Revision) Count() int64 { return r.count }
 
 // IsZero reports whether r is the zero Revision, which belongs to no write.
 func (r Revision) IsZero() bool { return r == Revision{} }
@@ -56,7 +56,7 @@
 // Compare orders revisions by era, then by count. It returns -1, 0 or +1 like
 // cmp.Compare.
 func (r Revision) Compare(o Revision) int {
-	return cmp.Or(cmp.Compare(r.era, o.era), cmp.Compare(r.number, o.number))
+	return cmp.Or(cmp.Compare(r.era, o.era), cmp.Compare(r.count, o.count))
 }
 
 // After reports whether r is later than o.
@@ -65,7 +65,7 @@
 // String returns the form of the revision in logs: the count, preceded by the era
 // and a dot unless the era is zero.
 func (r Revision) String() string {
-	number := strconv.FormatInt(r.number, 10)
+	number := strconv.FormatInt(r.count, 10)
 	if r.era == 0 {
 		return number
 	}
@@ -81,7 +81,7 @@
 	read := Revision{}
 	var err error
 	if read.era, err = strconv.ParseInt(era, 10, 64); err == nil {
-		read.number, err = strconv.ParseInt(number, 10, 64)
+		read.count, err = strconv.ParseInt(number, 10, 64)
 	}
 	if err != nil {
 		return errors.Wrapf(err, "parse revision %q (want COUNT or ERA.COUNT)", text)
@@ -94,9 +94,9 @@
 // bits and the count in the low numberBits bits. AnyRevision packs to -1.
 func (r Revision) Packed() int64 {
 	if r == AnyRevision {
-		return r.number
+		return r.count
 	}
-	return r.era<<numberBits | r.number
+	return r.era<<numberBits | r.count
 }
 
 // MarshalJSON encodes the packed revision.
@@ -126,12 +126,12 @@
 // unpack sets r to the revision that Packed encodes as packed.
 func (r *Revision) unpack(packed int64) error {
 	switch {
-	case packed == AnyRevision.number:
+	case packed == AnyRevision.count:
 		*r = AnyRevision
 	case packed < 0:
 		return errors.Newf("packed revision %d is negative", packed)
 	default:
-		*r = Revision{era: packed >> numberBits, number: packed & MaxCount}
+		*r = Revision{era: packed >> numberBits, count: packed & MaxCount}
 	}
 	return nil
 }
