--- a/citronkv/revision_test.go
+++ b/citronkv/revision_test.go
@@ -14,7 +14,7 @@
 
 // drawRevision draws a revision with any era and any count.
 func drawRevision(t *rapid.T, name string) citronkv.Revision {
-	return citronkv.RevisionOf(rapid.Int64Range(0, citronkv.MaxEra).Draw(t, name+" era"), rapid.Int64Range(0, citronkv.MaxCount).Draw(t, name+" number"))
+	return citronkv.RevisionOf(rapid.Int64Range(0, citronkv.MaxEra).Draw(t, name+" era"), rapid.Int64Range(0, citronkv.MaxCount).Draw(t, name+" count"))
 }
 
 // TestRevisionEncodingRoundTrip checks that each encoding decodes to the same revision
--- a/citronlist/era_test.go
+++ b/citronlist/era_test.go
@@ -14,14 +14,14 @@
 	"pgregory.net/rapid"
 )
 
-// entryItem returns the entry of engine i, written at the given number in era 0.
-func entryItem(i int, number int64, change func(*citronmodel.Engine)) citronkv.Item {
+// entryItem returns the entry of engine i, written at the given count in era 0.
+func entryItem(i int, count int64, change func(*citronmodel.Engine)) citronkv.Item {
 	e := citronmodel.Engine{ID: fmt.Sprint(i), Addr: fmt.Sprintf("a%d:1", i)}
 	if change != nil {
 		change(&e)
 	}
 	text, _ := json.Marshal(e) // a struct of plain values always encodes
-	return citronkv.Item{Key: key(i), Value: text, Revision: citronkv.RevisionOf(0, number)}
+	return citronkv.Item{Key: key(i), Value: text, Revision: citronkv.RevisionOf(0, count)}
 }
 
 // inEra returns copies of the items as a store in the given era returns them.
