--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -214,8 +214,8 @@
 // answerer answers the calls of other nodes.
 type answerer struct{ n *Node }
 
-// Exchange implements citronpeer.Answerer. It answers with this node's gossip state and
-// what the peer lacks, and names the items missing here.
+// Exchange implements citronpeer.GossipHandler. It answers with this node's gossip state
+// and what the peer lacks, and names the items missing here.
 func (a answerer) Exchange(theirs citronpeer.GossipState) citronpeer.GossipState {
 	s := a.n.snap.Load()
 	state := s.gossipState()
@@ -233,8 +233,8 @@
 	return a.n.respond(s, state, theirs)
 }
 
-// Update implements citronpeer.Answerer. It takes a peer's update and answers with this
-// node's own.
+// Update implements citronpeer.GossipHandler. It takes a peer's update and answers with
+// this node's own.
 func (a answerer) Update(theirs citronpeer.GossipState) citronpeer.GossipState {
 	s := a.n.snap.Load()
 	return a.n.respond(s, s.update(), theirs)
--- a/citronpeer/limit_test.go
+++ b/citronpeer/limit_test.go
@@ -22,7 +22,7 @@
 	mux := http.NewServeMux()
 	var serving, maxServing atomic.Int64
 	release := make(chan struct{})
-	a := blockingAnswerer{exchange: func() {
+	a := blockingHandler{exchange: func() {
 		if n := serving.Add(1); n > maxServing.Load() {
 			maxServing.Store(n)
 		}
@@ -53,12 +53,12 @@
 	is.Equal(maxServing.Load(), int64(8))
 }
 
-// blockingAnswerer is an Answerer that calls exchange in each exchange.
-type blockingAnswerer struct{ exchange func() }
+// blockingHandler is a GossipHandler that calls exchange in each exchange.
+type blockingHandler struct{ exchange func() }
 
-func (a blockingAnswerer) Exchange(state citronpeer.GossipState) citronpeer.GossipState {
+func (a blockingHandler) Exchange(state citronpeer.GossipState) citronpeer.GossipState {
 	a.exchange()
 	return state
 }
 
-func (a blockingAnswerer) Update(state citronpeer.GossipState) citronpeer.GossipState { return state }
+func (a blockingHandler) Update(state citronpeer.GossipState) citronpeer.GossipState { return state }
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -255,8 +255,8 @@
 	minCompressedBytes = 4 << 10
 )
 
-// Answerer serves the messages that other nodes send.
-type Answerer interface {
+// GossipHandler serves the messages that other nodes send.
+type GossipHandler interface {
 	// Exchange receives the digest of another node. It returns what the other
 	// node is missing, and requests what this node is missing.
 	Exchange(GossipState) GossipState
@@ -267,7 +267,7 @@
 }
 
 // Handle mounts a node's procedures on mux.
-func Handle(mux *http.ServeMux, a Answerer) {
+func Handle(mux *http.ServeMux, a GossipHandler) {
 	handle(mux, procedureExchange, maxConcurrentExchanges, a.Exchange)
 	handle(mux, procedureUpdate, maxConcurrentUpdates, a.Update)
 }
