--- a/citronkv/revision.go
+++ b/citronkv/revision.go
@@ -25,21 +25,21 @@
 	Absent = Revision{}
 )
 
-// numberBits is the number of low bits that hold the count of a packed revision.
+// countBits is the number of low bits that hold the count of a packed revision.
 // They last for over eighty years at 400 writes a second.
-const numberBits = 40
+const countBits = 40
 
 // MaxEra and MaxCount are the highest era and the highest count of a revision.
 const (
-	MaxEra   = 1<<(63-numberBits) - 1
-	MaxCount = 1<<numberBits - 1
+	MaxEra   = 1<<(63-countBits) - 1
+	MaxCount = 1<<countBits - 1
 )
 
 // next returns the revision of the following write.
 func (r Revision) next() Revision { return Revision{r.era, r.count + 1} }
 
 // RevisionOf returns the revision with the given era and count.
-func RevisionOf(era, number int64) Revision { return Revision{era, number} }
+func RevisionOf(era, count int64) Revision { return Revision{era, count} }
 
 // Era returns the number of restores of the store before the write.
 func (r Revision) Era() int64 { return r.era }
@@ -65,23 +65,23 @@
 // String returns the form of the revision in logs: the count, preceded by the era
 // and a dot unless the era is zero.
 func (r Revision) String() string {
-	number := strconv.FormatInt(r.count, 10)
+	count := strconv.FormatInt(r.count, 10)
 	if r.era == 0 {
-		return number
+		return count
 	}
-	return strconv.FormatInt(r.era, 10) + "." + number
+	return strconv.FormatInt(r.era, 10) + "." + count
 }
 
 // UnmarshalText parses the output of String.
 func (r *Revision) UnmarshalText(text []byte) error {
-	era, number, ok := strings.Cut(string(text), ".")
+	era, count, ok := strings.Cut(string(text), ".")
 	if !ok {
-		era, number = "0", era
+		era, count = "0", era
 	}
 	read := Revision{}
 	var err error
 	if read.era, err = strconv.ParseInt(era, 10, 64); err == nil {
-		read.count, err = strconv.ParseInt(number, 10, 64)
+		read.count, err = strconv.ParseInt(count, 10, 64)
 	}
 	if err != nil {
 		return errors.Wrapf(err, "parse revision %q (want COUNT or ERA.COUNT)", text)
@@ -96,7 +96,7 @@
 	if r == AnyRevision {
 		return r.count
 	}
-	return r.era<<numberBits | r.count
+	return r.era<<countBits | r.count
 }
 
 // MarshalJSON encodes the packed revision.
@@ -131,7 +131,7 @@
 	case packed < 0:
 		return errors.Newf("packed revision %d is negative", packed)
 	default:
-		*r = Revision{era: packed >> numberBits, count: packed & MaxCount}
+		*r = Revision{era: packed >> countBits, count: packed & MaxCount}
 	}
 	return nil
 }
