--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -75,7 +75,7 @@
 	signal.Notify(hup, syscall.SIGHUP)
 	clock := citronclock.Real{}
 	budget := citronbudget.New(citronbudget.Limits{Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow})
-	loads := &citronpool.Loads{}
+	loads := &citronpool.ZoneLoads{}
 	engines := platform.NewEngineClient()
 	registry := prometheus.NewRegistry()
 	node := citronnode.New(citronnode.Settings{
--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -74,7 +74,7 @@
 	Log      *slog.Logger
 	Upstream citronupstream.Engines
 	Budget   *citronbudget.Budget
-	Loads    *citronpool.Loads
+	Loads    *citronpool.ZoneLoads
 	// Current returns the newest state, or nil before the first one.
 	Current func() *State
 	Metrics *Metrics
--- a/citronforward/forwarder_test.go
+++ b/citronforward/forwarder_test.go
@@ -131,7 +131,7 @@
 	r.Forwarder = &citronforward.Forwarder{
 		Zone: "a", Clock: citronclock.Real{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Upstream: r.engines,
 		Budget: citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 200, Window: 10 * time.Second}),
-		Loads:  &citronpool.Loads{},
+		Loads:  &citronpool.ZoneLoads{},
 
 		Quarantine: citronquarantine.New("n", citronclock.Real{}),
 		Limits:     citronlimit.NewRegistry(citronclock.Real{}),
--- a/citronnode/harness_test.go
+++ b/citronnode/harness_test.go
@@ -302,7 +302,7 @@
 	}, citronnode.Sources{
 		Store: m.gate, ConfigKey: "config", EnginePrefix: "engines/",
 		DecodeConfig: decodeConfig, DecodeEngine: decodeEngine, EngineClient: nodeOrders{f.orders, name},
-	}, citronclock.Real{}, slog.New(f.log), m.budget, &citronpool.Loads{}, hc)
+	}, citronclock.Real{}, slog.New(f.log), m.budget, &citronpool.ZoneLoads{}, hc)
 	m.Handle(mux)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -194,7 +194,7 @@
 // forwarder returns the forwarder of a node in front of the given upstreams.
 func (m *member) forwarder(u *limitedUpstreams) *citronforward.Forwarder {
 	return &citronforward.Forwarder{
-		Zone: m.zone, Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Upstream: nodeUpstreams{u, m.name}, Budget: m.budget, Loads: &citronpool.Loads{},
+		Zone: m.zone, Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Upstream: nodeUpstreams{u, m.name}, Budget: m.budget, Loads: &citronpool.ZoneLoads{},
 		Current: func() *citronforward.State {
 			s := m.Traffic()
 			return &citronforward.State{Table: appTable, View: s.View, OtherNodesCache: s.OtherNodesCache}
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -78,7 +78,7 @@
 	clock    citronclock.Clock
 	log      *slog.Logger
 	budget   *citronbudget.Budget
-	loads    *citronpool.Loads
+	loads    *citronpool.ZoneLoads
 	peers    *citronpeer.Client
 
 	// control is the inbox of the control loop (control.go).
@@ -176,7 +176,7 @@
 }
 
 // New returns a node. hc is used to talk to other nodes.
-func New(settings Settings, sources Sources, clock citronclock.Clock, log *slog.Logger, budget *citronbudget.Budget, loads *citronpool.Loads, hc *http.Client) *Node {
+func New(settings Settings, sources Sources, clock citronclock.Clock, log *slog.Logger, budget *citronbudget.Budget, loads *citronpool.ZoneLoads, hc *http.Client) *Node {
 	health := citronhealth.NewStoreMonitor(settings.Heartbeat)
 	sources.Store = citronhealth.Observe(sources.Store, clock, health.RecordCall)
 	n := &Node{
--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -271,12 +271,12 @@
 	return !e.Leaving && !e.Replaced() && e.avoidUntil.Load() <= at && e.misplacedUntil.Load() <= at
 }
 
-// Loads counts, for each zone, the tokens of this node's requests that run on
+// ZoneLoads counts, for each zone, the tokens of this node's requests that run on
 // engines of the zone. Nodes exchange these zone totals: a node that knew only
 // its own requests would send more to a zone that other nodes have filled.
-type Loads struct{ zones sync.Map }
+type ZoneLoads struct{ zones sync.Map }
 
-func (l *Loads) zone(name string) *atomic.Int64 {
+func (l *ZoneLoads) zone(name string) *atomic.Int64 {
 	v, ok := l.zones.Load(name)
 	if !ok {
 		v, _ = l.zones.LoadOrStore(name, new(atomic.Int64))
@@ -285,10 +285,10 @@
 }
 
 // Add adds tokens to the total of a zone. A negative number subtracts.
-func (l *Loads) Add(zone string, tokens int) { l.zone(zone).Add(int64(tokens)) }
+func (l *ZoneLoads) Add(zone string, tokens int) { l.zone(zone).Add(int64(tokens)) }
 
 // ZoneTotals returns the zone totals in tokens.
-func (l *Loads) ZoneTotals() map[string]int64 {
+func (l *ZoneLoads) ZoneTotals() map[string]int64 {
 	out := map[string]int64{}
 	l.zones.Range(func(k, v any) bool {
 		out[k.(string)] = v.(*atomic.Int64).Load()
