--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -393,7 +393,7 @@
 			break
 		}
 	}
-	j.f.Metrics.BudgetSpent.Inc()
+	j.f.Metrics.RetriesDenied.Inc()
 	j.reachedLimit = budgetUsed
 	return false
 }
--- a/citronforward/metrics.go
+++ b/citronforward/metrics.go
@@ -8,7 +8,7 @@
 	Refusals      *prometheus.CounterVec
 	Attempts      *prometheus.CounterVec
 	Repairs       *prometheus.CounterVec
-	BudgetSpent   prometheus.Counter
+	RetriesDenied prometheus.Counter
 	Crashes       prometheus.Counter
 	LimitedSends  prometheus.Counter
 	InvalidLimits prometheus.Counter
@@ -29,7 +29,7 @@
 		Refusals:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "citrondeck_refusals_total", Help: "Answers of the node's own by reason."}, []string{"reason"}),
 		Attempts:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "citrondeck_attempts_total", Help: "Calls to engines by outcome."}, []string{"outcome"}),
 		Repairs:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "citrondeck_repairs_total", Help: "Streams moved while they ran, by way."}, []string{"way"}),
-		BudgetSpent:   prometheus.NewCounter(prometheus.CounterOpts{Name: "citrondeck_budget_spent_total", Help: "Repeats that the shared budget did not allow."}),
+		RetriesDenied: prometheus.NewCounter(prometheus.CounterOpts{Name: "citrondeck_budget_spent_total", Help: "Repeats that the shared budget did not allow."}),
 		Crashes:       prometheus.NewCounter(prometheus.CounterOpts{Name: "citrondeck_run_crashes_total", Help: "Runs that had just begun when their engine ended."}),
 		LimitedSends:  prometheus.NewCounter(prometheus.CounterOpts{Name: "citrondeck_limited_sends_total", Help: "Requests sent to engines that name a rate limit."}),
 		Permits:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "citrondeck_permits_total", Help: "Permits asked for to send to engines that name a rate limit, by result."}, []string{"result"}),
@@ -38,6 +38,6 @@
 		Pause:         prometheus.NewHistogram(prometheus.HistogramOpts{Name: "citrondeck_pause_seconds", Help: "Longest pause between events of a stream.", Buckets: latencyBuckets}),
 		UnaryDuration: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "citrondeck_answer_seconds", Help: "Time to a whole answer.", Buckets: latencyBuckets}),
 	}
-	r.MustRegister(m.Requests, m.Refusals, m.Attempts, m.Repairs, m.BudgetSpent, m.Crashes, m.LimitedSends, m.InvalidLimits, m.Permits, m.FirstEvent, m.Pause, m.UnaryDuration)
+	r.MustRegister(m.Requests, m.Refusals, m.Attempts, m.Repairs, m.RetriesDenied, m.Crashes, m.LimitedSends, m.InvalidLimits, m.Permits, m.FirstEvent, m.Pause, m.UnaryDuration)
 	return m
 }
