--- a/citronforward/metrics.go
+++ b/citronforward/metrics.go
@@ -14,7 +14,7 @@
 	InvalidLimits prometheus.Counter
 	Permits       *prometheus.CounterVec
 	FirstEvent    prometheus.Histogram
-	Pause         prometheus.Histogram
+	LongestPause  prometheus.Histogram
 	UnaryDuration prometheus.Histogram
 }
 
@@ -35,9 +35,9 @@
 		Permits:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "citrondeck_permits_total", Help: "Permits asked for to send to engines that name a rate limit, by result."}, []string{"result"}),
 		InvalidLimits: prometheus.NewCounter(prometheus.CounterOpts{Name: "citrondeck_invalid_limits_total", Help: "Answers with a rate limit that cannot be read."}),
 		FirstEvent:    prometheus.NewHistogram(prometheus.HistogramOpts{Name: "citrondeck_first_event_seconds", Help: "Time to the first event of a stream.", Buckets: latencyBuckets}),
-		Pause:         prometheus.NewHistogram(prometheus.HistogramOpts{Name: "citrondeck_pause_seconds", Help: "Longest pause between events of a stream.", Buckets: latencyBuckets}),
+		LongestPause:  prometheus.NewHistogram(prometheus.HistogramOpts{Name: "citrondeck_pause_seconds", Help: "Longest pause between events of a stream.", Buckets: latencyBuckets}),
 		UnaryDuration: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "citrondeck_answer_seconds", Help: "Time to a whole answer.", Buckets: latencyBuckets}),
 	}
-	r.MustRegister(m.Requests, m.Refusals, m.Attempts, m.Repairs, m.RetriesDenied, m.Crashes, m.LimitedSends, m.InvalidLimits, m.Permits, m.FirstEvent, m.Pause, m.UnaryDuration)
+	r.MustRegister(m.Requests, m.Refusals, m.Attempts, m.Repairs, m.RetriesDenied, m.Crashes, m.LimitedSends, m.InvalidLimits, m.Permits, m.FirstEvent, m.LongestPause, m.UnaryDuration)
 	return m
 }
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -263,7 +263,7 @@
 // recordFinished records the metrics and log lines of a stream that was completed or
 // answered with the engine's failure response.
 func (s *streamJob) recordFinished(ctx context.Context) {
-	s.f.Metrics.Pause.Observe(s.maxPause.Seconds())
+	s.f.Metrics.LongestPause.Observe(s.maxPause.Seconds())
 	if s.firstEventTook > s.route.TargetLatency || s.maxPause > s.route.MaxEventGap {
 		citronevent.Log(ctx, s.f.Log, citronevent.StreamLate, "request", s.ID, "first", s.firstEventTook, "pause", s.maxPause, "afterEvent", s.maxPauseAfter, "moves", s.pathChanges, "runs", s.runs+1, "engine", s.path[0].Engine.ID, "zone", s.path[0].Engine.Zone)
 	}
