--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -478,7 +478,7 @@
 	if !s.begun {
 		s.begun = true
 		s.firstEventTook = now.Sub(s.Received)
-		s.f.Metrics.FirstEvent.Observe(s.firstEventTook.Seconds())
+		s.f.Metrics.TimeToFirstEvent.Observe(s.firstEventTook.Seconds())
 		s.out.Begin(reply.Status, reply.Header)
 	} else if pause := now.Sub(s.lastEventAt); pause > s.maxPause {
 		s.maxPause, s.maxPauseAfter = pause, s.lastEventID
