--- a/citronwire/wire.go
+++ b/citronwire/wire.go
@@ -8,7 +8,8 @@
 //
 //	mux := http.NewServeMux()
 //	citronwire.Handle(mux, "/citron.kv.v1/Get", s.get)
-//	get := citronwire.NewUnary[getRequest, getResponse](hc, "http://127.0.0.1:7000", "/citron.kv.v1/Get")
+//	get := citronwire.NewUnary[getRequest, getResponse](
+//		hc, "http://127.0.0.1:7000", "/citron.kv.v1/Get")
 //	res, err := get.Call(ctx, &getRequest{Key: "deck/config/fleet"})
 package citronwire
 
@@ -102,14 +103,14 @@
 func (u *Unary[Req, Res]) Call(ctx context.Context, req *Req) (*Res, error) {
 	res, err := u.client.CallUnary(ctx, connect.NewRequest(req))
 	if err != nil {
-		return nil, Wrap(err, u.procedure, u.peer)
+		return nil, wrap(err, u.procedure, u.peer)
 	}
 	return res.Msg, nil
 }
 
-// Wrap adds the procedure and the peer to the message of err. connect.CodeOf still
+// wrap adds the procedure and the peer to the message of err. connect.CodeOf still
 // returns the code of err.
-func Wrap(err error, procedure, peer string) error {
+func wrap(err error, procedure, peer string) error {
 	if err == nil {
 		return nil
 	}
