--- a/citronforward/forward.go
+++ b/citronforward/forward.go
@@ -74,7 +74,7 @@
 	Log      *slog.Logger
 	Upstream citronupstream.Engines
 	Budget   *citronbudget.Budget
-	Loads    *citronpool.Loads
+	Loads    *citronpool.ZoneLoads
 	// Current returns the newest state, or nil before the first one.
 	Current func() *State
 	Metrics *Metrics
@@ -296,7 +296,7 @@
 	}
 	j := &job{Request: r, f: f, out: out, version: s.Table.Version, route: route, avoid: map[string]bool{}, zoneJitter: drawZoneJitter(s), retryAfter: retryNoEngine}
 	if s.Table.NeedsKey(route) {
-		c, ok := s.Table.Customer(r.Key)
+		c, ok := s.Table.Customer(r.APIKey)
 		if !ok {
 			f.refuse(r, out, http.StatusUnauthorized, -1, "unknown key")
 			return nil, false
@@ -312,7 +312,7 @@
 	if !ok {
 		j.service = citrontable.Service{Name: name}
 	}
-	wait := r.Wait
+	wait := r.CallerTimeout
 	if wait <= 0 {
 		wait = defaultWait
 	}
@@ -394,7 +394,7 @@
 			break
 		}
 	}
-	j.f.Metrics.BudgetSpent.Inc()
+	j.f.Metrics.RetriesDenied.Inc()
 	j.reachedLimit = budgetUsed
 	return false
 }
--- a/citronforward/rig_test.go
+++ b/citronforward/forwarder_test.go
@@ -131,7 +131,7 @@
 	r.Forwarder = &citronforward.Forwarder{
 		Zone: "a", Clock: citronclock.Real{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Upstream: r.engines,
 		Budget: citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 200, Window: 10 * time.Second}),
-		Loads:  &citronpool.Loads{},
+		Loads:  &citronpool.ZoneLoads{},
 
 		Quarantine: citronquarantine.New("n", citronclock.Real{}),
 		Limits:     citronlimit.NewRegistry(citronclock.Real{}),
@@ -145,7 +145,7 @@
 func (r *testForwarder) ask(route string, wait time.Duration, change ...func(*citronupstream.Request)) *caller {
 	req := &citronupstream.Request{
 		ID: "r1", Method: "POST", Host: "h", Path: "/" + route + "/x", Target: "/" + route + "/x", Header: http.Header{},
-		Received: time.Now(), Wait: wait, Key: "k1", PromptTokens: 100, OutputTokens: 20,
+		Received: time.Now(), CallerTimeout: wait, APIKey: "k1", PromptTokens: 100, OutputTokens: 20,
 	}
 	for _, f := range change {
 		f(req)
@@ -159,8 +159,8 @@
 	return &citronupstream.Reply{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), FromEngine: true}
 }
 
-func refusal(faultAddr string) *citronupstream.Reply {
+func refusal(accusedAddr string) *citronupstream.Reply {
 	r := reply(http.StatusServiceUnavailable, "")
-	r.NotExecuted, r.FaultAddr, r.FromEngine = true, faultAddr, false
+	r.NotExecuted, r.AccusedAddr, r.FromEngine = true, accusedAddr, false
 	return r
 }
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -263,7 +263,7 @@
 // recordFinished records the metrics and log lines of a stream that was completed or
 // answered with the engine's failure response.
 func (s *streamJob) recordFinished(ctx context.Context) {
-	s.f.Metrics.Pause.Observe(s.maxPause.Seconds())
+	s.f.Metrics.LongestPause.Observe(s.maxPause.Seconds())
 	if s.firstEventTook > s.route.TargetLatency || s.maxPause > s.route.MaxEventGap {
 		citronevent.Log(ctx, s.f.Log, citronevent.StreamLate, "request", s.ID, "first", s.firstEventTook, "pause", s.maxPause, "afterEvent", s.maxPauseAfter, "moves", s.pathChanges, "runs", s.runs+1, "engine", s.path[0].Engine.ID, "zone", s.path[0].Engine.Zone)
 	}
@@ -405,7 +405,7 @@
 		_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxAnswerBytes)) // so that the connection can be reused
 		s.noteRefusal(first, reply)
 		s.f.Metrics.Attempts.WithLabelValues(notRun.String()).Inc()
-		s.logAttempt(first, result{outcome: notRun, status: reply.Status, err: errors.Newf("engine did not run the request, accused engine: %q", reply.FaultAddr)})
+		s.logAttempt(first, result{outcome: notRun, status: reply.Status, err: errors.Newf("engine did not run the request, accused engine: %q", reply.AccusedAddr)})
 		return runRefused
 	}
 	if reply.Status != http.StatusOK {
@@ -478,7 +478,7 @@
 	if !s.begun {
 		s.begun = true
 		s.firstEventTook = now.Sub(s.Received)
-		s.f.Metrics.FirstEvent.Observe(s.firstEventTook.Seconds())
+		s.f.Metrics.TimeToFirstEvent.Observe(s.firstEventTook.Seconds())
 		s.out.Begin(reply.Status, reply.Header)
 	} else if pause := now.Sub(s.lastEventAt); pause > s.maxPause {
 		s.maxPause, s.maxPauseAfter = pause, s.lastEventID
--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -177,7 +177,7 @@
 func (n *Node) exchange(ctx context.Context, addr string) {
 	s := n.snap.Load()
 	state := s.gossipState()
-	state.SuspectChecksum, state.LimitChecksum = n.quarantine.Sum(), n.limits.Sum()
+	state.SuspectChecksum, state.LimitChecksum = n.quarantine.Checksum(), n.limits.Checksum()
 	theirs, err := n.peers.Exchange(ctx, addr, state)
 	n.stabilizer.recordExchange(state.Digest, theirs.Digest, err)
 	if err != nil {
@@ -185,7 +185,7 @@
 		return
 	}
 	n.merge(ctx, theirs)
-	same, sameLimits := theirs.SuspectChecksum == n.quarantine.Sum(), theirs.LimitChecksum == n.limits.Sum()
+	same, sameLimits := theirs.SuspectChecksum == n.quarantine.Checksum(), theirs.LimitChecksum == n.limits.Checksum()
 	if theirs.Missing.Empty() && same && sameLimits {
 		return
 	}
@@ -214,27 +214,27 @@
 // answerer answers the calls of other nodes.
 type answerer struct{ n *Node }
 
-// Exchange implements citronpeer.Answerer. It answers with this node's gossip state and
-// what the peer lacks, and names the items missing here.
+// Exchange implements citronpeer.GossipHandler. It answers with this node's gossip state
+// and what the peer lacks, and names the items missing here.
 func (a answerer) Exchange(theirs citronpeer.GossipState) citronpeer.GossipState {
 	s := a.n.snap.Load()
 	state := s.gossipState()
 	sameZone := theirs.From.Zone == s.self.Zone
 	state.Diff = s.roster.Diff(theirs.Digest, sameZone)
 	state.Missing = s.roster.Missing(theirs.Digest, sameZone)
-	state.SuspectChecksum = a.n.quarantine.Sum()
+	state.SuspectChecksum = a.n.quarantine.Checksum()
 	if theirs.SuspectChecksum != state.SuspectChecksum {
 		state.Suspects = a.n.allSuspects()
 	}
-	state.LimitChecksum = a.n.limits.Sum()
+	state.LimitChecksum = a.n.limits.Checksum()
 	if theirs.LimitChecksum != state.LimitChecksum {
 		state.Limits = a.n.limits.All()
 	}
 	return a.n.respond(s, state, theirs)
 }
 
-// Update implements citronpeer.Answerer. It takes a peer's update and answers with this
-// node's own.
+// Update implements citronpeer.GossipHandler. It takes a peer's update and answers with
+// this node's own.
 func (a answerer) Update(theirs citronpeer.GossipState) citronpeer.GossipState {
 	s := a.n.snap.Load()
 	return a.n.respond(s, s.update(), theirs)
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -194,7 +194,7 @@
 // forwarder returns the forwarder of a node in front of the given upstreams.
 func (m *member) forwarder(u *limitedUpstreams) *citronforward.Forwarder {
 	return &citronforward.Forwarder{
-		Zone: m.zone, Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Upstream: nodeUpstreams{u, m.name}, Budget: m.budget, Loads: &citronpool.Loads{},
+		Zone: m.zone, Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Upstream: nodeUpstreams{u, m.name}, Budget: m.budget, Loads: &citronpool.ZoneLoads{},
 		Current: func() *citronforward.State {
 			s := m.Traffic()
 			return &citronforward.State{Table: appTable, View: s.View, OtherNodesCache: s.OtherNodesCache}
@@ -216,7 +216,7 @@
 			for n := 0; time.Now().Before(end) && !m.stopped.Load(); n++ {
 				calls.Go(func() {
 					fw.Serve(context.Background(), &citronupstream.Request{
-						ID: fmt.Sprintf("%s-%d", m.name, n), Method: "POST", Host: "h", Path: "/x", Target: "/x", Header: http.Header{}, Received: time.Now(), Wait: 2 * time.Second,
+						ID: fmt.Sprintf("%s-%d", m.name, n), Method: "POST", Host: "h", Path: "/x", Target: "/x", Header: http.Header{}, Received: time.Now(), CallerTimeout: 2 * time.Second,
 					}, out)
 				})
 				time.Sleep(pause)
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -58,7 +58,7 @@
 	summary *summary
 }
 
-// summary holds the results of All and Sum.
+// summary holds the results of All and Checksum.
 type summary struct {
 	at  time.Time
 	all []Entry
@@ -83,9 +83,9 @@
 	return &Ledger{node: node, clock: clock, entries: map[Fingerprint]*entry{}, onChange: func() {}}
 }
 
-// Notify sets the function that is called when there is an update for other nodes.
+// OnChange sets the function that is called when there is an update for other nodes.
 // It must be called before the ledger is used.
-func (l *Ledger) Notify(f func()) { l.onChange = f }
+func (l *Ledger) OnChange(f func()) { l.onChange = f }
 
 // Empty reports whether the ledger has no records.
 func (l *Ledger) Empty() bool { return l.size.Load() == 0 }
@@ -231,7 +231,7 @@
 
 // Merge merges the records that another node sent, and returns the entries of the
 // requests that are quarantined on this node as a result. If a record that all nodes have
-// to agree on has changed, there is an update for other nodes (Notify).
+// to agree on has changed, there is an update for other nodes (OnChange).
 func (l *Ledger) Merge(received []Entry) ([]Entry, error) {
 	if err := l.validate(received); err != nil {
 		return nil, err
@@ -296,9 +296,9 @@
 // of requests that are or were quarantined, or that one more crash could quarantine.
 func (l *Ledger) All() []Entry { return l.summarize().all }
 
-// Sum returns a checksum of the records that All returns, and zero if there are none.
+// Checksum returns a checksum of the records that All returns, and zero if there are none.
 // Nodes with the same records have the same checksum, whenever they learned them.
-func (l *Ledger) Sum() uint64 { return l.summarize().sum }
+func (l *Ledger) Checksum() uint64 { return l.summarize().sum }
 
 func (l *Ledger) summarize() summary {
 	if l.Empty() {
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -25,12 +25,12 @@
 	Path, Target string
 	Header       http.Header
 	Body         []byte
-	// Received is the time at which the request was read. Wait is the time that
-	// the caller waits from then on, or zero if that is unknown.
-	Received time.Time
-	Wait     time.Duration
-	// Key is the caller's API key.
-	Key string
+	// Received is the time at which the request was read. CallerTimeout is the
+	// time that the caller waits from then on, or zero if that is unknown.
+	Received      time.Time
+	CallerTimeout time.Duration
+	// APIKey is the API key of the caller.
+	APIKey string
 	// ResumeAfter is the ID of the last event that the caller received.
 	ResumeAfter string
 	// PromptTokens and OutputTokens are the declared size of the request, or
@@ -76,9 +76,9 @@
 	Body   io.ReadCloser
 	// NotExecuted is true if the response states that the request was not run.
 	NotExecuted bool
-	// FaultAddr is the address of the accused engine: the engine on the path that the
+	// AccusedAddr is the address of the accused engine: the engine on the path that the
 	// response names as the cause of the failure.
-	FaultAddr string
+	AccusedAddr string
 	// FromEngine is true if the response carries the stamp of an engine, so that it
 	// was not produced by a proxy in between.
 	FromEngine bool
