--- a/citronroster/roster.go
+++ b/citronroster/roster.go
@@ -12,9 +12,10 @@
 //	     items of A that B is missing ------ B
 //	A -- the items B is missing -----------> B
 //
-// A member's load and usage (its gauges) are sent within its zone only. About
-// other zones a node knows the zone totals, computed by some node of that zone,
-// with their ages. There are few of these, however many nodes the fleet has.
+// Updates of a member's load and usage (its gauges) are sent within its zone
+// only. About other zones a node knows the zone totals, computed by some node of
+// that zone, with their ages. There are few of these, however many nodes the
+// fleet has.
 //
 // The package does no input or output. A Roster is a value, a Table and ZoneTotals
 // hold the state of one node, and each message is a function of these.
--- a/citronroster/table.go
+++ b/citronroster/table.go
@@ -95,7 +95,7 @@
 }
 
 // MeanUpdateInterval returns the mean time between two updates about a member of this
-// zone. What is known of such a member is usually at most twice as old.
+// zone. The known state of such a member is usually at most twice that old.
 func (t *Table) MeanUpdateInterval() time.Duration { return time.Duration(t.sameZoneGap) }
 
 // NewTable returns the empty table of the node self in zone.
@@ -125,7 +125,7 @@
 		delete(t.byFingerprint, old.Fingerprint)
 	}
 	if ok && old.Alive {
-		heard = now // The heartbeat has advanced since this node last heard of the member.
+		heard = now // The member has lived on, or restarted, since the state that this node knew.
 	}
 	k := &TrackedMember{Entry: Entry{Member: m, Fingerprint: Fingerprint(m)}, latestHeartbeat: m.Heartbeat, LastHeard: heard, Alive: true}
 	t.members[m.Name] = k
@@ -231,7 +231,7 @@
 }
 
 // discountStall excludes a time in which this node stalled from the ages of the
-// members.
+// members that are not lost.
 func (t *Table) discountStall(d time.Duration) {
 	for _, k := range t.members {
 		if k.Alive {
