--- a/citronpeer/limit.go
+++ b/citronpeer/limit.go
@@ -40,9 +40,9 @@
 
 // Permit is the answer to a PermitRequest.
 type Permit struct {
-	// Granted reports whether the request may be sent after WaitMS. If not, no
-	// permit becomes available before WaitMS has passed, and the node should ask
-	// again after AskAgainMS. Both are in milliseconds.
+	// Granted reports whether the request may be sent after WaitMS. If not, WaitMS
+	// is the estimated time until a permit becomes available, and the node should
+	// ask again after AskAgainMS. Both are in milliseconds.
 	Granted    bool  `json:"granted,omitempty"`
 	WaitMS     int64 `json:"waitMs,omitempty"`
 	AskAgainMS int64 `json:"againMs,omitempty"`
--- a/citronpeer/peer.go
+++ b/citronpeer/peer.go
@@ -48,12 +48,14 @@
 	// Store is what the node knows about the availability of the store.
 	Store citronhealth.Status `json:"store,omitzero"`
 	// TargetLayers are target layer ranges (from, to) by engine ID, set by this node
-	// as the leader. An entry remains until the engine holds its range.
+	// as the leader. An entry remains until the engine holds its range or is no
+	// longer available for placement.
 	TargetLayers map[string][2]int `json:"goals,omitempty"`
 	// Dead are the IDs of engines that have just failed to answer the node.
 	Dead []string `json:"dead,omitempty"`
 	// Starts are start times of engines, by their name in the list of engines.
-	// These engines told the node of a later start time than the list has.
+	// These engines are known to have started later than their entries in the
+	// store say.
 	Starts map[string]int64 `json:"starts,omitempty"`
 }
 
@@ -206,11 +208,12 @@
 	Missing MissingItems
 	Config  ConfigDocument
 	Engines ListDocument
-	// Accused are the IDs of accused engines: engines that another engine has
-	// just named as the cause of a failed request.
+	// Accused are the IDs of accused engines: engines that another engine, which
+	// refused a request, has just named as the cause.
 	Accused []string
 	// Suspects are requests under which engines have crashed. SuspectChecksum is a
-	// checksum of all suspects that the sender knows. It is set in exchanges.
+	// checksum of those that all nodes have to agree on (citronquarantine.Ledger.Sum).
+	// It is set in exchanges.
 	Suspects        []Suspect
 	SuspectChecksum uint64
 	// Limits are rate limits of engines. LimitChecksum is a checksum of all limits
--- a/citronpeer/suspect.go
+++ b/citronpeer/suspect.go
@@ -15,6 +15,6 @@
 	// synchronized clocks.
 	AgeMS int64 `json:"ageMs"`
 	// Refuted reports whether the request has run successfully since the crash. A
-	// refuted crash does not count towards its quarantine.
+	// refuted crash does not count towards the request's quarantine.
 	Refuted bool `json:"refuted,omitempty"`
 }
