--- a/citronpermit/dealer.go
+++ b/citronpermit/dealer.go
@@ -49,8 +49,9 @@
 	// burst is the maximum number of permits that accumulate while no node asks. A new
 	// bucket is empty.
 	burst = 2
-	// warmUp is how long a new issuer issues only half of the limit. Its predecessor may
-	// still be issuing permits to nodes that have not learned of the change.
+	// warmUp is how long a new bucket issues permits at only half of the limit. Another
+	// node may have been the issuer until now, and may still be issuing permits to nodes
+	// that have not learned of the change.
 	warmUp = 4 * time.Second
 	// minPerSecond is the minimum rate at which permits are issued, even if the limit is
 	// lower. Without any requests the nodes would never learn that the limit has ended,
@@ -64,10 +65,11 @@
 	maxPause = 2 * time.Second
 	// pauseStep is the factor by which the pause grows or shrinks with each denial.
 	// rateWindow is the time constant of the average request rate, which decides whether
-	// it grows.
+	// the pause grows.
 	pauseStep  = 1.25
 	rateWindow = time.Second
-	// bucketTTL is how long a bucket is kept after the last permit request for it.
+	// bucketTTL is the minimum time for which a bucket is kept after the last permit request
+	// for it, and the minimum time between two sweeps.
 	bucketTTL = time.Minute
 )
 
@@ -142,8 +144,8 @@
 
 // retryAfter returns the time after which a denied node should ask again, with jitter.
 // The pause adapts to the request rate. The load on the issuer therefore does not grow
-// with the number of nodes, and a few nodes that have all the requests do not leave
-// permits unused.
+// with the number of nodes until the pause reaches maxPause, and a few nodes that have all
+// the requests do not leave permits unused.
 func (b *bucket) retryAfter(perSecond float64, wait time.Duration) time.Duration {
 	if b.requestRate > requestsPerPermit*perSecond+1/rateWindow.Seconds() {
 		b.pause = min(maxPause, time.Duration(float64(b.pause)*pauseStep))
