--- a/citronlimit/book.go
+++ b/citronlimit/book.go
@@ -62,8 +62,9 @@
 	// isListed reports whether an engine is in the engine list.
 	isListed func(engine string) bool
 	// changedAt is when a record last changed on this node; it decides whether Recent
-	// returns the record. limitedAt is when a limit was last stated; minLimitDuration
-	// counts from then.
+	// returns the record. limitedAt is when the limit in the record, or a stricter one, was
+	// last stated in a response or received from another node; minLimitDuration counts from
+	// then.
 	changedAt, limitedAt map[string]time.Time
 	// pending holds less strict records that take effect after minLimitDuration.
 	pending map[string]Record
