--- a/citronquarantine/doc.go
+++ b/citronquarantine/doc.go
@@ -9,11 +9,12 @@
 //	     +-> run succeeds -----> RecordSuccess --+
 //
 // An engine that ends takes all its requests with it, and at most one of them caused
-// the crash. A crash therefore counts only against requests whose run had just
-// started, three engines have to crash before a request is quarantined, and a
-// successful run clears the crash count. A quarantined request is admitted again
-// after a while, one run at a time, and each further crash doubles the quarantine.
-// A request that is quarantined by mistake is cleared by its next successful run.
+// the crash. A crash therefore counts only against requests that had not yet run
+// successfully when the engine ended, three engines have to crash before a request is
+// quarantined, and a successful run clears the crash count. A quarantined request is
+// admitted again after a while, one run at a time, and each further crash doubles the
+// quarantine. A request that is quarantined by mistake is cleared by its next successful
+// run.
 //
 // A suspect is a request under which so many engines have crashed that it is
 // quarantined or that one more crash would quarantine it. A trial run is the only run
--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -153,9 +153,9 @@
 	}
 }
 
-// RecordCrash records that an engine ended under a run of the request that had just
-// begun. engine is the engine's ID, and began is when the run began. It returns the
-// request's record, and whether the record has changed.
+// RecordCrash records that an engine ended under a run of the request before the request
+// had run successfully. engine is the engine's ID, and began is when the run began. It
+// returns the request's record, and whether the record has changed.
 func (l *Ledger) RecordCrash(p Fingerprint, engine string, began time.Time) (r Record, updated bool) {
 	l.mu.Lock()
 	e := l.find(p)
@@ -195,9 +195,10 @@
 	}
 }
 
-// Unsaved returns the records that this node has to save in durable storage. These are
-// the records of requests that were quarantined and of which this node observed a
-// crash, if they differ from the saved records.
+// Unsaved returns the records that this node has to save in durable storage, at most
+// MaxGossipRecords. These are the records that differ from what this node last saved, if
+// it observed a crash of the request, and the request has enough crashes for a quarantine
+// or its record has been saved before.
 func (l *Ledger) Unsaved() []Entry {
 	if l.Empty() {
 		return nil
@@ -293,7 +294,8 @@
 }
 
 // All returns the records that this node sends to a node whose checksum differs: those
-// of requests that are or were quarantined, or that one more crash could quarantine.
+// with at least quarantineThreshold-1 crashes, refuted ones included, but at most
+// MaxGossipRecords.
 func (l *Ledger) All() []Entry { return l.summarize().all }
 
 // Sum returns a checksum of the records that All returns, and zero if there are none.
--- a/citronquarantine/record.go
+++ b/citronquarantine/record.go
@@ -26,11 +26,13 @@
 	clearedRetention = time.Minute
 	// MaxCrashes is the maximum number of crashes in a record.
 	MaxCrashes = 8
-	// MaxCrashAge is the maximum age of a crash. Older crashes have no effect.
+	// MaxCrashAge is the maximum age of a crash in a record that Ledger.Merge accepts. A
+	// record expires at most this long after its last crash; its earlier crashes may be
+	// older.
 	MaxCrashAge = maxQuarantine + retention
 )
 
-// Crash is the end of an engine under a run that had just started.
+// Crash is the end of an engine under a run of a request that had not yet run successfully.
 type Crash struct {
 	// Engine identifies one start of an engine.
 	Engine uint64
@@ -126,9 +128,9 @@
 	return n
 }
 
-// significant reports whether the request is or was quarantined, or whether one more
-// crash could quarantine it. Refuted crashes count too. All nodes have to agree on
-// significant records.
+// significant reports whether the record has enough crashes that one more could quarantine
+// the request. Refuted crashes count too, so a record stays significant when the request
+// is cleared. All nodes have to agree on significant records.
 func (r Record) significant() bool { return len(r.crashes) >= quarantineThreshold-1 }
 
 // lastCrash returns the time of the newest crash that is not refuted. If all crashes
