--- a/citronhealth/health.go
+++ b/citronhealth/health.go
@@ -137,9 +137,10 @@
 }
 
 // ConfirmedOutage reports whether the store is unreachable for all nodes, or was within
-// the last ExpiryGrace. The statuses are those of all nodes currently heard. A node that
-// the store has served all along disproves an outage. While some nodes cannot reach the
-// store, a single answered node shows that the store rejects only those nodes.
+// the last ExpiryGrace. The statuses are those of this node and of all nodes that it
+// currently hears of. A node that the store has served all along disproves an outage.
+// While some nodes cannot reach the store, a single answered node shows that the store
+// rejects only those nodes.
 func ConfirmedOutage(statuses ...Status) bool {
 	var all Status
 	for _, s := range statuses {
