--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -25,8 +25,9 @@
 	Path, Target string
 	Header       http.Header
 	Body         []byte
-	// Received is the time at which the request was read. Wait is the time that
-	// the caller waits from then on, or zero if that is unknown.
+	// Received is the time at which the request arrived, before its body was read.
+	// Wait is the time that the caller waits from then on, or zero if that is
+	// unknown.
 	Received time.Time
 	Wait     time.Duration
 	// Key is the caller's API key.
