--- a/citronplace/balance.go
+++ b/citronplace/balance.go
@@ -73,8 +73,8 @@
 }
 
 // dropOverlap makes one of two neighbours give up the layers that both hold if
-// one of them is weak. It chooses the engine whose release leaves the smaller
-// cache of the two largest.
+// one of them is weak. It chooses the engine whose release leaves the larger
+// minimum of their two caches.
 func dropOverlap(spec citronmodel.Spec, engines []Engine, even float64) Plan {
 	order := holdersInOrder(engines, spares(spec, engines, nil))
 	for i := 0; i+1 < len(order); i++ {
--- a/citronplace/copies.go
+++ b/citronplace/copies.go
@@ -58,10 +58,10 @@
 	end     int
 }
 
-// splitReplicas divides the engines of a zone into replicas by the layers
-// they hold: an engine belongs to the replica that ends where the engine's
-// layers begin. Engines that hold nothing, or only duplicate layers of the
-// replicas, are returned in free.
+// splitReplicas divides the engines of a zone into replicas by their target
+// layer ranges: an engine belongs to the replica that its range extends
+// (nextReplica). Engines with an empty range, or with one that only duplicates
+// layers of the replicas, are returned in free.
 func splitReplicas(engines []Engine, n int) (replicas []replica, free []Engine) {
 	replicas = make([]replica, n)
 	var placed []Engine
@@ -204,8 +204,7 @@
 	return out
 }
 
-// missingLayers returns how many layers the engines neither hold nor were
-// ordered to hold.
+// missingLayers returns how many layers lie in no engine's target layer range.
 func missingLayers(spec citronmodel.Spec, engines []Engine) int {
 	n := 0
 	for _, g := range Gaps(spec, engines) {
@@ -214,8 +213,8 @@
 	return n
 }
 
-// placeFirstReplicas distributes empty engines over replicas, taking the
-// engines of each kind in turn, and places each replica.
+// placeFirstReplicas distributes empty engines over n replicas, so that each
+// gets about equally many engines of each kind, and places each replica.
 func placeFirstReplicas(spec citronmodel.Spec, engines []Engine, n int) Plan {
 	order := slices.Clone(engines)
 	sort.SliceStable(order, func(i, j int) bool { return order[i].Kind < order[j].Kind })
--- a/citronplace/cover.go
+++ b/citronplace/cover.go
@@ -97,8 +97,9 @@
 
 // bestDuplicate returns the range of at most maxLen layers whose cache pressure
 // an engine of the given kind reduces most. Only ranges that begin or end at a
-// boundary of some engine are considered. Of equal ranges it returns the first
-// one, since the first engine of a path limits how many requests run at once.
+// boundary of some engine are considered. Among ranges with the same reduction
+// it returns the one that begins first, since the first engine of a path limits
+// how many requests run at once.
 func (z *zoneCache) bestDuplicate(engines []Engine, plan Plan, kind string, maxLen int, scope duplicateScope) citronmodel.Span {
 	var best citronmodel.Span
 	bestGain := 0.0
--- a/citronplace/improve.go
+++ b/citronplace/improve.go
@@ -17,8 +17,10 @@
 // improve relieves the engine with the least cache in a zone without gaps.
 // After a quick repair one engine may hold so many layers that it limits all
 // others. A spare duplicates some of these layers, and once it has loaded
-// them the weak engine gives them up. Only one step is taken at a time, and
-// only while no order is pending.
+// them the weak engine gives them up. If no spare can help, a neighbour takes
+// over some of the layers in the same way (balance). Only one such step is
+// taken at a time, and only while no order is pending. If there is none to
+// take, engines that hold nothing duplicate layers.
 func improve(spec citronmodel.Spec, engines []Engine, even float64, scope duplicateScope) Plan {
 	for _, e := range engines {
 		if e.Target != e.Layers {
@@ -54,7 +56,8 @@
 
 // lowersCachePressure reports whether the zone's cache pressure is lower after
 // the plan is carried out and the duplicated layers have been given up. Every
-// step lowers the cache pressure, so the sequence of steps ends.
+// step in which an engine loads layers lowers the cache pressure, so the
+// sequence of steps ends.
 func lowersCachePressure(spec citronmodel.Spec, engines []Engine, plan Plan, even float64) bool {
 	if len(plan) == 0 {
 		return false
--- a/citronplace/plan.go
+++ b/citronplace/plan.go
@@ -7,19 +7,21 @@
 // that (copies.go). Within a replica, fast engines hold as many layers as
 // leave them the same cache as the other engines; slow engines hold the rest.
 // Engines left over are spares. Until they are needed they duplicate the
-// layers with the least cache (cover.go); of equal layers the first, since
-// the first engine of a path limits how many requests run at once.
+// layers with the least cache (cover.go). If several ranges have equally
+// little, the first one is duplicated, since the first engine of a path limits
+// how many requests run at once.
 //
-// Layers that are served are not moved. A gap, a range of layers that no
-// engine holds, is filled in this order: by spares and by neighbouring engines
-// that extend their layer ranges, which loads only a few layers; by moving the
-// boundaries of the smallest number of engines around the gap that have the
-// free capacity; by dividing the whole zone again (repair.go). A zone without
-// gaps in which one engine has little cache gets a spare to relieve that
-// engine (improve.go).
+// Layers that are served are moved as little as possible. A gap, a range of
+// layers that no engine holds, is filled in this order: by spares and by
+// neighbouring engines that extend their layer ranges, which loads only a few
+// layers; by moving the boundaries of the smallest number of engines around
+// the gap that have the free capacity; by dividing the whole zone again
+// (repair.go). In a zone without gaps, an engine that has little cache is
+// relieved by a spare (improve.go) or by a neighbour (balance.go).
 //
-// The decision depends only on what the engines hold and were ordered to
-// hold, so a new leader decides as its predecessor would have.
+// The decision keeps no state. It depends only on the engines, on what they
+// hold and were ordered to hold, and on which of them have just joined. So a
+// new leader that knows the same decides as its predecessor would have.
 package citronplace
 
 import (
@@ -37,8 +39,9 @@
 	// Target is the target layer range: the range that the engine was last
 	// ordered to hold, or Layers if no order is pending.
 	Target citronmodel.Span
-	// JustJoined marks an engine that has just joined. It waits to take over from
-	// the engine that it may replace, and is not used as a spare yet.
+	// JustJoined marks an engine that has just joined. It is reserved for the gap
+	// of the engine that it may replace: it may fill gaps, but does not duplicate
+	// layers or relieve a weak engine yet.
 	JustJoined bool
 }
 
@@ -114,7 +117,8 @@
 	return repair(spec, engines, gaps, served, even, b)
 }
 
-// Gaps returns the layer ranges that no engine holds or was ordered to hold.
+// Gaps returns the layer ranges that lie in no engine's target layer range. A
+// layer that its only holder was ordered to give up belongs to a gap already.
 func Gaps(spec citronmodel.Spec, engines []Engine) []citronmodel.Span {
 	held := make([]bool, spec.Layers)
 	for _, e := range engines {
@@ -184,9 +188,10 @@
 	return low
 }
 
-// usefulCache returns the even cache of a zone, limited to what the zone's
-// requests can fill. Memory beyond that is useless as cache and holds
-// duplicate layers instead (duplicateLayers).
+// usefulCache returns the even cache of a zone, limited so that a division,
+// which aims for headroom times this cache, gives no more than the zone's
+// requests can fill. Memory beyond that is useless as cache and holds duplicate
+// layers instead (duplicateLayers).
 func usefulCache(spec citronmodel.Spec, engines []Engine) float64 {
 	return min(evenCache(spec, engines), fullCache(spec)/headroom)
 }
@@ -217,8 +222,8 @@
 
 // spares returns the engines that can be taken away without creating a gap in
 // the layers held now. Engines that hold nothing come before engines that
-// duplicate layers, and fast engines before slow ones. An engine that has not
-// yet loaded its target layer range does not count as a duplicate of another.
+// duplicate layers, and fast engines before slow ones. Of an engine with a
+// pending order, only the layers count that it holds already and keeps.
 func spares(spec citronmodel.Spec, engines []Engine, plan Plan) []Engine {
 	count := make([]int, spec.Layers)
 	for _, e := range engines {
--- a/citronplace/plan_test.go
+++ b/citronplace/plan_test.go
@@ -248,8 +248,8 @@
 }
 
 // BenchmarkDecide measures one decision for the given number of engines in
-// zones of about 14, all of them placed. A leader makes ten such decisions a
-// second.
+// zones of about 14, all of them placed. A leader makes up to ten such decisions
+// a second, while engines change.
 func BenchmarkDecide(b *testing.B) {
 	for _, zones := range []int{1, 3, 8, 70} {
 		var engines []citronplace.Engine
--- a/citronplace/repair.go
+++ b/citronplace/repair.go
@@ -10,12 +10,14 @@
 
 const (
 	// extendShare is the fraction of the zone's even cache that engines must
-	// keep when they only add layers. With less, the zone would carry too
-	// little load until it is balanced, so boundaries are moved instead.
+	// keep when gaps are filled by extending layer ranges (extend). With less,
+	// the zone would carry too little load until it is balanced, so boundaries
+	// are moved instead.
 	extendShare = 0.5
-	// servedShare replaces extendShare for a gap that a leaving engine still
-	// serves. An engine that gave up layers for such a gap would have to wait
-	// for running requests, and the zone would have a gap meanwhile.
+	// servedShare replaces extendShare for a plan that only adds layers if a
+	// leaving engine or another replica still serves the gaps. An engine that
+	// gave up layers for such a gap would have to wait for running requests,
+	// and the zone would have a gap meanwhile.
 	servedShare = 0.3
 	// idleFillShare is the fraction that an engine must keep when it alone
 	// fills a gap.
@@ -41,8 +43,8 @@
 	minCache float64
 }
 
-// repair fills gaps: first with engines that hold nothing, then with engines
-// that hold layers already.
+// repair fills gaps: first each one with a single engine that holds nothing,
+// then with several engines, also with engines that hold layers already.
 func repair(spec citronmodel.Spec, engines []Engine, gaps, served []citronmodel.Span, even float64, b bounds) Plan {
 	cut := !allServed(gaps, served)
 	plan := fillWithIdle(spec, engines, gaps, max(b.minCache, even*idleFillShare))
@@ -85,8 +87,9 @@
 	return plan
 }
 
-// fillFromHolders fills gaps with engines that hold layers already, once
-// fillWithIdle has found no engine. Plans that only add layers come first,
+// fillFromHolders fills gaps for which fillWithIdle has found no engine. It may
+// divide a gap among several engines: ones that hold nothing, spares that
+// duplicate layers, and other holders. Plans that only add layers come first,
 // even if they leave some engines little cache: they need only a load of a
 // few layers and do not affect running requests, and balance evens out the
 // cache later. An engine that gives up layers first waits up to 15 s for the
