--- a/citronplacer/board.go
+++ b/citronplacer/board.go
@@ -24,19 +24,19 @@
 	order citronplace.Order
 	// calling is set while an order is being sent to the engine.
 	calling bool
-	// refusals counts the consecutive orders that the engine refused although
-	// it wasn't busy.
+	// refusals counts the attempts since the last success in which the engine
+	// refused the order, or didn't answer, although it wasn't known to be busy.
 	refusals int
 	// nextAttempt is when the order is to be sent again.
 	nextAttempt time.Time
 }
 
 const (
-	// orderRetryDelay is the wait after an engine refused an order. The engine
+	// orderRetryDelay is the wait after an order could not be given. The engine
 	// may be executing another order, which takes about 200 ms per layer.
 	orderRetryDelay = 300 * time.Millisecond
-	// maxRefusals is how many orders an engine may refuse before its layers
-	// are given to other engines, so that a gap doesn't wait for a failing engine.
+	// maxRefusals is the number of refusals at which an engine's layers are
+	// given to other engines, so that a gap doesn't wait for a failing engine.
 	// Reports lag by 200 ms, so a healthy engine refuses one or two orders.
 	maxRefusals = 8
 	// acceptedOrderTimeout is how long an accepted order is assumed to be in
--- a/citronplacer/board_test.go
+++ b/citronplacer/board_test.go
@@ -284,9 +284,9 @@
 	is.Equal(z.layersLoaded, replaced)        // no other layers were moved
 	is.True(missing <= 1600*time.Millisecond) // the large engine loads for 3.9 s; the old engine serves for 2.5 s of that time
 	for _, e := range before {
-		for _, now := range z.engines {
-			if now.ID == e.ID {
-				is.Equal(now.Layers, e.Layers)
+		for _, current := range z.engines {
+			if current.ID == e.ID {
+				is.Equal(current.Layers, e.Layers)
 			}
 		}
 	}
--- a/citronplacer/placer.go
+++ b/citronplacer/placer.go
@@ -3,8 +3,9 @@
 // order tells an engine which layer range to hold; that range is the engine's target.
 // A gap is a range of layers that no engine of a zone holds.
 //
-// The placer stores no plan. Each round starts from the engines' own entries, so a new
-// leader continues where the previous one stopped.
+// The placer stores no plan. Each round starts from the engines' own entries and the
+// targets that they haven't reached yet. The leader publishes these targets to the other
+// nodes, so a new leader continues where the previous one stopped.
 package citronplacer
 
 import (
@@ -66,7 +67,7 @@
 	// missed holds when an engine that only one node reports last failed to
 	// answer a check.
 	missed map[string]time.Time
-	// joined holds when an engine was first listed.
+	// joined holds when an engine was first listed in this term.
 	joined map[string]time.Time
 	// dirty is set if an input of placement has changed since the last
 	// decision. decidedEngines is the list on which that decision was based.
@@ -356,9 +357,9 @@
 
 // detectRestart reports whether an engine has restarted since its entry in the list was
 // written. If so, it marks the engine in the node's view: the listed layers are lost and
-// count as a gap from now on. An engine that doesn't report when it started has restarted
-// if it is idle, holds no layers and has accepted no order although the list says that it
-// holds layers.
+// count as a gap from now on. Not every engine reports when it started, so an engine has
+// also restarted if it is idle, holds no layers and has accepted no order although the
+// list says that it holds layers.
 func (p *Placer) detectRestart(e citronmodel.Engine, st citronplace.EngineState, now time.Time) bool {
 	startedLater := e.StartMS != 0 && st.StartMS > e.StartMS
 	lostLayers := !e.Layers.Empty() && st.Layers.Empty() && st.AcceptedOrders == 0 && !st.Busy
@@ -400,10 +401,10 @@
 
 // setTime sets the time of an engine in one of the placer's maps and marks the state
 // dirty.
-func (p *Placer) setTime(times map[string]time.Time, id string, now time.Time) {
+func (p *Placer) setTime(times map[string]time.Time, id string, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	times[id] = now
+	times[id] = at
 	p.dirty = true
 }
 
