--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -16,8 +16,8 @@
 type Engine struct {
 	citronmodel.Engine
 	*State
-	// Replicas is the average number of engines in the zone, this one included,
-	// that hold each of the engine's layers.
+	// Replicas is the average number of engines in the zone that hold each of
+	// the engine's layers, at least 1. Leaving engines don't count.
 	Replicas float64
 }
 
@@ -62,8 +62,8 @@
 	// replaced is set when a later incarnation of the engine, or another
 	// engine, is at its address.
 	replaced atomic.Bool
-	// throttledUntil is when the engine may be used again after other nodes
-	// have used up its rate limit.
+	// throttledUntil is when the engine may be used again after its rate limit
+	// was found used up.
 	throttledUntil atomic.Int64
 	// misplacedUntil is when the engine may be used again after it reported
 	// that it doesn't hold the layers in the list.
@@ -134,8 +134,8 @@
 	}
 }
 
-// slowReportTTL is how long a report of slowness is used. Engines are asked
-// only while a path through them is stalled.
+// slowReportTTL is how long a report of slowness is used. Engines are not asked
+// regularly, but only on an occasion such as a stalled path through them.
 const slowReportTTL = 3 * time.Second
 
 // RecordSlowdown records how many times slower than declared the engine is.
@@ -153,7 +153,8 @@
 	return 1
 }
 
-// MarkEnded marks an engine whose process is known to have ended.
+// MarkEnded marks an engine whose process has ended, since its address refuses
+// connections or belongs to another engine. RecordAlive may clear the mark.
 func (s *State) MarkEnded() { s.ended.Store(true) }
 
 // MarkRestarted marks an engine that has restarted: the requests it ran and the
@@ -197,8 +198,8 @@
 // ClearMisplaced clears the effect of MarkMisplaced.
 func (s *State) ClearMisplaced() { s.misplacedUntil.Store(0) }
 
-// Ended reports whether the engine's process is known to have ended. An engine
-// that merely doesn't respond may still run the requests sent to it.
+// Ended reports whether the engine is marked as ended or replaced. An engine that
+// merely doesn't respond may still run the requests sent to it.
 func (s *State) Ended() bool { return s.ended.Load() || s.Replaced() }
 
 // RecordAlive records that the engine has sent data. If the engine is marked as
@@ -214,7 +215,7 @@
 }
 
 // DeadSince returns when the engine was last found dead, or the zero time if it
-// has responded since.
+// isn't marked dead.
 func (s *State) DeadSince() time.Time {
 	n := s.deadSince.Load()
 	if n == 0 {
--- a/citronpool/refusal.go
+++ b/citronpool/refusal.go
@@ -21,9 +21,9 @@
 	// maxRefusalPause limits the pause, as the engine may have free capacity
 	// again.
 	maxRefusalPause = 1200 * time.Millisecond
-	// accusationTTL is how long a refusal counts against an engine through
-	// which a stream is stalled: until its death is certain or an update on
-	// its layers has arrived.
+	// accusationTTL is how long an engine counts as accused after a refusal.
+	// Streams that stall meanwhile probe it. After this time its death is
+	// certain, or an update of its layers has arrived.
 	accusationTTL = 500 * time.Millisecond
 )
 
