--- a/citronprobe/probe.go
+++ b/citronprobe/probe.go
@@ -94,9 +94,8 @@
 }
 
 // RecordReport records the report of an engine. An engine may have restarted at the same
-// address. The report is then that of a later incarnation, which holds no layers
-// and runs none of the requests of the earlier one. A report of an earlier
-// incarnation is ignored.
+// address. The report is then that of a later incarnation, which has lost the layers and
+// the requests of the earlier one. A report of an earlier incarnation is ignored.
 func RecordReport(e *citronpool.Engine, r citronupstream.Report, now time.Time) {
 	startsKnown := r.StartMS != 0 && e.StartMS != 0
 	switch {
@@ -123,8 +122,8 @@
 	}
 }
 
-// RecordDead records that an engine did not respond to a probe. If the connection was
-// refused, it also records that the engine's process has ended.
+// RecordDead records that an engine did not respond to a probe or could not be reached.
+// If the connection was refused, it also records that the engine's process has ended.
 func RecordDead(e *citronpool.Engine, err error, now time.Time) {
 	e.MarkDead(now)
 	if errors.Is(err, syscall.ECONNREFUSED) {
