--- a/citronroute/backend.go
+++ b/citronroute/backend.go
@@ -4,8 +4,9 @@
 // services. Its watchdog monitors the calls in flight, so that a back end
 // that stops answering is noticed long before the callers' deadlines.
 //
-// The control goroutine of an entry builds snapshots. Request goroutines only
-// read them and report back what they learn about back ends.
+// The control goroutine of an entry, the server that accepts callers'
+// requests, builds snapshots. Request goroutines only read them and report
+// back what they learn about back ends.
 package citronroute
 
 import (
@@ -24,7 +25,7 @@
 )
 
 // ErrFrozen is the cause of a call that was ended because its back end
-// answered neither the call nor the probes sent after it. The call had
+// answered neither the call nor the probes sent after it. The call may have
 // reached the back end, so it is unknown whether it ran.
 var ErrFrozen = errors.New("back end stopped answering")
 
@@ -54,8 +55,9 @@
 	// report that it is leaving, in Unix nanoseconds; zero means never.
 	reportedLeaving atomic.Int64
 
-	mu         sync.Mutex
-	calls      map[*call]struct{}
+	mu    sync.Mutex
+	calls map[*call]struct{}
+	// lastAnswer is when a call or a probe last succeeded.
 	lastAnswer time.Time
 }
 
@@ -125,7 +127,8 @@
 }
 
 // stalledSince returns the time since which the back end has had a call in
-// flight and has answered nothing; ok is false if no call is in flight.
+// flight and has answered nothing; ok is false if no call is in flight. A call
+// that fails does not count as an answer.
 func (a *activity) stalledSince() (since time.Time, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -186,9 +189,8 @@
 // goroutine uses it.
 type Pool struct {
 	hc *http.Client
-	// salt differs between entries. Without it all entries would send their
-	// first requests to the back ends that stand first in the fleet
-	// configuration.
+	// salt differs between entries. Without it all entries would rank the back
+	// ends alike and send their first requests to the same ones.
 	salt  string
 	byKey map[string]*Backend
 }
--- a/citronroute/snapshot.go
+++ b/citronroute/snapshot.go
@@ -19,7 +19,8 @@
 }
 
 // Snapshot is the immutable routing state under one fleet revision. A request
-// is routed under one snapshot from start to end.
+// keeps the snapshot under which it began; only replacements for engines of its
+// chain are chosen under the latest one.
 type Snapshot struct {
 	Fleet    citronfleet.Fleet
 	Backends map[string]*Backend
@@ -42,7 +43,7 @@
 // Reasons why a back end gets no new requests.
 const (
 	Leaving     Reason = "leaving"      // according to the instance list or its own report
-	Failing     Reason = "failing"      // refused or reset a call, or answered with invalid data
+	Failing     Reason = "failing"      // could not be reached, or failed a call for none of the other reasons
 	Frozen      Reason = "frozen"       // stopped answering
 	WrongLayers Reason = "wrong_layers" // holds other layers than the fleet configuration says
 )
@@ -100,8 +101,9 @@
 	return s
 }
 
-// Picker chooses back ends for one request. It prefers back ends of its zone
-// and skips back ends on which the request has already failed.
+// Picker chooses back ends for one request. Of equally loaded back ends it
+// prefers those of its zone. It skips back ends on which the request has already
+// failed.
 type Picker struct {
 	Snapshot *Snapshot
 	Zone     string
--- a/citronroute/watchdog.go
+++ b/citronroute/watchdog.go
@@ -8,8 +8,9 @@
 // that are merely queued. So a back end that has had calls in flight and has
 // answered nothing for StallAfter is probed on a path that does not queue. A
 // busy back end answers the probe and its calls continue. A frozen one misses
-// missedProbesToFreeze probes in a row, and the watchdog ends all of its
-// calls with ErrFrozen.
+// missedProbesToFreeze probes in a row, and the watchdog calls onFrozen of all
+// of its calls. Those made by Do end with ErrFrozen; those made by
+// DoWithoutCancel continue to wait.
 
 import (
 	"context"
@@ -20,7 +21,8 @@
 
 const missedProbesToFreeze = 2
 
-// Watchdog ends the calls in flight at back ends that stop answering.
+// Watchdog finds back ends that stop answering and notifies the calls in flight
+// at them.
 type Watchdog struct {
 	Clock citronclock.Clock
 	// StallAfter is how long a back end with calls in flight may answer
