--- a/citronplace/copies.go
+++ b/citronplace/copies.go
@@ -35,7 +35,9 @@
 	minRepairShare = 0.6
 )
 
-// replicaCount returns how many replicas of the model a zone should hold.
+// replicaCount returns how many replicas of the model a zone should hold. It
+// derives the number of existing replicas from the number of layers held,
+// duplicates included.
 func replicaCount(spec citronmodel.Spec, engines []Engine) int {
 	memory, held := 0.0, 0
 	for _, e := range engines {
