--- a/citronentry/control.go
+++ b/citronentry/control.go
@@ -49,7 +49,7 @@
 )
 
 // backendReport tells the control loop that a request or the watchdog found a back
-// end failing, frozen or leaving.
+// end failing, frozen, leaving or running the wrong layers.
 type backendReport struct {
 	backend string
 	reason  citronroute.Reason
--- a/citronentry/entry.go
+++ b/citronentry/entry.go
@@ -140,9 +140,10 @@
 	})
 }
 
-// Run serves on ln until ctx ends and then drains: it leaves discovery,
-// accepts new requests for DrainGrace, then rejects them with "draining"
-// without running them, and returns once no request is in flight.
+// Run reads the fleet configuration, for which it waits while the KV service
+// is down, and then serves on ln until ctx ends. It then drains: it leaves
+// discovery, accepts new requests for DrainGrace, then rejects them with
+// "draining" without running them, and returns once no request is in flight.
 func (e *Entry) Run(ctx context.Context, ln net.Listener) error {
 	// The control loop outlives ctx: requests in flight during the drain
 	// still depend on its snapshots to avoid failing back ends.
--- a/citronentry/model.go
+++ b/citronentry/model.go
@@ -98,7 +98,8 @@
 			continue
 		}
 		if ctx.Err() != nil {
-			// The step was in flight, so the engine may run it.
+			// The step was in flight, so the engine may run it, unless err proves
+			// that it does not.
 			m.reached = m.reached || classifyFailure(err).reached
 			return 0, err
 		}
--- a/citronentry/once.go
+++ b/citronentry/once.go
@@ -141,8 +141,10 @@
 	}
 	ref := refusal("in_progress", "a request with this idempotency key was started and has no recorded answer yet; it will not run again", retryAfterBusy)
 	if own := rec.Incarnation == e.incarnation; !own && !e.snap.Load().HasEntry(rec.Entry, rec.Incarnation) {
-		// The process that ran the request is gone and cannot record an
-		// answer. If it got "in progress", the caller would retry forever.
+		// The process that ran the request is no longer listed. If it has ended,
+		// it records no answer, and a caller that got "in progress" would retry
+		// forever. If it is draining, it may still record one, which a later
+		// retry gets.
 		e.metrics.unknown.Add(1)
 		ref = refusal(codeUnknown, fmt.Sprintf("entry %s, which ran the request with this idempotency key, is gone: the request may have run; it will not run again", rec.Entry), retryAfterDown)
 	}
--- a/citronentry/serve.go
+++ b/citronentry/serve.go
@@ -196,7 +196,7 @@
 	return nil, refusal("overloaded", "the service has more requests than it can carry; this attempt was not run", retryAfter)
 }
 
-// route sends the request to its back ends. once is nil unless the service is
+// route sends the request to its back ends. once is set only if the service is
 // not idempotent; only plain services use it.
 func (a *api) route(ctx context.Context, r *request, once *onceCall) (*deck.SubmitResult, error) {
 	if r.svc.Kind == citronfleet.Model {
@@ -238,7 +238,7 @@
 	return callFailure{reached: true, reason: citronroute.Failing}
 }
 
-// reportBackend reports a back end that failed to the control goroutine.
+// reportBackend tells the control loop the reason to avoid b.
 func (a *api) reportBackend(b *citronroute.Backend, reason citronroute.Reason) {
 	if reason == citronroute.Leaving {
 		b.MarkLeaving(a.e.clock.Now())
--- a/citronentry/settings.go
+++ b/citronentry/settings.go
@@ -38,8 +38,9 @@
 	// engines' declared capacity it determines how many requests of a
 	// service the entry has in flight at once.
 	TokenGap time.Duration `yaml:"tokenGap"`
-	// MaxInflight is the number of requests in flight at once for a service
-	// whose engines declare no capacity.
+	// MaxInflight is the maximum number of requests in flight at once for a
+	// service without a known capacity: a plain service, or a model service
+	// with layers whose engines declare no capacity.
 	MaxInflight int `yaml:"maxInflight"`
 	// MaxQueue is the maximum number of requests that wait in the queue of a
 	// service.
