--- a/citronfleet/fleet.go
+++ b/citronfleet/fleet.go
@@ -44,7 +44,8 @@
 // Customer is a tenant whose callers send requests.
 type Customer struct {
 	Name string `json:"name,omitempty" yaml:"name"`
-	// Share is the customer's weight when engine capacity is scarce.
+	// Share is the customer's weight among the requests that wait for a
+	// service at its capacity. Zero counts as one.
 	Share int `json:"share,omitempty" yaml:"share"`
 }
 
@@ -63,7 +64,9 @@
 	Engines []Backend `json:"engines,omitempty" yaml:"engines"`
 	// Upstreams are the back ends of a plain service.
 	Upstreams []Backend `json:"upstreams,omitempty" yaml:"upstreams"`
-	// Timeout is the end-to-end time limit of a request.
+	// Timeout bounds a request of a non-idempotent service, which continues
+	// when its caller stops waiting. Zero means the entry's default. A request
+	// of an idempotent service ends at its caller's deadline at the latest.
 	Timeout time.Duration `json:"timeout,omitempty" yaml:"timeout"`
 }
 
