--- a/citronconfig/config.go
+++ b/citronconfig/config.go
@@ -10,8 +10,9 @@
 //
 // A change is written with compare-and-swap on the revision that its author
 // read. If two operators edit at the same time, the second one gets an error
-// instead of silently overwriting the first. See section.go for what the
-// head refers to.
+// instead of silently overwriting the first. An author who gives AnyRevision
+// instead replaces every change made before the call. See section.go for what
+// the head refers to.
 package citronconfig
 
 import (
@@ -60,7 +61,7 @@
 // Errors returned by Apply.
 var (
 	// ErrRace reports that another operator's change was written first.
-	// This change was not written.
+	// This change did not become active.
 	ErrRace = errors.New("the active fleet changed since it was read")
 	// ErrOutcomeUnknown reports that the KV service did not confirm the write and
 	// that its outcome could not be determined.
