--- a/citronengine/client.go
+++ b/citronengine/client.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// Step is the work of one hop for one token position. Prompt is set only at position
-// 0. Prefill is the number of earlier positions to recompute, Last marks the final
-// step of the request, and steps with a higher Priority run first.
+// Step is the work of one stage for one token position. Prompt is set only at position
+// 0 and with a Prefill. Prefill is the number of earlier positions to recompute, Last
+// marks the final step of the request, and steps with a higher Priority run first.
 type Step struct {
 	Request  string
 	Attempt  int
--- a/citronengine/engine.go
+++ b/citronengine/engine.go
@@ -29,7 +29,8 @@
 	From, To int // layer range, To excluded
 	// Capacity is in tokens per second. Zero means unlimited.
 	Capacity int
-	// CacheSlots is the maximum number of requests in the KV cache.
+	// CacheSlots bounds the number of requests in the KV cache: when it is
+	// reached, a step of a new request evicts another one. Imports may exceed it.
 	CacheSlots int
 	// PrefixSlots is the maximum number of cached prompt prefixes.
 	PrefixSlots int
@@ -206,8 +207,8 @@
 	return r, nil
 }
 
-// order carries out an order of an operator or of citrondeck. With FenceRefuse, it
-// rejects an order whose fencing number is lower than the highest one seen.
+// order carries out an order. With FenceRefuse, it rejects an order whose fencing
+// number is lower than the highest one seen.
 func (e *Engine) order(_ context.Context, r *orderRequest) (*orderResponse, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/citronengine/wire.go
+++ b/citronengine/wire.go
@@ -17,11 +17,11 @@
 	Attempt int    `json:"attempt"`
 	Pos     int    `json:"pos"`
 	State   uint64 `json:"state"`
-	// Prompt is sent with position 0 only. The engine computes the part that its
-	// prefix cache lacks.
+	// Prompt is sent only with position 0 and with a Prefill. The engine computes
+	// the part that its prefix cache lacks.
 	Prompt string `json:"prompt,omitempty"`
 	// Prefill is the number of earlier positions that the engine must recompute
-	// because its KV cache lacks them, for example after a hop was replaced.
+	// because its KV cache lacks them, for example after a stage was replaced.
 	Prefill  int  `json:"prefill,omitempty"`
 	Priority int  `json:"priority,omitempty"`
 	Last     bool `json:"last,omitempty"`
