--- a/citronexplain/explain.go
+++ b/citronexplain/explain.go
@@ -206,7 +206,7 @@
 	return l.name == "table.applied" && str(l.fields["version"]) == strconv.FormatInt(s.Version, 10)
 }
 
-// durations are the fields that hold nanoseconds.
+// durations are the fields that print converts from nanoseconds.
 var durations = map[string]bool{"left": true, "held": true, "silent": true, "first": true, "pause": true, "took": true, "retryAfter": true, "age": true, "lapsed": true, "sent": true, "lasted": true}
 
 // print writes the line with its time since begin and its fields sorted by name.
--- a/citronexplain/losses.go
+++ b/citronexplain/losses.go
@@ -25,8 +25,10 @@
 // loss is one request that was not served in time.
 type loss struct {
 	cause string
-	zone  string
-	at    time.Time
+	// zone is the zone of the first engine on a late stream's path. It is empty
+	// for other losses, whose log lines name no zone.
+	zone string
+	at   time.Time
 	// pause is the longest pause between events of a late stream. silent is how
 	// long the stream had sent nothing when its path was first changed. Both are
 	// negative if unknown.
@@ -45,7 +47,7 @@
 
 // The histograms hold milliseconds.
 const (
-	maxRecordedMS     = 60_000 // the longest deadline of a request
+	maxRecordedMS     = 60_000 // a longer time counts as this; a request without a deadline ends after 30 s
 	significantDigits = 3
 )
 
