--- a/citroncli/apply.go
+++ b/citroncli/apply.go
@@ -2,9 +2,9 @@
 
 // The operators' commands check, apply and audit. check reads a fleet text and
 // reports the line and column of each problem. apply checks the text and stores
-// it with compare-and-swap, so two operators who edit at the same time cannot
-// overwrite each other unnoticed. audit prints the author and the fleet of each
-// change.
+// it with compare-and-swap. With --expect, two operators who edit at the same time
+// cannot overwrite each other unnoticed; without it, apply replaces whatever is
+// active when it starts. audit prints the author and the fleet of each change.
 
 import (
 	"context"
@@ -33,8 +33,8 @@
 type applyCmd struct {
 	File string `short:"f" help:"Fleet text to apply." required:""`
 	KV   string `help:"Base URL of the KV service." default:"http://127.0.0.1:7000"`
-	// Expect is the revision that the operator edited; apply fails if the active
-	// fleet has another one.
+	// Expect is the revision that the operator edited, or AnyRevision. apply fails
+	// if the active fleet has another revision than the one expected.
 	Expect citronkv.Revision `help:"Apply only if the fleet in force is at this revision (-1: whatever it is now)." default:"-1"`
 	Who    string            `help:"Operator name for the audit trail (default: the login name)."`
 }
--- a/citroncli/load.go
+++ b/citroncli/load.go
@@ -2,7 +2,7 @@
 
 // The load command sends a surge of requests to the entries and compares every
 // answer with the expected one. It exits with a non-zero code if a request got no
-// answer or a wrong one, or if an upstream ran a non-idempotent call more than once.
+// answer or a wrong one, or if the upstreams ran a non-idempotent call more than once.
 
 import (
 	"context"
--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -42,9 +42,10 @@
 	// lost renewals, and it is short enough that a dead leader is replaced well
 	// before missing layer ranges affect callers.
 	leaderLease = 2500 * time.Millisecond
-	// directoryTTL is how long callers may cache an answer of the directory. Three
-	// times directoryTTL must be less than 2.5 s: some callers cache the answer
-	// three times as long, and a stopping node accepts streams for 2.5 s.
+	// directoryTTL is how long callers may cache an answer of the directory, unless
+	// the settings file bounds it to less. Three times directoryTTL must be less than
+	// 2.5 s: some callers cache the answer three times as long, and a stopping node
+	// accepts streams for 2.5 s.
 	directoryTTL = 700 * time.Millisecond
 	// maxBody is the maximum size of a request body in bytes.
 	maxBody = 64 << 20
