--- a/citroncli/node.go
+++ b/citroncli/node.go
@@ -39,8 +39,8 @@
 
 const (
 	// leaderLease is the minimum duration of the leader's lease. It survives two
-	// lost renewals, and it is short enough that a dead leader is replaced well
-	// before missing layer ranges affect callers.
+	// renewals that fail at once, or one that gets no answer, and it is short enough
+	// that a dead leader is replaced well before missing layer ranges affect callers.
 	leaderLease = 2500 * time.Millisecond
 	// directoryTTL is how long callers may cache an answer of the directory, unless
 	// the settings file bounds it to less. Three times directoryTTL must be less than
