--- a/citronadmit/admit_test.go
+++ b/citronadmit/admit_test.go
@@ -61,10 +61,10 @@
 	return order
 }
 
-// Each case queues requests in the given order and lists the order in which they must
-// be admitted. Requests with higher priority must come first. A small customer must
-// not wait for the whole burst of a large one, and customers must be served in
-// proportion to their weights.
+// Guards against a large customer's burst that delays a small customer or an urgent
+// request. Each case queues requests in the given order at a gate with one slot and
+// lists the order in which they must be admitted: by priority, and within a priority
+// by customer in proportion to the weights.
 func TestAdmissionOrder(t *testing.T) {
 	burst := func(customer string, weight, n int) []citronadmit.Request {
 		out := make([]citronadmit.Request, n)
@@ -90,9 +90,11 @@
 	}
 }
 
-// Admits random bursts of customers of equal weight and priority. While a customer
-// waits, no other customer may get more than one request ahead of it, and each
-// customer's own requests must keep their order.
+// Guards against a customer that is served more slowly than the others. Random
+// requests of up to three customers of equal weight and priority are queued and then
+// admitted one by one. As long as a customer has a request in the queue, no other
+// customer may have been served more than one request more than it. Each customer's
+// own requests must be admitted in their order.
 func TestFairnessOfEqualCustomers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		owners := rapid.SliceOfN(rapid.IntRange(0, 2), 1, 24).Draw(rt, "owners")
@@ -120,9 +122,10 @@
 	})
 }
 
-// A request that cannot meet its deadline or that finds the queue full must be
-// rejected immediately with a time for a retry. A request whose caller leaves must
-// free its place in the queue.
+// Guards against holding a request that cannot meet its deadline or that finds the
+// queue full: it must be rejected immediately. Also guards against a place in the
+// queue that stays taken after its caller has left, and against a slot that is freed
+// twice.
 func TestRejectedWithoutWaiting(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
