--- a/citronbudget/budget_test.go
+++ b/citronbudget/budget_test.go
@@ -12,17 +12,19 @@
 
 var limits = citronbudget.Limits{Ratio: 0.2, Slack: 200, Window: 10 * time.Second}
 
-// updateAge is the maximum age of an update about the other nodes' usage, in a
-// small fleet where gossip reaches all nodes within two rounds.
+// updateAge is the maximum age of what a node knows about the other nodes' usage. It
+// is that of a small fleet; the tests of large fleets use it too.
 const updateAge = updateAgeSteps * 100 * time.Millisecond
 
 // updateAgeSteps is updateAge in steps of 100 ms, the time steps of
 // TestBudgetIsNeverExceeded.
 const updateAgeSteps = 7
 
-// Engines fail repeatedly, all nodes want to retry every request, and updates
-// about the other nodes' usage arrive late. In no window may all nodes together
-// send more retries than the shared limit allows.
+// Guards against nodes that together exceed the shared limit. Each node decides from
+// what it knows of the others' usage, which is up to updateAge old here. All nodes
+// want many more retries than they have requests, and they lend each other retries;
+// some loans are lost on the way. In no window may all nodes together send more
+// retries than the limit allows.
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := make([]*citronbudget.Budget, rapid.IntRange(1, 9).Draw(t, "nodes"))
@@ -94,9 +96,9 @@
 	})
 }
 
-// An engine of one zone fails repeatedly: the zone's nodes need retries all the
-// time, the other nodes none. Equal shares for the whole window would give one
-// of nine nodes 11 of the 98 retries that are allocated.
+// Guards against a budget that is divided once and for all. One of nine nodes needs
+// retries all the time, the others none. If the 200 retries of a window were divided
+// equally, that node would get 22 of them.
 func TestNodeInNeedGetsMoreThanAnEqualShare(t *testing.T) {
 	is := is.New(t)
 	b := citronbudget.New(limits)
@@ -112,10 +114,11 @@
 		}
 		b.UpdateOthers(map[string]citronbudget.Usage{"s": {}}, updateAge, 9, now)
 	}
-	is.True(got > 44) // four times the equal share
+	is.True(got > 44) // twice the equal share of a window
 }
 
-// Retries that are older than a window no longer count.
+// Guards against a node that can never retry again once it has used its allowance: a
+// window later it has a new one.
 func TestBudgetRecovers(t *testing.T) {
 	is := is.New(t)
 	b := citronbudget.New(limits)
@@ -128,11 +131,11 @@
 	is.True(b.TakeRetry("s", at))
 }
 
-// A crash at the peak has used half of the budget of eighty nodes, and each
-// node still has one or two requests that an engine refused. The remaining half
-// is less than one retry per node and interval. If it were allocated as
-// fractions that no node can use, or held back, all these requests would be
-// refused.
+// Guards against a remaining budget that a large fleet cannot use because each node's
+// share of it is too small. A crash at the peak has used half of the budget of eighty
+// nodes, and each node still has two requests that an engine refused. Of the other
+// half, each node is allocated about 1.5 retries per interval. Together the nodes
+// must send at least 40 retries.
 func TestManyNodesUseRemainingBudget(t *testing.T) {
 	is := is.New(t)
 	const nodes, requests = 80, 2000.0
@@ -156,11 +159,12 @@
 	is.True(float64(got) <= limit/2)
 }
 
-// The engines of one zone fail at the peak in a fleet of three hundred nodes.
-// Each of the zone's sixty nodes has ten refused requests that may run
-// elsewhere, but an allowance of only one or two retries. The nodes that need no
-// retries have the same allowance. With loans, nearly all of the refused
-// requests are retried within the limit.
+// Guards against refusing requests in one zone while the nodes of the other zones
+// have retries left. The engines of one zone fail at the peak in a fleet of three
+// hundred nodes. Each of the zone's sixty nodes has ten refused requests that may run
+// elsewhere, but an allowance of only two or three retries. The nodes that need no
+// retries have the same allowance. Without loans, less than a third of the refused
+// requests are retried; with loans, more than nine tenths are.
 func TestZoneInNeedBorrows(t *testing.T) {
 	is := is.New(t)
 	const nodes, inNeed, refusedEach, requests = 300, 60, 10, 5000.0
@@ -197,8 +201,10 @@
 	is.True(float64(withLoans) <= big.Ratio*requests+big.Slack)
 }
 
-// A loan expires with the interval for which its retries were allocated. Used
-// later, it would add to what has been allocated since.
+// Guards against a loan that is used after the interval for which its retries were
+// allocated: it would add to what has been allocated since. For the same reason a node
+// lends nothing after its interval has ended, and a loan that claims to last longer
+// than an interval is ignored.
 func TestLoanExpires(t *testing.T) {
 	is := is.New(t)
 	a, b := citronbudget.New(limits), citronbudget.New(limits)
@@ -214,7 +220,7 @@
 	b.AddLoan("s", l, at)
 	is.True(b.TakeRetry("s", at))
 	is.True(!b.TakeRetry("s", at.Add(time.Second)))
-	is.Equal(a.Lend("s", 5, at.Add(time.Second)).Retries, 0) // nothing was allocated since
+	is.Equal(a.Lend("s", 5, at.Add(time.Second)).Retries, 0) // the interval has ended
 	b.AddLoan("s", citronbudget.Loan{Retries: 1000, Until: at.Add(time.Hour)}, at)
 	is.True(!b.TakeRetry("s", at.Add(time.Second))) // no node can lend for that long
 }
