--- a/citronhealth/health_test.go
+++ b/citronhealth/health_test.go
@@ -28,9 +28,11 @@
 	return calls
 }
 
-// Tests how Status judges recorded calls. An outage counts only if it lasted long enough
-// for entries to expire (2.4 s), and only for 2.5 s after its end: entries that are
-// still missing by then belong to engines that have left.
+// Guards against taking any failed call for an outage of the store, which would keep
+// engines in use that have left. An outage counts only once the store has not answered
+// for so long that entries expire (2.4 s), only for 3 s after the last failed call, and
+// for 2.5 s after the store answers again: entries that are still missing by then belong
+// to engines that have left. outage in an observation stands for Outage or Recovered.
 func TestStatusFromCalls(t *testing.T) {
 	call := func(begun, ended float64, err error) Call {
 		return Call{Begun: at(begun), Ended: at(ended), Err: err}
@@ -74,9 +76,11 @@
 	}
 }
 
-// Tests that one node that the store has served all along disproves an outage, that while
-// nodes cannot reach the store one answered node disproves it too, and that a node without
-// calls makes no difference.
+// Guards against assuming an outage although the store rejects only some nodes: engines
+// whose entries disappear meanwhile have left. One node that the store has served all
+// along disproves an outage. So does a node that was merely answered (it has just
+// started), unless some node reports that the store has just come back for it. A node
+// without calls makes no difference.
 func TestOutageNeedsAgreementOfAllNodes(t *testing.T) {
 	outage, recovered := Status{Outage: true}, Status{Recovered: true, Answered: true}
 	served, restarted, idle := Status{Answered: true, Served: true}, Status{Answered: true}, Status{}
--- a/citronhealth/observe_test.go
+++ b/citronhealth/observe_test.go
@@ -12,9 +12,10 @@
 	"github.com/matryer/is"
 )
 
-// Tests which results count as an answer. A refusal such as a missing key comes from a
-// healthy store. A timeout, an unavailable store and a lost connection are no answer. A
-// call that its caller canceled shows nothing about the store.
+// Guards against a healthy store that is taken for unreachable, and the reverse. A
+// refusal such as a missing key comes from a healthy store. A timeout, an unavailable
+// store and an unknown error are no answer. A call that its caller canceled shows nothing
+// about the store.
 func TestCallClassification(t *testing.T) {
 	cases := []struct {
 		name               string
@@ -41,7 +42,8 @@
 	}
 }
 
-// Tests that Observe reports every call once, with its name, key and times.
+// Guards against calls that the store monitor does not hear of, or hears of twice: Observe
+// reports each method's call once, with its name, key and times.
 func TestObserveReportsEachCallOnce(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
