--- a/citronroster/roster_test.go
+++ b/citronroster/roster_test.go
@@ -27,8 +27,9 @@
 	return citronroster.New(zone, entries)
 }
 
-// Gauges change all the time and do not affect a member's fingerprint. Any other
-// change does.
+// Guards against sending full members whenever their load changes, and against not
+// sending them when their details change. Gauges change all the time and do not
+// affect a member's fingerprint. Other changes do, such as that of Leaving.
 func TestFingerprintIgnoresGauges(t *testing.T) {
 	is := is.New(t)
 	a := member("a", "z1", 0, 5)
@@ -38,8 +39,9 @@
 	is.True(citronroster.Fingerprint(a) != citronroster.Fingerprint(b))
 }
 
-// Two nodes of a fleet of three hundred that have the same knowledge of it send
-// each other no full member and no gauges.
+// Guards against traffic about what the other node already knows. Two nodes of a
+// fleet of three hundred that have the same knowledge of it send each other no full
+// member and no gauges.
 func TestKnownStateIsNotSent(t *testing.T) {
 	is := is.New(t)
 	var all []citronpeer.Member
@@ -51,8 +53,10 @@
 	is.True(b.Missing(a.Digest(), true).Empty())
 }
 
-// Only the heartbeat counter of a newer member of another zone is sent. The
-// gauges of a newer member of this zone are sent too.
+// Guards against gauges that are sent between zones, where traffic is expensive.
+// Two nodes of one zone exchange newer gauges of that zone's members only: of a member
+// of another zone, the digest carries the heartbeat counter, and nothing else is sent.
+// Nodes of different zones exchange no gauges.
 func TestGaugesStayInTheirZone(t *testing.T) {
 	is := is.New(t)
 	older := roster("z1", member("near", "z1", 0, 10), member("far", "z2", 0, 10))
@@ -65,9 +69,10 @@
 	is.Equal(older.Missing(newer.Digest(), true).Gauges, []citronpeer.Fingerprint{citronroster.Fingerprint(member("near", "z1", 0, 1))})
 }
 
-// A digest with fewer heartbeat counters than fingerprints, or with unknown
-// fingerprints, is answered like any other. Requested items that the roster does
-// not have are left out of the answer.
+// Guards against a node that crashes on a faulty message of another node. A digest
+// with fewer heartbeat counters than fingerprints, or with unknown fingerprints, is
+// answered like any other. Requested items that the roster does not have are left out
+// of the answer.
 func TestMalformedDigest(t *testing.T) {
 	is := is.New(t)
 	r := roster("z1", member("a", "z1", 0, 10))
@@ -77,8 +82,9 @@
 	is.Equal(r.Requested(citronpeer.MissingItems{Members: []citronpeer.Fingerprint{77}, Gauges: []citronpeer.Fingerprint{78}}), citronpeer.Diff{})
 }
 
-// Whatever two nodes know about a fleet, after one exchange both know the newest
-// details that either knew about each member.
+// Guards against members about which two nodes disagree after an exchange. Whatever
+// two nodes know about a fleet, after one exchange both know the newest details that
+// either knew about each member.
 func TestExchangeSpreadsNewestDetails(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
--- a/citronroster/seed_test.go
+++ b/citronroster/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// init fixes rapid's seed, so that CI gives the same verdict for the same
-// code. Run with -rapid.seed=N to try other seeds.
+// init fixes rapid's seed so that CI runs are reproducible. Use -rapid.seed=N to try
+// another seed.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
--- a/citronroster/table_test.go
+++ b/citronroster/table_test.go
@@ -47,8 +47,9 @@
 	return names
 }
 
-// A node is killed. The other nodes probe it, get no answer, and consider it lost
-// within the 3 s in which callers may still be sent there.
+// Guards against sending callers to a killed node for longer than the 3 s that are
+// allowed. Another node of its zone hears nothing more of it, probes it and gets no
+// answer. It must consider the member lost within 3 s.
 func TestDeadMemberIsLostInTime(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
@@ -63,8 +64,9 @@
 	is.Equal(len(tb.Alive(now)), 1)
 }
 
-// Guards against starting nodes that keep a dead member alive for each other: a
-// second-hand report must count as old as the sender's own information.
+// Guards against starting nodes that keep a dead member alive for each other. A node
+// learns of the member from another node that last heard of it 1.9 s ago: for both, the
+// member must be last heard of at that time.
 func TestSecondHandReportKeepsItsAge(t *testing.T) {
 	is := is.New(t)
 	now := start
@@ -80,8 +82,8 @@
 	is.Equal(lost, []string{"b"})
 }
 
-// Updates about a healthy node are later than usual. The node answers the probe
-// and is not lost.
+// Guards against losing a healthy node because updates about it are late: it answers
+// the probe, which counts as an update.
 func TestMemberThatAnswersProbeStays(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
@@ -93,8 +95,10 @@
 	is.Equal(len(lost), 0)
 }
 
-// A zone is cut off, and more of its nodes send nothing than can be probed at the
-// same time. Callers must still not be sent to any of them past the time limit.
+// Guards against sending callers to members that are waiting to be probed. This node
+// stops hearing of 100 members of its zone and 100 of another zone at the same time,
+// more than it can probe before their time is up (8 per call of Age). All must still
+// be lost in time, and no caller may be sent to them.
 func TestCutOffZoneIsLostInTime(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
@@ -108,8 +112,9 @@
 	is.Equal(len(lost), 100)
 }
 
-// A node stalls for five seconds (it is frozen, or gets no processor time). It
-// hears of no member meanwhile, although the members are healthy.
+// Guards against a node that considers all members lost because it stalled itself: for
+// five seconds it is frozen or gets no processor time, and hears of no member. That
+// time must not count. Time without updates after the stall does.
 func TestStalledNodeLosesNoMember(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
@@ -122,10 +127,11 @@
 	is.Equal(lost, []string{"b"}) // time without updates counts again
 }
 
-// In a large fleet updates about nodes of other zones are usually slow, and a
-// second old when they arrive. Callers must still not be sent to a node more than
-// three seconds after it died, which leaves slightly more than two seconds after
-// the last update.
+// Guards against waiting longer for updates because they have always been slow. In a
+// large fleet, updates about nodes of other zones are often a second old when they
+// arrive. Callers must not be sent to a node more than about three seconds after it
+// died, which leaves about two seconds after the last update, however long the usual
+// time between two updates is.
 func TestSlowUpdatesDoNotKeepDeadMember(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
@@ -145,8 +151,10 @@
 	is.Equal(lost, []string{"b"})
 }
 
-// Guards against a dead member that is kept alive by heartbeats traveling from
-// node to node: the last of them arrives a second after it died.
+// Guards against a dead member that is kept alive by heartbeats that still travel from
+// node to node. Its last heartbeat arrives a second after its first one, but its counter
+// is only 3 higher: the member can have sent it 0.3 s after the first. The time until
+// the member is lost must count from then.
 func TestLateHeartbeatDoesNotKeepDeadMember(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
@@ -158,8 +166,9 @@
 	is.Equal(lost, []string{"b"})
 }
 
-// Guards against a fleet that spends its time on probing members of other zones,
-// about which updates are usually late.
+// Guards against a fleet that spends its time on probing healthy members of other
+// zones, about which updates are usually late. Callers are sent to such a member for no
+// longer than to a member of this zone, but it is probed and lost 1.5 s later.
 func TestMemberOfAnotherZoneIsProbedLater(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
@@ -174,8 +183,10 @@
 	is.Equal(lost, []string{"far"})
 }
 
-// Guards against constant probes of a healthy member that is short of processor
-// time and sends heartbeats at half the usual rate.
+// Guards against constant probes of a healthy member that is short of processor time
+// and counts heartbeats at half the highest rate. The time of a heartbeat is estimated
+// from its counter at the highest rate; without a limit, the estimate would fall
+// further behind with each heartbeat.
 func TestSlowMemberIsNotProbed(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
@@ -188,8 +199,9 @@
 	}
 }
 
-// A peer reports a heartbeat counter that no node can have reached. If it were
-// accepted, everything the member later reports about itself would look old.
+// Guards against a faulty peer that reports a heartbeat counter which the member
+// cannot have reached. If it were accepted, everything the member later reports about
+// itself would look old.
 func TestImpossibleHeartbeatIsRejected(t *testing.T) {
 	is := is.New(t)
 	tb, now := citronroster.NewTable("a", "z1"), start
@@ -204,8 +216,9 @@
 	is.True(k == nil) // unknown fingerprint
 }
 
-// The most recent totals of a zone count, from whichever node they come. Totals
-// older than three seconds do not count: the zone's nodes may be cut off.
+// Guards against computing with outdated totals of another zone. The most recently
+// computed totals count, in whichever order they arrive. Totals older than three
+// seconds do not count: the zone's nodes may be cut off.
 func TestMostRecentZoneTotalsCount(t *testing.T) {
 	is := is.New(t)
 	s := citronroster.NewZoneTotals("z1")
