--- a/citronpeer/fuzz_test.go
+++ b/citronpeer/fuzz_test.go
@@ -11,8 +11,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FuzzPeerMessage checks that any bytes from another process are answered or
-// rejected, and that an accepted message can be read and encoded again.
+// FuzzPeerMessage guards against a node that crashes on a message of another process:
+// any bytes sent as an exchange or an update are answered or rejected, and an accepted
+// message can be read and encoded again.
 func FuzzPeerMessage(f *testing.F) {
 	for _, v := range []any{
 		nil, 7, "text",
--- a/citronpeer/limit_test.go
+++ b/citronpeer/limit_test.go
@@ -13,10 +13,10 @@
 	"github.com/matryer/is"
 )
 
-// A node stalls for a moment, and then all other nodes send it what they know of
-// the whole fleet. The node must not hold all of that at once: a node with
-// 184 MB was killed that way. It rejects the exchanges above its limit unread
-// and still serves updates, which are small.
+// Guards against a node that runs out of memory. It stalls for a moment, and then all
+// other nodes send it what they know of the whole fleet; a node with 184 MB of memory
+// was killed that way. It must serve at most 8 exchanges at a time and reject the
+// others. It must still serve updates, which are small.
 func TestConcurrentExchangesAreBounded(t *testing.T) {
 	is := is.New(t)
 	mux := http.NewServeMux()
--- a/citronpeer/peer_test.go
+++ b/citronpeer/peer_test.go
@@ -36,7 +36,8 @@
 func (a answerFunc) Exchange(state citronpeer.GossipState) citronpeer.GossipState { return a(state) }
 func (a answerFunc) Update(state citronpeer.GossipState) citronpeer.GossipState   { return a(state) }
 
-// Each node receives exactly what the other node sent.
+// Guards against values that are lost or changed on the wire: each node receives exactly
+// what the other node sent.
 func TestExchange(t *testing.T) {
 	is := is.New(t)
 	mux := http.NewServeMux()
@@ -59,7 +60,8 @@
 	is.Equal(got, answer)
 }
 
-// A stalled node must not delay the rounds of other nodes.
+// Guards against a stalled node that delays the rounds of other nodes: an exchange that
+// gets no answer ends after the client's timeout.
 func TestExchangeTimesOut(t *testing.T) {
 	is := is.New(t)
 	block := make(chan struct{})
@@ -71,7 +73,8 @@
 	is.True(err != nil)
 }
 
-// A later start wins, and within one start the higher heartbeat counter.
+// Guards against old state that replaces newer state of the same node. A later start
+// wins, and within one start the higher heartbeat counter.
 func TestNewer(t *testing.T) {
 	is := is.New(t)
 	at := func(started, heartbeat int64) citronpeer.Member {
@@ -84,9 +87,10 @@
 	is.True(!a.Newer(a))
 }
 
-// A few nodes watch the store and are ready to lead. They must not all be lost
-// when one zone is cut off, and a weak node must not be one of them while
-// stronger nodes exist.
+// Guards against losing all nodes that watch the store and are ready to lead when one
+// zone is cut off. They are the first few in the order of Before. In a fleet of five
+// zones, the first four must be in at least three zones, and a weak node must not be one
+// of them while stronger nodes exist.
 func TestFirstNodesAreInSeveralZones(t *testing.T) {
 	is := is.New(t)
 	var all []citronpeer.Member
@@ -111,7 +115,7 @@
 
 // BenchmarkUpdate reports the bytes on the wire of one update: a node and the
 // revisions of its documents, without the other members of the fleet. The full
-// gossip state of a hundred nodes, which updates used to carry, is 3.8 KB.
+// gossip state of a hundred nodes, which an update need not carry, is 3.8 KB.
 func BenchmarkUpdate(b *testing.B) {
 	state := citronpeer.GossipState{From: member(1), Config: citronpeer.ConfigDocument{Version: 9}, Engines: citronpeer.ListDocument{Revision: citronkv.RevisionOf(0, 4)}}
 	var size int64
--- a/citronpeer/size_test.go
+++ b/citronpeer/size_test.go
@@ -8,10 +8,11 @@
 	"github.com/matryer/is"
 )
 
-// Updates about every node go to every other node, so their cost grows with the
-// square of the fleet. Most nodes do not query the store; their updates must hold
-// no bytes for its status. The update of a node that does query it must hold fewer
-// than 64 bytes for that.
+// Guards against updates that grow. Updates about every node go to every other node, so
+// their cost grows with the square of the fleet. Most nodes do not query the store;
+// their updates must hold no bytes for its status. For a node that is answered and
+// served, the status must take fewer than 64 bytes. The sizes are those in JSON; on the
+// wire, updates are CBOR with the same field names.
 func TestOnlyQueryingNodesSendStoreStatus(t *testing.T) {
 	is := is.New(t)
 	size := func(s citronhealth.Status) int {
