--- a/citronforward/admit_test.go
+++ b/citronforward/admit_test.go
@@ -22,8 +22,10 @@
 	return n
 }
 
-// Guards against refusing callers twice, after which they give up: caches stay full for
-// as long as most streams last.
+// Guards against a retry delay that brings refused callers back while the surge still
+// fills the caches: they are refused a second time and give up. With spreadRetryAfter,
+// less than half as many callers may return during the surge as with delays of 1.5 to
+// 6 s.
 func TestFewRefusedCallersRetryDuringSurge(t *testing.T) {
 	is := is.New(t)
 	const surge, left = 5 * time.Second, 20 * time.Second
--- a/citronforward/crash_test.go
+++ b/citronforward/crash_test.go
@@ -52,8 +52,9 @@
 	return []citronmodel.Engine{modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "a", 0, 8), modelEngine("m4", "a", 0, 8)}
 }
 
-// Guards against a request that crashes every engine that begins to run it and is
-// retried beyond its route's attempts, because runs on crashed engines are not counted.
+// Guards against a request that stops one engine after the other. Each engine that
+// begins to run it crashes. A run on an engine that has crashed must count as one of the
+// route's attempts.
 func TestRunOnCrashedEngineCountsAsAttempt(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, fourEngines()...)
@@ -63,8 +64,9 @@
 	is.Equal(got.status, 502)              // it may have run, so no retry is invited
 }
 
-// Guards against a quarantined request that still reaches engines, waits for its
-// response, or whose caller is told to retry soon.
+// Guards against a quarantined request that is still sent to engines, whose caller
+// waits for the refusal, or whose caller is told to retry soon. A request with another
+// body must not be affected.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, fourEngines()...)
@@ -83,8 +85,9 @@
 	is.True(len(r.engines.received()) > 3)
 }
 
-// Guards against missing the crashes of a request that is not idempotent: it runs once
-// per ID, and its caller sends it again under new IDs.
+// Guards against missing the crashes of a request that is not idempotent. This node
+// sends it once and does not retry it, but its caller sends it again. The crashes of all
+// these runs must be counted together.
 func TestCrashesOfAnUnsafeRequestAreCounted(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, plainEngine("p1", "a"), plainEngine("p2", "a"), plainEngine("p3", "a"), plainEngine("p4", "a"))
@@ -96,8 +99,8 @@
 	is.Equal(len(r.engines.received()), 3)
 }
 
-// Guards against treating an engine that breaks off its responses as ended: it is still
-// running and may serve other requests.
+// Guards against counting a broken response as a crash. The engine breaks off its
+// responses but still answers probes, so it may serve other requests.
 func TestBrokenAnswerOfRunningEngineIsNoCrash(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, fourEngines()...)
@@ -109,10 +112,11 @@
 	is.True(r.Quarantine.Empty())
 }
 
-// Guards against counting a crash against requests that had been running on the engine
-// for long. Such a stream is retried on a second and a third engine, which crash too, and
-// must still be served in the end. Each engine restarts at once, so that it is certain
-// that the previous process has ended.
+// Guards against blaming a crash on a request that ran well before it. A stream sends
+// events for more than a second, and then its engine crashes. It is resumed on a second
+// and a third engine, which crash too. It must be completed on a fourth one, and no crash
+// may be counted against it. Each engine restarts at once, which proves that its previous
+// process has ended; otherwise the route would allow only two runs.
 func TestStreamThatRanWellIsNotSuspect(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, fourEngines()...)
@@ -143,8 +147,10 @@
 	is.True(r.Quarantine.Empty())
 }
 
-// Guards against moving a hop of a suspect to a new engine after two engines have
-// crashed under it: the new engine would begin to run it too.
+// Guards against a request that stops the engines of a path one after the other: when a
+// hop's engine crashes, the running stream is moved to another engine for the same
+// layers, which then begins to run the request too. After two crashes the request is a
+// suspect and must not be moved again, so at most one move is allowed.
 func TestSuspectIsNotMovedAlongItsPath(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8), modelEngine("m4", "a", 4, 8))
--- a/citronforward/leaving_test.go
+++ b/citronforward/leaving_test.go
@@ -24,8 +24,10 @@
 	return moved
 }
 
-// Guards against moving streams, which makes engines read their tokens again, although
-// they would have ended while the leaving engine still serves.
+// Guards against moving streams away from a leaving engine too early or too late. Other
+// engines have to read the tokens of a moved stream again, although many streams would
+// end while the leaving engine still serves. A stream that moves later than that is cut
+// off.
 func TestStreamsStayWhileALeavingEngineServes(t *testing.T) {
 	is := is.New(t)
 	for _, drain := range []time.Duration{2 * time.Second, 3 * time.Second, 6 * time.Second} {
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -13,9 +13,9 @@
 	"github.com/matryer/is"
 )
 
-// setRateLimits makes engines announce a rate limit and answers permit requests with the
-// decision given per engine. For each engine, asked holds the maxWait of every permit
-// request so far.
+// setRateLimits records a rate limit for each engine in decide, as if the engine had
+// announced it, and answers permit requests with the engine's decision. For each engine,
+// asked holds the maxWait of every permit request so far.
 func (r *testForwarder) setRateLimits(decide map[string]citronpermit.Decision) (asked map[string][]time.Duration) {
 	asked = map[string][]time.Duration{}
 	for id := range decide {
@@ -37,8 +37,8 @@
 
 var deniedForLong = citronpermit.Denied{AvailableIn: 30 * time.Second, RetryAfter: 30 * time.Second}
 
-// Guards against refusing a request although an engine without a rate limit has free
-// capacity.
+// Guards against refusing or delaying a request because it is denied a permit for one
+// engine although another engine has no rate limit.
 func TestRequestWithoutAPermitGoesToAnotherEngine(t *testing.T) {
 	for _, route := range []string{"safe", "unsafe", "stream"} {
 		t.Run(route, func(t *testing.T) {
@@ -72,7 +72,7 @@
 			c := r.ask(route, 4*time.Second)
 			is.True(c.refused)
 			is.Equal(c.status, http.StatusServiceUnavailable)
-			is.True(c.retryAfter > busy.AvailableIn-time.Second) // part of the delay has passed
+			is.True(c.retryAfter > busy.AvailableIn-time.Second) // not long before a permit becomes available
 			is.True(route != "stream" || len(asked["m1"]) == 2)  // the second permit request may wait
 			for _, maxWait := range asked["m1"] {
 				is.True(maxWait <= 200*time.Millisecond) // callers leave a stalled stream
@@ -83,7 +83,8 @@
 	}
 }
 
-// Guards against refusing a request although a permit is free long before its deadline.
+// Guards against refusing a request although a permit becomes available long before its
+// deadline. The request may wait for a permit for half of the time that it has left.
 func TestRequestWaitsForAPermit(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, plainEngine("p1", "a"))
@@ -118,7 +119,9 @@
 	is.Equal(len(r.engines.received()), 0)
 }
 
-// Guards against resuming a stream, or moving a running one, without a permit.
+// Guards against exceeding a rate limit by resuming a stream on a limited engine, or by
+// moving a running stream to one, without a permit. A stream that is denied a permit for
+// one engine must be moved to another.
 func TestResumesAndMovesTakePermits(t *testing.T) {
 	t.Run("resume", func(t *testing.T) {
 		is := is.New(t)
@@ -169,8 +172,9 @@
 	})
 }
 
-// Guards against ending a limit because of a response that the engine itself did not
-// sign, or because of an invalid limit.
+// Guards against ending a rate limit too early. Each case is a response without a valid
+// limit; only one that the engine itself signed and that states no limit at all may end
+// the limit.
 func TestOnlyTheEnginesOwnAnswerEndsALimit(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/citronforward/list_test.go
+++ b/citronforward/list_test.go
@@ -18,10 +18,10 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a retry that uses an outdated engine list. The list changes while a
-// request fails at its first engine: of the two other engines, the preferred one begins
-// to leave. The third engine must serve the caller, and the log must name the list that
-// each engine was selected from.
+// Guards against a retry that uses an outdated engine list. While a request runs on e1,
+// where it fails, a new list marks e2 as leaving. Without the new list, the retry would
+// go to e2, which is in this node's zone. It must go to e3, and the log must name the
+// list that each engine was selected from.
 func TestRetryUsesTheActiveList(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, plainEngine("e1", "a"), plainEngine("e2", "a"), plainEngine("e3", "b"))
--- a/citronforward/refused_test.go
+++ b/citronforward/refused_test.go
@@ -16,8 +16,10 @@
 	"github.com/matryer/is"
 )
 
-// Guards against starting a run on a third engine beside two that are healthy. A
-// leaving engine refuses new connections while its streams continue.
+// Guards against a third engine that runs a request while two others may still run it.
+// The stream broke off on the first engine, and both attempts that the route allows are
+// used. The second engine begins to leave and refuses new connections, but its streams
+// continue. The stream must stay there until it ends.
 func TestRefusedConnectionDoesNotEndRunningStreams(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "b", 0, 8))
@@ -61,9 +63,9 @@
 	is.Equal(len(r.engines.received()), 2)
 }
 
-// Guards against starting a run on a third engine after two that were cut off from the
-// network: they reset their streams and refuse connections as if they had ended, but
-// are still running.
+// Guards against a third engine that runs a request while two others still run it. Those
+// are cut off from the network: they reset their streams and refuse connections as if
+// their processes had ended. Both runs must count as the attempts that the route allows.
 func TestRunOnAnEngineThatRefusesConnectionsCounts(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "b", 0, 8))
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -80,9 +80,9 @@
 	return rep
 }
 
-// The engine fails in the middle of an event. The truncated event must be dropped and
-// the stream resumed on another engine after the last forwarded event, so that the
-// caller gets each event complete and exactly once.
+// Guards against a caller that gets half an event, or an event twice or not at all. The
+// engine fails in the middle of an event. The truncated event must be dropped and the
+// stream resumed on another engine after the last forwarded event.
 func TestStreamIsResumedAfterLastCompleteEvent(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8))
@@ -103,7 +103,9 @@
 	is.True(calls[0].engine != calls[1].engine)
 }
 
-// A regular end of the body in the middle of an event is a failure of the run too.
+// Guards against a stream that looks complete although its last event was cut off. The
+// engine ends the body without an error, but in the middle of an event. The stream must
+// be resumed on another engine.
 func TestTruncatedEventDoesNotEndStream(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8))
@@ -116,8 +118,8 @@
 	is.Equal(r.ask("stream", time.Second).body, events(1, 3))
 }
 
-// A resumed run may start before the requested event. The caller must not get events
-// twice.
+// Guards against a caller that gets events twice: the engine on which a stream is
+// resumed may send events that the caller already has.
 func TestEventsAreNotDuplicated(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8))
@@ -132,8 +134,8 @@
 	is.Equal(r.ask("stream", time.Second).body, events(1, 5))
 }
 
-// All runs that the route allows fail. The stream must be aborted so that the partial
-// response does not look complete.
+// Guards against a partial response that looks complete. All runs that the route allows
+// fail after some events, so the stream must be aborted.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "a", 0, 8))
@@ -147,10 +149,10 @@
 	is.Equal(len(r.engines.received()), 2) // the route's limit
 }
 
-// An engine in the middle of the path fails. It has no connection to this node, so the
-// stream only stalls while the first engine is healthy. The stream must be moved within
-// the zone, by a new path behind the same first engine, long before a caller gives up
-// after 2 s.
+// Guards against a stream that stalls for good. An engine behind the first one fails. It
+// has no connection to this node, and the first engine is healthy, so this node sees only
+// that no events arrive. The stream must be moved within the zone, by a new path behind
+// the same first engine, without a new run.
 func TestDeadMiddleHopIsReplacedInZone(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8))
@@ -177,10 +179,11 @@
 	is.True(r.engines.repaths[0][1].Engine.Addr != dead)
 }
 
-// A stream waits for an engine that loads other layers as ordered by the leader. The
-// first engine reports the stream as stalled there, but the engine itself responds to
-// probes. The stream must be moved, but the engine must not be reported to other nodes
-// as dead: the leader would place its layers again while they load.
+// Guards against reporting an engine as dead that is only loading other layers, as the
+// leader ordered: the leader would then place its layers on yet other engines. A stream
+// waits for the engine, and the first engine of the path reports that it is stalled
+// there, but the engine itself responds to probes. The stream must be moved, and the
+// engine must not count as dead.
 func TestStalledEngineThatRespondsIsNotDead(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8))
@@ -206,10 +209,10 @@
 	is.Equal(len(r.view.DeadAfter(time.Time{})), 0)
 }
 
-// One hop of a path fails. A later hop is healthy, but the zone's other replica has a
-// less loaded engine for the same layers. The new path must keep the healthy hop:
-// another engine would have to process all tokens of the stream again, and with a
-// hundred streams moved at once all of them would be late.
+// Guards against moving more hops of a stream than necessary. One hop of its path fails.
+// A later hop is healthy, but the zone has a less loaded engine for the same layers. The
+// new path must keep the healthy hop: another engine would have to process all tokens of
+// the stream again, and with a hundred streams moved at once all of them would be late.
 func TestRepathKeepsHealthyHops(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 3), modelEngine("m2", "a", 3, 6), modelEngine("m3", "a", 6, 8), modelEngine("n2", "a", 3, 6), modelEngine("n3", "a", 6, 8))
@@ -237,9 +240,9 @@
 	is.Equal(r.engines.repaths[0][2].Engine.ID, last)
 }
 
-// An engine in the middle of the path fails and no other engine of the zone holds its
-// layers. Sending all tokens so far to another zone would take seconds, so the stream
-// must be resumed on another zone's replica.
+// Guards against a path that crosses zones, over which sending all tokens so far would
+// take seconds. An engine behind the first one fails, and no other engine of the zone
+// holds its layers. The stream must be resumed on the other zone's replica.
 func TestDeadMiddleHopWithoutSpareResumesInOtherZone(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("n1", "b", 0, 4), modelEngine("n2", "b", 4, 8))
@@ -266,9 +269,9 @@
 	is.Equal(len(r.engines.repaths), 0)
 }
 
-// In a surge, requests of other nodes have filled all caches. A further stream would
-// make engines preempt running ones, so it must be refused without being sent, while
-// the caller still has time to retry.
+// Guards against a stream that makes engines preempt running ones. In a surge, requests
+// of other nodes have filled all caches. A further stream must be refused without being
+// sent, and its caller must be told to retry after a second or more.
 func TestStreamIsRefusedWhenCachesAreFull(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8))
@@ -281,8 +284,8 @@
 	is.Equal(len(r.engines.received()), 0)
 }
 
-// A caller that resumes a stream must be admitted although the caches are full. It would
-// otherwise lose the events that it already has.
+// Guards against refusing a caller that resumes a stream: the events that it already has
+// would be lost. It must be admitted although the caches are full.
 func TestResumingCallerIsAdmitted(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8))
@@ -296,8 +299,9 @@
 	is.Equal(got.body, events(5, 6))
 }
 
-// If engines refuse a request without running it, only a few of them may be tried before
-// the caller is refused.
+// Guards against a request that is tried at every engine of a full service, and a caller
+// that learns only at the end that it is refused. At most five engines may refuse the
+// request before the caller is told when to retry.
 func TestRefusingEnginesAreTriedOnlyAFewTimes(t *testing.T) {
 	is := is.New(t)
 	engines := make([]citronmodel.Engine, 0, 9)
@@ -314,9 +318,9 @@
 	is.True(len(r.engines.received()) <= 5)
 }
 
-// The engine of a running stream fails while all others are full for a moment. Ending
-// the stream would lose the part of the response that the caller has, so the stream
-// must wait and be resumed as soon as an engine accepts it.
+// Guards against losing the part of a response that the caller already has. The engine
+// of a running stream fails while all others are full for a moment and refuse it. The
+// stream must wait and be resumed once an engine accepts it.
 func TestBegunStreamWaitsForCapacity(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "a", 0, 8))
@@ -336,9 +340,11 @@
 	is.True(!got.aborted)
 }
 
-// A node that is stopping must refuse streams that would outlast it but still serve
-// requests that end in time. A refused caller may retry at another node immediately, if
-// there is one.
+// Guards against requests that a stopping node cuts off, and against refusing more than
+// necessary. For 2.5 s after it begins to stop, or 2.8 s if no other node serves callers,
+// the node accepts all streams, because callers still use its address. After that it
+// accepts those that end before it does. A unary request is accepted if its deadline is
+// before the node's end. A refused caller may retry at once if there is another node.
 func TestStoppingNodeAcceptsOnlyWhatEndsInTime(t *testing.T) {
 	for _, c := range []struct {
 		name, route string
@@ -375,9 +381,9 @@
 	}
 }
 
-// A probe that times out does not prove that the engine's process has ended: this node
-// may have been paused, or have lost its connection to a healthy engine. A third engine
-// must not run the request then.
+// Guards against a third engine that runs a request while two others may still run it. A
+// probe that times out does not prove that an engine's process has ended: this node may
+// have been paused, or have lost its connection to a healthy engine.
 func TestUnresponsiveFirstEngineHasNotEnded(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 8), modelEngine("m2", "a", 0, 8), modelEngine("m3", "a", 0, 8))
@@ -392,10 +398,11 @@
 	is.Equal(len(r.engines.received()), 2)
 }
 
+// Guards against a third engine that runs a request while two others may still run it.
 // Both runs that the route allows have been used when the first engine of the second run
-// reports that it is leaving, or its entry disappears. The engine still serves, so moving
-// the stream would have a third engine run the request beside two healthy ones. The
-// stream must stay and be resumed only once the engine's process has ended.
+// reports that it is leaving, or its entry disappears. The engine still serves, so the
+// stream must stay there and be resumed only once another process has taken the engine's
+// place.
 func TestLastRunStaysWithLeavingEngineUntilItEnds(t *testing.T) {
 	for _, gone := range []bool{false, true} {
 		t.Run(fmt.Sprintf("entry gone %v", gone), func(t *testing.T) { checkLastRunStays(t, gone) })
@@ -454,11 +461,11 @@
 	is.Equal(calls[2].afterEvent, "3") // not moved before the engine's process ended
 }
 
-// The first engine of a stream crashes and restarts at the same address, while the
-// connection to the crashed process stays open and sends nothing. The engine's report has
-// a later start time, so the run has certainly ended. The stream must be resumed
-// elsewhere immediately, and the run must not count against the two that the route
-// allows.
+// Guards against a stream that waits for a process that no longer exists, or that is
+// aborted because of it. The first engine of the stream crashes and restarts at the same
+// address, while the connection to the crashed process stays open and sends nothing. The
+// engine's report has a later start time, so the run has certainly ended. The stream must
+// be resumed elsewhere, and the run must not count against the two that the route allows.
 func TestRunOnRestartedEngineHasEnded(t *testing.T) {
 	is := is.New(t)
 	first := modelEngine("m1", "a", 0, 8)
@@ -485,11 +492,12 @@
 	is.Equal(len(r.engines.received()), 3)
 }
 
-// An engine in the middle of a path hangs at peak load: it neither refuses connections
-// nor responds. The next request sent through it is refused with the engine named as the
-// cause (the engine is accused), while running streams through it only stall. The two
-// signs together must move a stream within about 150 ms. If streams waited for the probe
-// to time out, they would pause for 0.6 to 0.9 s.
+// Guards against streams that pause for 0.6 to 0.9 s because they wait for the probe of a
+// hung engine to time out. An engine behind the first one neither refuses connections
+// nor responds. The next request through it is refused with the engine named as the
+// cause (the engine is accused), while running streams through it only stall. These two
+// signs together must move a stream, usually after about 150 ms, although the probe has
+// no result.
 func TestStalledStreamLeavesAccusedEngine(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8))
@@ -522,9 +530,10 @@
 	is.Equal(len(r.engines.repaths), 1)
 }
 
-// An accused engine that is only full or is unloading layers still responds to probes. A
-// stream through it that happens to pause must not be moved. Otherwise all streams of a
-// full engine would have their tokens processed again elsewhere.
+// Guards against moving all streams away from an engine that is only full or is unloading
+// layers: their tokens would have to be processed again elsewhere. Such an engine is
+// accused but still responds to probes. A stream through it that happens to pause for
+// 0.2 s must stay.
 func TestAccusedEngineThatRespondsKeepsItsStreams(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8))
@@ -539,8 +548,10 @@
 	is.Equal(len(r.engines.received()), 1)
 }
 
-// A request is refused because of an engine of its path. Other nodes must be notified
-// once, not for each request that is refused because of the same engine.
+// Guards against a message to other nodes for each request of a burst. A request is
+// refused because of an engine of its path, and other nodes are notified. This node then
+// avoids the engine for a moment, so the next requests go elsewhere and cause no further
+// notification.
 func TestAccusationIsSharedOnce(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("n1", "b", 0, 8))
@@ -562,9 +573,9 @@
 	is.Equal(notified.Load(), int64(1))
 }
 
-// A stream fails and is not resumed. The log must say whether its attempts or the shared
-// retry budget were used up: the former is intended, the latter means that engines fail
-// faster than the budget allows for.
+// Guards against a log that does not say why a stream was not resumed. Either its attempts
+// were used up, which is intended, or the shared retry budget, which means that engines
+// fail faster than the budget allows for.
 func TestLimitThatEndedStreamIsLogged(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -591,9 +602,10 @@
 	}
 }
 
-// An engine refuses many streams at once, and the node borrows retry budget for them.
-// Other streams may use up the first loan before this stream gets a retry. It must borrow
-// again instead of being refused while other nodes still have budget to lend.
+// Guards against refusing a stream while other nodes still have retry budget to lend. An
+// engine refuses many streams at once, and the node borrows budget for them. Other
+// streams may use up the first loan before this stream gets a retry; it must then borrow
+// again.
 func TestRequestBorrowsAgainWhenOthersUsedTheLoan(t *testing.T) {
 	is := is.New(t)
 	r := newTestForwarder(t, modelEngine("a1", "a", 0, 8), modelEngine("a2", "a", 0, 8))
--- a/citronforward/unary_test.go
+++ b/citronforward/unary_test.go
@@ -42,9 +42,10 @@
 	is.Equal(r.ask("stream", 150*time.Millisecond).status, http.StatusGatewayTimeout)
 }
 
-// TestRetriesByKindAndOutcome covers what is retried for each kind of request and each
-// outcome of the first call. A row gives the first engine's response, the number of
-// engines that see the request, and the status that the caller gets.
+// Guards against running a request twice that is not idempotent, and against failing a
+// request that may be retried. Each case gives the kind of the route, the outcome of the
+// first call, the number of engines that see the request, and the status that the caller
+// gets. All engines but the first answer with 200.
 func TestRetriesByKindAndOutcome(t *testing.T) {
 	lost := func() (*citronupstream.Reply, error) { return nil, errReset }
 	notSent := func() (*citronupstream.Reply, error) { return nil, errors.Mark(errReset, citronupstream.ErrNotSent) }
@@ -133,7 +134,8 @@
 	is.Equal(r.ask("safe", 10*time.Second).status, 200)
 }
 
-// TestRefusalsByConfiguration covers the refusals that the active configuration causes.
+// Guards against serving a request that the active configuration does not allow, and
+// against refusing one on a public route for its missing key.
 func TestRefusalsByConfiguration(t *testing.T) {
 	for _, c := range []struct {
 		name, route string
