--- a/citronlimit/gossip_test.go
+++ b/citronlimit/gossip_test.go
@@ -22,8 +22,9 @@
 	return reg
 }
 
-// An upstream sets and lifts its limit several times a second. The limit must also apply
-// to the requests that are sent while it is lifted.
+// Guards against an upstream that receives all requests which arrive while its limit is
+// lifted. It sets and lifts its limit again and again, every 300 ms here. The limit must
+// stay in effect until a second after a response last stated it.
 func TestLimitStaysInEffectForAtLeastOneSecond(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
@@ -63,6 +64,9 @@
 	is.Equal(reg.Checksum(), uint64(0))
 }
 
+// Guards against an invalid limit from a faulty node that takes effect, or whose version
+// no later limit can supersede. The message must be rejected as a whole, with the valid
+// limit in it.
 func TestInvalidMessageIsRejected(t *testing.T) {
 	for _, l := range []citronpeer.Limit{
 		{Limited: true, PerSecond: 1, Version: 1},
@@ -79,8 +83,9 @@
 	}
 }
 
-// Whatever responses nodes receive, and in whatever order they exchange messages, they
-// must end up with the same records.
+// Guards against nodes that keep to different limits for good. Whatever responses three
+// nodes receive, and in whatever order they exchange messages, they must have the same
+// records once each has sent all its records to the others.
 func TestRegistriesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(0, 0))
@@ -124,6 +129,9 @@
 	})
 }
 
+// FuzzMerge guards against limits from another process that cannot be used: whatever a
+// message contains, no limit that is negative or not a number takes effect, and an
+// invalid message changes nothing.
 func FuzzMerge(f *testing.F) {
 	text, err := cbor.Marshal([]citronpeer.Limit{{Engine: "i-1", Limited: true, PerSecond: 2.5, Version: 3}})
 	if err != nil {
--- a/citronlimit/registry_test.go
+++ b/citronlimit/registry_test.go
@@ -10,8 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a limit that is lifted by the response to a request that was sent before
-// the limit was set.
+// Guards against a limit that is lifted or raised by the response to a request that was
+// sent before the limit was set: the upstream may have answered it before, too. A stricter
+// limit takes effect whenever its request was sent.
 func TestOlderResponseDoesNotLiftLimit(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
@@ -34,6 +35,8 @@
 	is.Equal(reg.CountLimited(), 0)
 }
 
+// Guards against a limit that is lifted, or changed, by a response that states no valid
+// limit.
 func TestInvalidLimitIsIgnored(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
