--- a/citronlist/era_test.go
+++ b/citronlist/era_test.go
@@ -87,8 +87,9 @@
 	is.True(l.usedIDs()["1"])
 }
 
-// Guards against dropping engines that joined after the copy was made before they can
-// write their entries again, and against using them longer if they do not.
+// Guards against dropping engines that joined after the copy was made. The restored store
+// lacks their entries until they write them again, for which they have ExpiryGrace. An
+// engine that does not write its entry by then must no longer be used.
 func TestEnginesMissingAfterRestoreAreRetainedForGrace(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
@@ -104,8 +105,9 @@
 	is.True(!l.usedIDs()["4"])
 }
 
-// Guards against a node that sends only changes to a node whose list is of an earlier
-// era.
+// Guards against sending only the changes since some revision to a node whose list is of
+// an earlier era. That revision means nothing in the new era, so the node must get the
+// full list.
 func TestNodeOfOlderEraGetsFullList(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(0, 0))
@@ -117,9 +119,11 @@
 	is.Equal(doc.Revision, citronkv.RevisionOf(1, 1))
 }
 
-// Tests that a list follows a store through any sequence of writes and restores. From the
-// first restore on, it never uses an engine that was seen to leave or disappear and has
-// not written its entry since. It uses all engines once all have written.
+// Guards against a restored store that brings back engines which have left, or that keeps
+// engines out of use. The list follows a store through any sequence of writes and
+// restores. From the first restore on, it never uses an engine that was seen to leave or
+// disappear and has not written its entry since. It uses all engines once all have
+// written.
 func TestListFollowsRestoredStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(0, 0))
--- a/citronlist/index_test.go
+++ b/citronlist/index_test.go
@@ -17,8 +17,11 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against engines that are returned in an outdated state: after any sequence of
-// changes, the patched result equals one that is rebuilt from scratch.
+// Guards against results that miss a change because they are patched instead of rebuilt.
+// After any sequence of changes, the engines returned must equal those rebuilt from
+// scratch, the index must name the entries that are missing or whose engine restarted,
+// and other nodes must be sent exactly the entries that are present. If nothing has
+// changed, Engines must return the same slice again.
 func TestPatchedEnginesEqualRebuiltEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(1000, 0))
--- a/citronlist/retain_test.go
+++ b/citronlist/retain_test.go
@@ -66,10 +66,13 @@
 	return n
 }
 
-// Tests how long engines with missing entries stay in use: not at all if a single entry
-// disappears; three fifths of DrainWithin if many disappear without proof of an outage;
-// during an outage as long as it lasts, but at most for ExpiryGrace, within which live
-// entries come back.
+// Guards against sending work to engines that have left, and against dropping healthy ones
+// whose entries expired in an outage of the store. An engine whose entry is missing stays
+// in use
+//   - not at all, if a single entry disappears;
+//   - for three fifths of DrainWithin, if many disappear without proof of an outage;
+//   - for as long as an outage lasts, but at most for ExpiryGrace, within which the
+//     entries of live engines come back.
 func TestMissingEnginesAreRetainedForLimitedTime(t *testing.T) {
 	const always = time.Hour
 	cases := []struct {
--- a/citronlist/snapshot_test.go
+++ b/citronlist/snapshot_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// Tests what is sent to a node that names the revision of its list. The node gets the
-// later changes in order, so that an entry which expired and came back ends as present.
-// If not all later removals are still known, the node gets the full list; otherwise it
-// would keep engines that are gone.
+// Guards against a node that keeps engines which are gone, or drops engines which came
+// back. It names the revision of its list and gets the later changes in their order, so
+// that an entry which expired and came back ends as present. If not all later removals
+// are still known, it gets the full list.
 func TestSnapshotSendsOnlyChanges(t *testing.T) {
 	put := func(key string, revision int64) citronkv.Item {
 		return citronkv.Item{Key: key, Revision: citronkv.RevisionOf(0, revision)}
