--- a/citronpermit/simulation_test.go
+++ b/citronpermit/simulation_test.go
@@ -112,9 +112,10 @@
 	return sent
 }
 
-// Guards against a strategy that respects the limit only with few nodes, or that leaves
-// the engine idle when only few nodes have requests for it. The used share of the limit is
+// Guards against permits that keep to the limit only in a small fleet, or that leave the
+// engine idle when most requests for it arrive at one node. The used share of the limit is
 // measured after the first seconds, in which a new issuer issues only half of the limit.
+// Only the permits are checked; the two simpler strategies are logged for comparison.
 func TestPermitsKeepLimitAtAnyFleetSize(t *testing.T) {
 	const duration, stabilized = 60 * time.Second, 5 * time.Second
 	for _, nodes := range []int{1, 9, 65, 295, 1200} {
@@ -196,8 +197,8 @@
 }
 
 // Guards against nodes that together get more permits than the limit allows while they
-// disagree about the issuer, because nodes end, restart, freeze, and learn of each
-// other's end late.
+// disagree about the issuer. They do so because nodes end, restart and freeze, and because
+// each node learns of another's end up to 3 s late.
 func TestPermitsKeepLimitWhileIssuersChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 12).Draw(t, "nodes")
