--- a/citronquarantine/fingerprint_test.go
+++ b/citronquarantine/fingerprint_test.go
@@ -7,6 +7,9 @@
 	"github.com/matryer/is"
 )
 
+// Guards against quarantining a harmless request together with one that crashes engines:
+// requests that differ in any field must have different fingerprints, also if the fields
+// joined together are the same text.
 func TestFingerprintDistinguishesRequests(t *testing.T) {
 	is := is.New(t)
 	of := citronquarantine.FingerprintOf
@@ -23,6 +26,8 @@
 	}
 }
 
+// Guards against fingerprints that change on the way to another node, and against texts
+// that are taken for a fingerprint although they are none.
 func TestFingerprintTextRoundTrip(t *testing.T) {
 	is := is.New(t)
 	p := citronquarantine.FingerprintOf("council", "POST", "h", "/a", nil)
--- a/citronquarantine/ledger_test.go
+++ b/citronquarantine/ledger_test.go
@@ -45,6 +45,9 @@
 	// quarantined: true
 }
 
+// Guards against a request that crashes several more engines at once. After two crashes,
+// one more would quarantine it, so only one run at a time may try. Other requests are not
+// affected.
 func TestTwoCrashesAllowOneTrialRunAtATime(t *testing.T) {
 	is := is.New(t)
 	l, _ := newLedger("n1")
@@ -62,7 +65,8 @@
 }
 
 // Guards against counting only one crash of an engine that restarts with the same ID,
-// and against counting one crash twice.
+// and against counting one crash twice if two runs report it. A run that began after the
+// last known crash can only have ended by another one.
 func TestCrashesOfRestartedEngineCountSeparately(t *testing.T) {
 	is := is.New(t)
 	l, clock := newLedger("n1")
@@ -79,7 +83,8 @@
 }
 
 // Guards against a harmless request that stays quarantined because it ran on three
-// engines that crashed for other reasons.
+// engines that crashed for other reasons. One successful run must clear it, also if one of
+// the crashes is reported again afterwards.
 func TestSuccessfulRunClearsRequest(t *testing.T) {
 	is := is.New(t)
 	l, clock := newLedger("n1")
@@ -97,7 +102,8 @@
 }
 
 // Guards against a request that crashes three more engines each time its quarantine
-// ends.
+// ends. Each further crash must double the quarantine, from one minute to 32, and a
+// refused caller must be told how long it still lasts.
 func TestEachCrashAfterTheThirdDoublesTheQuarantine(t *testing.T) {
 	is := is.New(t)
 	l, clock := newLedger("n1")
@@ -122,7 +128,8 @@
 	is.Equal(v.Crashes, 3)
 }
 
-// Guards against all nodes releasing a quarantined request at the same time.
+// Guards against all nodes releasing a quarantined request at the same time: it would
+// crash one engine for each of them. The nodes release it one after the other within 30 s.
 func TestNodesReleaseRequestOneAfterAnother(t *testing.T) {
 	is := is.New(t)
 	p := request(1)
@@ -143,6 +150,9 @@
 	is.Equal(released[34], 9)
 }
 
+// Guards against a ledger that grows without limit when many requests are running on
+// engines that crash, and against one that then forgets the request which crashed the most
+// engines. Records must expire.
 func TestLedgerIsBounded(t *testing.T) {
 	is := is.New(t)
 	l, clock := newLedger("n1")
@@ -161,7 +171,9 @@
 	is.True(l.Empty())
 }
 
-// Guards against an invalid message from a faulty node that quarantines a request.
+// Guards against a faulty node that quarantines requests by an invalid message: a record
+// without crashes, a crash in the future or two days ago, or too many records. The message
+// must be rejected as a whole.
 func TestInvalidRecordsAreRejected(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
@@ -189,8 +201,9 @@
 	}
 }
 
-// Nodes must end up with the same records, whatever the order and number of the messages
-// between them.
+// Guards against nodes that quarantine different requests for good. Whatever the order and
+// number of the messages between them, three nodes must have the same checksum once each
+// has sent its records to the next one, twice around.
 func TestNodesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := citronclock.NewManual(time.Unix(1_000_000, 0))
@@ -226,6 +239,8 @@
 	})
 }
 
+// FuzzFingerprintUnmarshal guards against a text of another length that is taken for a
+// fingerprint.
 func FuzzFingerprintUnmarshal(f *testing.F) {
 	f.Add("")
 	f.Add(request(1).String())
@@ -237,8 +252,10 @@
 	})
 }
 
-// Guards against records of a single crash that saturate the links of a large fleet:
-// engines that end at once leave hundreds of them, all of harmless requests.
+// Guards against messages that saturate the links of a large fleet. Engines that end at
+// once leave hundreds of records with a single crash, all of harmless requests. Such a
+// record must cause no message of its own and must not be part of what nodes compare; a
+// message carries at most eight of them. A second crash of a request is sent at once.
 func TestSingleCrashesAreGossipedSparingly(t *testing.T) {
 	is := is.New(t)
 	l, clock := newLedger("n1")
--- a/citronquarantine/simulation_test.go
+++ b/citronquarantine/simulation_test.go
@@ -162,9 +162,10 @@
 	}
 }
 
-// Guards against quarantining harmless requests that were running on crashed engines:
-// when half of all engines crash at once repeatedly, when an engine crashes every three
-// seconds, and while a request crashes engines.
+// Guards against quarantining harmless requests because they were running on engines that
+// crashed. At most one in a thousand may be quarantined when half of all engines crash at
+// once every ten seconds on average, when one engine crashes every three seconds on
+// average, and while a request that crashes engines is sent every two seconds on average.
 func TestFewHarmlessRequestsAreQuarantined(t *testing.T) {
 	cases := []struct {
 		name         string
