--- a/citronplacer/placer_test.go
+++ b/citronplacer/placer_test.go
@@ -120,9 +120,9 @@
 }
 
 // TestUnansweredOrderIsRetriedForSameState checks that an unanswered order is sent again
-// with the same count of accepted orders. The first one may be executed now, seconds
-// later or never. An engine that has executed it refuses the second, and one that
-// executes both late holds the same layers.
+// with the same count of accepted orders, so that at most one of the two has an effect.
+// The first one may be executed now, seconds later or never. An engine that has executed
+// it refuses the second, and one that executes both late holds the same layers.
 func TestUnansweredOrderIsRetriedForSameState(t *testing.T) {
 	is := is.New(t)
 	e := &fakeEngines{state: citronplace.EngineState{AcceptedOrders: 3}, place: func(n int) error {
@@ -141,7 +141,8 @@
 }
 
 // TestBusyEngineGetsNoOrder checks that an engine that executes an order receives the
-// next one only when it is done.
+// next one only when it is done. It would refuse an earlier one, and an engine that
+// refuses too many orders is replaced.
 func TestBusyEngineGetsNoOrder(t *testing.T) {
 	is := is.New(t)
 	e := &fakeEngines{state: citronplace.EngineState{Busy: true}}
@@ -164,8 +165,9 @@
 	is.New(t).Equal(len(e.orders()), 0)
 }
 
-// TestEngineReportedDeadByTwoNodesIsReplaced checks that the layers of an engine are
-// placed at once if two nodes found it dead and it doesn't answer the leader either.
+// TestEngineReportedDeadByTwoNodesIsReplaced guards against a gap that stays because a
+// dead engine is still listed. If two nodes found the engine dead and it doesn't answer
+// the leader either, its layers must be placed on another engine.
 func TestEngineReportedDeadByTwoNodesIsReplaced(t *testing.T) {
 	is := is.New(t)
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 4))
@@ -251,11 +253,12 @@
 	is.Equal(len(e.orders()), 0)
 }
 
-// TestEngineIsNotDeadAfterOneMissedCheck simulates a leader that is short of processor time
-// during a burst. It misses the answers of an engine to a request and to the check that
-// follows; no other node reports the engine. The leader must check again before
-// anything is moved. When one missed check was enough, thirty healthy engines were
-// replaced within three seconds and their zones repartitioned.
+// TestEngineIsNotDeadAfterOneMissedCheck guards against a leader that replaces healthy
+// engines because it is short of processor time during a burst. It misses the answers of
+// an engine to a request and to the check that follows; no other node reports the engine.
+// The leader must check again before anything is moved. With a single check, such a
+// leader replaced thirty healthy engines within three seconds, and their zones were
+// repartitioned.
 func TestEngineIsNotDeadAfterOneMissedCheck(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8))
 	s.DeadReports["e2"] = 1
@@ -265,8 +268,8 @@
 	is.New(t).Equal(len(e.orders()), 0)
 }
 
-// TestEngineIsDeadAfterTwoMissedChecks checks that an engine that also misses the second check is
-// dead, although only one node reports it, and that its layers are placed.
+// TestEngineIsDeadAfterTwoMissedChecks guards against a gap that stays because only one
+// node reports a dead engine: if the engine misses two checks, its layers must be placed.
 func TestEngineIsDeadAfterTwoMissedChecks(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 4))
 	s.DeadReports["e2"] = 1
@@ -278,8 +281,9 @@
 // TestEngineThatLostItsLayersIsReplaced simulates an engine that crashes and restarts while
 // it is cut off from the store, and doesn't report its start time. The list still contains
 // its old layers, and the engine answers every State call, so it isn't dead. But it has
-// accepted no order since it started, so it can't hold them. Its layers must be placed at
-// once and not when its entry expires, or the zone rejects callers for four seconds.
+// accepted no order since it started, so it can't hold them. Its layers must be placed
+// although its entry is still listed; the zone would reject callers for about four
+// seconds if the leader waited until the entry expires.
 func TestEngineThatLostItsLayersIsReplaced(t *testing.T) {
 	s := state(engine("e1", 0, 4), engine("e2", 4, 8), engine("e3", 0, 0))
 	s.DeadReports["e2"] = 1
@@ -296,10 +300,10 @@
 	})
 }
 
-// TestTargetsDuringTermStart reads the targets while a term starts: a newly elected node
-// publishes them from another goroutine at that moment. It must read the targets from
-// before or after the start, never a map being written. The race detector finds a
-// violation.
+// TestTargetsDuringTermStart guards against a map that is read while it is written. A
+// newly elected node publishes its targets from another goroutine while its term starts,
+// and must read those from before or after the start. The test fails only under the race
+// detector.
 func TestTargetsDuringTermStart(_ *testing.T) {
 	for range 20 {
 		p := &citronplacer.Placer{Clock: citronclock.Real{}, Log: slog.New(slog.DiscardHandler), Current: func() *citronplacer.State { return nil }}
--- a/citronplacer/simulation_test.go
+++ b/citronplacer/simulation_test.go
@@ -210,11 +210,13 @@
 	}
 }
 
-// TestSuccessiveLossesAreRepairedSeparately simulates a zone that loses two or
-// three engines 400 ms apart at peak load. Each loss comes while the engines that
-// fill the previous gap are still loading and refuse other orders. The zone rejects
-// callers until it holds all layers. Engines that aren't adjacent to a gap must keep
-// their layers, so that all repairs take about as long as the last one alone.
+// TestSuccessiveLossesAreRepairedSeparately guards against a zone that is repartitioned
+// over and over. It loses two or three engines 400 ms apart at peak load. Each loss comes
+// while the engines that fill the previous gap are still loading and refuse other orders.
+// The zone rejects callers until it holds all layers. Engines that aren't adjacent to a
+// gap must keep their layers, so that all repairs take about as long as the last one
+// alone: at most 2 s, counted from 400 ms after the last loss, and no more layers loaded
+// than the model has.
 func TestSuccessiveLossesAreRepairedSeparately(t *testing.T) {
 	for _, order := range [][]int{{22, 35}, {35, 22}, {15, 40}, {8, 50}, {70, 22}, {22, 70}, {22, 30, 35}} {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
@@ -254,11 +256,12 @@
 	z.leaving = append(z.leaving, old)
 }
 
-// TestReleaseMovesOnlyReplacedLayers simulates a release at peak load: engines are
-// replaced one after the other, and each new engine starts a second before the old one
-// announces that it leaves. Callers don't notice if each new engine takes over the
-// layers of the old one: the other engines keep theirs, and no layer is missing for
-// longer than one load.
+// TestReleaseMovesOnlyReplacedLayers guards against a release that callers notice. At
+// peak load, engines are replaced one after the other, a second apart, and each new engine
+// starts a second before the old one announces that it leaves. Each new engine must take
+// over the layers of the old one while the other engines keep theirs. After the last old
+// engine has announced that it leaves, layers may be missing for 1.6 s in total; the time
+// before is not measured.
 func TestReleaseMovesOnlyReplacedLayers(t *testing.T) {
 	is := is.New(t)
 	z := newSimZone(t, 1, 6, 6)
@@ -292,12 +295,13 @@
 	}
 }
 
-// TestLeavingEnginesLeaveNoGap simulates engines that are removed at peak load without
-// a replacement. Each announces that it leaves and serves for another 2.5 seconds. A
-// spare engine that duplicates the first layers would have to wait for its running
-// requests before it could load the layers of the leaving engine, and the zone would
-// reject callers during that time. Instead the adjacent engines must take over the
-// layers.
+// TestLeavingEnginesLeaveNoGap guards against a zone that rejects callers for seconds
+// after engines were removed at peak load without a replacement. Each leaving engine
+// announces that it leaves and serves for another 2.5 seconds. A spare engine that
+// duplicates the first layers would have to wait for its running requests, up to 8 s,
+// before it could load the layers of the leaving engine. Instead the adjacent engines
+// must take over the layers. The zone is checked from 4 s after the last engine began to
+// leave.
 func TestLeavingEnginesLeaveNoGap(t *testing.T) {
 	for _, layers := range [][]int{{40}, {8}, {50, 20}, {25, 45}} {
 		t.Run(fmt.Sprint(layers), func(t *testing.T) {
@@ -313,7 +317,7 @@
 				z.run(4 * time.Second)
 			}
 			for range 100 {
-				is.True(z.hasAllLayers()) // no gap while the leaving engine still serves, nor later
+				is.True(z.hasAllLayers()) // no gap in the next 10 s
 				z.step()
 			}
 		})
