--- a/citronnode/config_test.go
+++ b/citronnode/config_test.go
@@ -12,9 +12,10 @@
 	"github.com/matryer/is"
 )
 
-// Each version arrives from several senders at once and takes a while to decode. Callers
-// must see the newest version soon, so no version is decoded twice, and a late reader of
-// the inbox finds the newest version instead of a queue of old ones.
+// Guards against a new configuration that takes effect late. Each version arrives from
+// several senders at once and takes a while to decode. No version may be decoded twice,
+// and a late reader of the inbox must find the newest version instead of a queue of old
+// ones.
 func TestConcurrentVersionsAreDecodedOnce(t *testing.T) {
 	is := is.New(t)
 	const versions, senders = 30, 8
@@ -46,7 +47,9 @@
 	}
 }
 
-// A version that cannot be decoded is reported and does not delay the next one.
+// Guards against a version that cannot be decoded and hides later ones. It must be
+// reported, and the next version must be accepted although its number is lower. An older
+// version than the accepted one is ignored.
 func TestInvalidVersionDoesNotBlockTheNext(t *testing.T) {
 	is := is.New(t)
 	b := newConfigInbox(func(text []byte) (*citrontable.Table, error) {
--- a/citronnode/directory_test.go
+++ b/citronnode/directory_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against callers of another zone being sent to a node that may be dead because
-// it has not been heard of lately.
+// Guards against sending callers to a node that may be dead because it has not been heard
+// of lately. Such a node must be named neither to callers of its own zone nor to those of
+// another zone.
 func TestDirectoryOmitsStaleNodes(t *testing.T) {
 	is := is.New(t)
 	var n Node
--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -85,8 +85,8 @@
 }
 
 // Guards against records that stay missing after the store is restored from an older
-// copy without them: a node's address, the leader key and the quarantined requests. The
-// nodes write them again.
+// copy without them: the address of a node, the leader key and the quarantined requests.
+// The nodes must write them again, and at most one node may lead then.
 func TestNodesRewriteRecordsMissingAfterRestore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
--- a/citronnode/fleet_test.go
+++ b/citronnode/fleet_test.go
@@ -46,7 +46,8 @@
 
 // Guards against a healthy node that is declared lost because the others don't hear of
 // it in time. Callers would not be told of such a node, and the retry budget would be
-// divided without it. So the others probe the node first, and it answers.
+// divided without it. All exchanges fail for 4 s here; the others must probe the node by
+// an update, which it answers. A node that has stopped must be declared lost.
 func TestHealthyNodeWithDelayedGossipIsNotLost(t *testing.T) {
 	f := newFleet(t)
 	c, m := newLossCounter(), newMesh()
@@ -105,10 +106,11 @@
 }
 
 // Guards against a store overloaded by a fleet that starts all at once, as after a
-// power failure. A node would make six calls if it watched the store, then found that
-// others already do, and also wrote its address and read the addresses of the others. The
-// store serves a limited number of calls per second, and each call is paid for. Only the
-// two calls that callers wait for are needed.
+// power failure. The store serves a limited number of calls per second, and each call is
+// paid for. A node needs only two calls, which callers wait for: it reads the
+// configuration and the list of engines. If it also began to watch the store, and wrote
+// its address and read those of others, before it hears that other nodes do so, it would
+// make up to nine. On average, each node must make less than three.
 //
 // The fleet runs on the fake time of a synctest bubble: with real time a busy machine
 // prolongs the start, and the nodes that may watch the store call it again meanwhile.
@@ -162,9 +164,10 @@
 }
 
 // Guards against callers that are refused although the store is back. All nodes start
-// while the store is unavailable, and first work out which of them are to watch it. The
-// fleet runs on the fake time of a synctest bubble, so that a busy machine does not
-// prolong the start.
+// while the store is unavailable, so that none of them has the configuration or the list.
+// Once the store is back, they must read both at once instead of working out first which
+// of them are to watch the store. The fleet runs on the fake time of a synctest bubble,
+// so that a busy machine does not prolong the start.
 func TestFleetStartDuringStoreOutage(t *testing.T) {
 	// maxStart is half of the delay after which rejected callers retry.
 	const maxStart = 250 * time.Millisecond
@@ -193,10 +196,10 @@
 	})
 }
 
-// Guards against a fleet that stays split into two halves. The halves have lost each
-// other, and all seeds in the settings are on machines that were replaced. Each
-// half has enough nodes to continue, with a leader of its own. They find each other by
-// the addresses in the store.
+// Guards against a fleet that stays split into two halves, as after the halves lost each
+// other and all seeds in the settings are on machines that were replaced. Here the halves
+// have never met: each node's seeds are of its own zone, and the first node of each zone
+// has none. They must find each other by the addresses in the store.
 func TestSplitFleetRejoinsWithoutSeeds(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -252,8 +255,8 @@
 	}
 }
 
-// BenchmarkChangingFleet measures what BenchmarkIdleFleet does, while engines in the list
-// change ten times a second, as when layers are placed.
+// BenchmarkChangingFleet measures the processor time that a node spends while engines in
+// the list change ten times a second, as when layers are placed.
 func BenchmarkChangingFleet(b *testing.B) {
 	for _, c := range []struct{ nodes, engines int }{{100, 200}, {30, 1000}, {30, 3000}} {
 		b.Run(fmt.Sprintf("%d nodes %d engines", c.nodes, c.engines), func(b *testing.B) { benchmarkChangingFleet(b, c.nodes, c.engines) })
@@ -286,8 +289,8 @@
 }
 
 // Guards against callers that are sent to a node long after its death. Nodes that start
-// one after the other hear of it from each other, and none has known of it long enough
-// to probe it.
+// one after the other hear of the dead node from each other. If a node counted that as a
+// sign of life, no node would ever have known of it long enough to probe it.
 func TestStartingNodesDropDeadNode(t *testing.T) {
 	const (
 		maxRemovalDelay = 3 * time.Second
--- a/citronnode/harness_test.go
+++ b/citronnode/harness_test.go
@@ -342,7 +342,7 @@
 	return 0
 }
 
-// eventuallyTimeout is how long a test waits for a condition that takes a second at
+// eventuallyTimeout is how long a test waits for a condition that takes a few seconds at
 // most, so that slow machines do not fail it.
 const eventuallyTimeout = 30 * time.Second
 
--- a/citronnode/leaving_test.go
+++ b/citronnode/leaving_test.go
@@ -85,16 +85,12 @@
 	return nil
 }
 
-// Guards against an error answer of the store that is taken for an outage of the store.
-// A leader was suspended until its lease expired. When it resumed, the store answered
-// its renewal with "key not found", and the node treated that answer as an outage. An
-// engine left a second later without notice: its entry was removed, and all nodes heard
-// of it within 10 ms. The former leader attributed the missing entry to the outage and
-// sent requests to the engine for another 2.5 s. Its log, with times in seconds:
-//
-//	13.57 leader.resigned err="POST /kv-keep/61062109581936: key not found"
-//	14.81 engines.changed peer=10.3.64.42:8145 missing=true
-//	17.32 engines.changed peer=10.3.64.42:8145 gone=true lapsed=2.508s
+// Guards against an error answer of the store that is taken for an outage. A leader is
+// suspended until its lease has expired. When it resumes, the store answers its renewal
+// with "key not found". If the node took that for an outage, it would keep an engine in
+// use that leaves afterwards without notice: its entry is removed, which the node would
+// attribute to the outage, and it would send requests to the engine for another 2.5 s.
+// Here the lease is revoked instead of the leader being suspended.
 func TestStoreErrorAnswerIsNotAnOutage(t *testing.T) {
 	is := is.New(t)
 	f := startFleetWithTwelveEngines(t, "a", "b", "c", "d", "e", "f")
@@ -177,10 +173,10 @@
 }
 
 // Guards against healthy engines that go out of use because their entries expired in an
-// outage. The store is unavailable to all nodes and engines for longer than entries
-// last without renewal, and comes back without them. Live engines write their entries
-// again within a second, and callers are served by all of them meanwhile. An engine
-// that is not back two seconds later has ended.
+// outage. The store is unavailable to all nodes and engines for so long that entries can
+// expire, and comes back without them. All engines must stay in use for a second, until
+// ten of the twelve have written their entries again. The two others have ended and must
+// then be removed.
 func TestEnginesExpiredDuringOutageStayInUse(t *testing.T) {
 	t.Parallel()
 	f := startFleetWithTwelveEngines(t, "a", "b", "c")
--- a/citronnode/limit_test.go
+++ b/citronnode/limit_test.go
@@ -256,7 +256,8 @@
 const minUtilization = 0.8
 
 // Guards against nodes that together send an upstream more than the rate limit that it
-// declared.
+// declared, or that leave much of the limit unused. Requests beyond the limit must be
+// served by the other upstreams.
 func TestNodesTogetherKeepUpstreamRateLimit(t *testing.T) {
 	for _, c := range []struct {
 		nodes     int
@@ -297,8 +298,11 @@
 // after one node was told.
 const heardWithin = 500 * time.Millisecond
 
-// Guards against nodes that each have to be told a limit by an overloaded upstream, and
-// against a limit that stays at nodes that no longer send the upstream anything.
+// Guards against nodes that each have to be told a limit by the overloaded upstream
+// itself, and against a limit that stays in effect at nodes that no longer send the
+// upstream anything and so never hear of its end. One node hears of the limit, another of
+// its end, and all others must learn of both within half a second. A node that starts
+// later must learn of the limit too.
 func TestRateLimitAndItsRemovalReachAllNodes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
@@ -355,8 +359,9 @@
 	is.True(late >= perSecond) // a new permit issuer begins with half of the limit
 }
 
-// Guards against callers that are delayed until their deadline, or told to retry at
-// once, while all upstreams of a service are limited.
+// Guards against callers that are told to retry at once while all upstreams of a service
+// are limited, and against limits that are exceeded or left unused meanwhile. Requests
+// beyond the limits must be rejected; how soon is not measured.
 func TestRequestsBeyondAllLimitsAreRejectedAtOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -380,8 +385,8 @@
 	is.True(out.earliest > 100*time.Millisecond)
 }
 
-// Guards against nodes that keep to the earlier limit after a limit is lowered or
-// removed.
+// Guards against nodes that keep to the earlier limit after an upstream has lowered its
+// limit or removed it.
 func TestNodesFollowChangedRateLimit(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/citronnode/node_test.go
+++ b/citronnode/node_test.go
@@ -12,9 +12,9 @@
 	"github.com/matryer/is"
 )
 
-// The store rejects one node and serves the others while the operator changes the
-// configuration. The rejected node must learn the new configuration from the others, or
-// it would serve callers by the old one for as long as the store rejects it.
+// Guards against a node that serves callers by an old configuration for as long as the
+// store rejects it. The store rejects one node and serves the other while the operator
+// changes the configuration. The rejected node must learn it from the other.
 func TestConfigReachesNodeRejectedByStore(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
@@ -25,8 +25,8 @@
 	eventually(t, "the rejected node has version 2", func() bool { return b.version() == 2 })
 }
 
-// The store rejects a node from its start. The node gets the configuration and the
-// engines from the others.
+// Guards against a node that cannot start because the store rejects it. It must get the
+// configuration and the engines from another node.
 func TestNodeStartsWithoutStore(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
@@ -40,10 +40,11 @@
 	})
 }
 
-// Each watch is billed and answered at every change, so only a few of nine nodes watch,
-// and all nodes get a new configuration. When the store rejects all watching nodes,
-// others must take over, or the fleet would keep the old configuration for as long as
-// the store rejects them.
+// Guards against nodes that all watch the store, and against a fleet that keeps an old
+// configuration. Each watch is billed and answered at every change, so only four of nine
+// nodes may watch, and all nodes must get a new configuration. They must also get one
+// while the store rejects four of the nodes, the first four to be started. Those need not
+// be the watching ones.
 func TestFewNodesWatchForTheFleet(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
@@ -69,9 +70,9 @@
 	eventually(t, "all nodes have version 3, from nodes that did not watch before", all(3))
 }
 
-// Watches report nothing while the configuration changes, as when the store drops its
-// history. A node whose own watch is stalled learns the change from a node whose watch
-// is not; it must not serve the old version until its watch ends.
+// Guards against a node that serves an old configuration until its stalled watch ends. A
+// watch may report nothing while the configuration changes, as when the store drops its
+// history. The node must learn of the change from a node whose watch is not stalled.
 func TestStalledWatchDoesNotKeepOldConfig(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
@@ -82,7 +83,8 @@
 	eventually(t, "the node with the stalled watch has version 2", func() bool { return b.version() == 2 })
 }
 
-// A configuration that cannot be decoded, or an older one, changes nothing.
+// Guards against a node that stops following the configuration because one version cannot
+// be decoded, and against a node that goes back to an older version.
 func TestInvalidOrOlderConfigIsIgnored(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
@@ -98,7 +100,8 @@
 	is.Equal(a.version(), int64(6))
 }
 
-// An engine entry that cannot be decoded is skipped; the other engines serve.
+// Guards against one engine entry that cannot be decoded and keeps the other engines from
+// being used. The entry must be skipped.
 func TestInvalidEngineEntryIsSkipped(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
@@ -131,11 +134,12 @@
 	return n
 }
 
-// The entries of all engines disappear at once, and most are back within two seconds.
-// Nothing proves a store outage, but the engines are healthy: callers must not be
-// rejected because the list is empty. The engines are retained for three fifths of
-// DrainWithin, after which a leaving engine must get no new work, but at most for
-// ExpiryGrace. Here that is 2.5 s, because three fifths of five seconds are longer.
+// Guards against rejecting all callers because the list of engines is empty. The entries
+// of all engines disappear at once, and most are back a second later. Nothing proves an
+// outage of the store, but the engines are healthy. DrainWithin is the time after which a
+// leaving engine must get no new work, so the engines stay in use for three fifths of it,
+// but at most for ExpiryGrace. Here that is 2.5 s, because three fifths of five seconds
+// are longer.
 func TestEnginesStayInUseWhenEntriesExpireTogether(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
@@ -159,8 +163,9 @@
 	})
 }
 
-// The entry of one engine disappears while the store is healthy: the engine leaves
-// without announcing it. It must stop getting new work immediately.
+// Guards against sending work to an engine that leaves without announcing it: its entry
+// disappears while the store is healthy. The engine must get no new work and then be
+// removed from the list; how soon is not measured.
 func TestSingleMissingEntryMeansEngineLeaves(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
@@ -174,7 +179,8 @@
 	eventually(t, "the engine is removed from the list", func() bool { return len(a.Traffic().View.ByService["app"]) == 11 })
 }
 
-// Callers are sent to their own zone, and never to a node that is stopping.
+// Guards against sending callers to another zone without need, and to a node that is
+// stopping.
 func TestDirectoryPrefersOwnZone(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
@@ -189,8 +195,9 @@
 	})
 }
 
-// The node that places layers dies. Another node takes over, finds the engines as they
-// are, and places only the missing layers; engines that work are not moved.
+// Guards against a new leader that moves the layers of engines that work. The node that
+// places layers dies, and an engine leaves. Another node takes over, finds the engines as
+// they are, and must fill the gap with at most two orders.
 func TestNewLeaderPlacesOnlyMissingLayers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
@@ -229,9 +236,9 @@
 	is.True(f.orders.count()-before <= 2)
 }
 
-// The store is unavailable to all nodes, and an engine dies. No leader can be elected,
-// so the current leader must fill the gap, or the callers of the engine's zone would wait
-// until the store is back.
+// Guards against a gap that stays until the store is back, while the callers of the zone
+// wait. The store is unavailable to all nodes, and an engine dies. No leader can be
+// elected, so the current leader must fill the gap although it cannot renew its lease.
 func TestLeaderContinuesDuringStoreOutage(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
@@ -240,7 +247,7 @@
 	}
 	b := f.addNode("b", "z1")
 	eventually(t, "the first node leads", func() bool { return f.orders.count() > 0 })
-	a := f.addNode("a", "z1") // would become acting leader if the leader resigned
+	a := f.addNode("a", "z1") // another node that could give orders
 	held := func() (n int) {
 		if s := a.Traffic(); s != nil {
 			for _, e := range s.View.ByService["model"] {
@@ -267,8 +274,9 @@
 	is.New(t).Equal(f.orders.issuersAfter(before)[0], "b")
 }
 
-// The store is unavailable to all nodes, and an engine and the leader die. An acting
-// leader must fill the gap.
+// Guards against a gap that stays until the store is back because there is no leader. The
+// store is unavailable to all nodes, and an engine and the leader die. Another node must
+// act as leader and fill the gap.
 func TestActingLeaderFillsGapDuringStoreOutage(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
@@ -304,9 +312,9 @@
 	eventually(t, "an order fills the gap", func() bool { return f.orders.count() > before })
 }
 
-// A request of one node is rejected because of an engine. The other nodes of its zone
-// hear of the rejection in one message and avoid the engine for a moment. Otherwise each
-// of them would learn of the fault by a rejected request of its own.
+// Guards against nodes that each learn of a faulty engine by a rejected request of their
+// own. A request of one node is rejected because of an engine. The other nodes of its zone
+// must hear of it and avoid that engine, and only that one, for a moment.
 func TestAccusationReachesTheZone(t *testing.T) {
 	f := newFleet(t)
 	f.putConfig("1")
--- a/citronnode/outage_test.go
+++ b/citronnode/outage_test.go
@@ -11,9 +11,10 @@
 	"github.com/matryer/is"
 )
 
+// Guards against an outage of the store that goes unnoticed because of an outdated report.
 // This node's calls to the store fail while another node reports that it is served, so
 // the store is healthy. Once the other node has not been heard of for two seconds, its
-// report is outdated and the store counts as unavailable.
+// report must no longer count, and the store must count as unavailable.
 func TestLostNodeDoesNotHideStoreOutage(t *testing.T) {
 	is := is.New(t)
 	r := newLoopRig(t)
--- a/citronnode/restart_test.go
+++ b/citronnode/restart_test.go
@@ -88,10 +88,10 @@
 }
 
 // Guards against a restarted engine that is taken for its predecessor. An engine
-// crashes and restarts under the same id. Streams that ran on it wait for a process
-// that does not know them. The node must conclude from the later start that they have
-// ended, and must not attribute to the new process the layers or the refusals of the
-// previous one.
+// crashes and restarts under the same ID, and its new entry names a later start. Streams
+// that ran on it wait for a process that does not know them. The node must conclude from
+// the later start that they have ended. It must not attribute to the new process the
+// layers or the failures of the previous one, and must ignore a late entry of that one.
 func TestListEntryOfRestartedEngine(t *testing.T) {
 	is := is.New(t)
 	r := newLoopRig(t)
@@ -114,7 +114,8 @@
 // Guards against a restarted engine that is taken for its predecessor by a node that is
 // cut off from the store. The list still names the layers of the previous process, and
 // every request through them is refused. The engine's own report names the later start.
-// The node must act on the report at once, and other nodes on the node's message.
+// The node must act on the report, and other nodes on the node's message, without waiting
+// for the list.
 func TestReportOfRestartedEngine(t *testing.T) {
 	is := is.New(t)
 	r, other := newLoopRig(t), newLoopRig(t)
@@ -142,10 +143,10 @@
 	is.Equal(r.inUse()["a:1"].Layers.Len(), 3)
 }
 
-// Guards against an address that stays with an ended engine. An engine crashes and
-// restarts under another id at its address. The entry of its predecessor lasts for
-// three more heartbeats; the new engine refuses requests sent according to it, and
-// streams on the predecessor have ended.
+// Guards against requests and streams for an engine that has ended. It crashes, and
+// another engine starts under another ID at the same address. The entry of the first one
+// lasts for three more heartbeats, and the new engine refuses requests sent according to
+// it. The address must belong to the engine with the later entry.
 func TestAddressBelongsToLatestEntry(t *testing.T) {
 	is := is.New(t)
 	r := newLoopRig(t)
@@ -210,8 +211,10 @@
 	})
 }
 
-// Guards against many corrupt entries that are taken for an outage of the store, in
-// which engines with expired entries stay in use.
+// Guards against engines that stay in use although their entries were overwritten with
+// corrupt ones. Half of the entries are overwritten at once. Engines whose entries are
+// missing stay in use during an outage of the store, and for a while when many entries
+// disappear at once; neither must apply here.
 func TestManyCorruptEntriesAreNotAnOutage(t *testing.T) {
 	is := is.New(t)
 	r := newLoopRig(t)
--- a/citronnode/seed_test.go
+++ b/citronnode/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// The seed of rapid is fixed so that CI gives the same verdict every time. Use
-// -rapid.seed=N to try another one.
+// init fixes rapid's seed, so that rapid draws the same values in every run. Use
+// -rapid.seed=N to try another seed.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
--- a/citronnode/suspects_test.go
+++ b/citronnode/suspects_test.go
@@ -41,8 +41,10 @@
 // third engine.
 const knownWithin = 3 * time.Second
 
-// Guards against a request that reaches a different node each time, so that each node
-// counts its crashes from zero. The store rejects a third of the nodes meanwhile.
+// Guards against a request that crashes engine after engine because it reaches a different
+// node each time and each node counts its crashes from zero. Three of 45 nodes each see one
+// crash, and all must quarantine the request. The store rejects a third of the nodes
+// meanwhile.
 func TestCrashesSeenByThreeNodesQuarantineFleetWide(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
@@ -64,8 +66,9 @@
 	is.True(took < knownWithin)
 }
 
-// Guards against a node that starts, or was suspended, and runs a request that all
-// other nodes quarantine.
+// Guards against a node that starts and runs a request that all other nodes quarantine,
+// although the record is no longer among the recent ones. Once the request has run
+// successfully on the new node, all nodes must release it.
 func TestStartingNodeLearnsQuarantine(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -117,13 +120,14 @@
 	from := time.Now()
 	eventually(t, "all nodes quarantine the request", func() bool { return f.nodesQuarantining(suspect) == len(names) })
 	is.True(time.Since(from) < knownWithin)
-	// The request turns out to be harmless. No node quarantines it again.
+	// The request turns out to be harmless, so no node may quarantine it any longer.
 	f.nodes[0].Quarantine().RecordSuccess(suspect)
 	eventually(t, "no node quarantines it", func() bool { return f.nodesQuarantining(suspect) == 0 })
 }
 
-// Guards against messages that no healthy node sends: impossible counts and ages, or a
-// flood of fingerprints. They are counted and quarantine nothing.
+// Guards against a faulty node that quarantines requests by messages that no healthy node
+// sends: impossible counts and ages, an unreadable fingerprint, or a flood of them. Such
+// messages must be counted and quarantine nothing.
 func TestInvalidSuspectsAreCounted(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
