--- a/citroncli/cases_test.go
+++ b/citroncli/cases_test.go
@@ -12,13 +12,14 @@
 )
 
 // caseFiles are the files that hold regression cases: a line "$ citrondeck ARGS"
-// followed by the expected output, up to an empty line. The console blocks of the
-// operators' pages are cases too, so their examples always match the program.
-// Set UPDATE_CASES=1 to replace the expected output by the current output.
+// followed by the expected output, up to an empty line or the end of a code block. The
+// console blocks of the operators' pages are cases too, so their examples always match
+// the program. Set UPDATE_CASES=1 to replace the expected output by the current output.
 var caseFiles = []string{"citroncli/testdata/cases.txt", "docs/OPERATORS.md", "docs/OPERATIONS.md"}
 
 var caseText = regexp.MustCompile(`(?m)^\$ citrondeck (.*)\n((?:.+\n)*?)(\n|` + "```" + `\n)`)
 
+// TestCases runs each case and compares the output and the exit code with the file.
 func TestCases(t *testing.T) {
 	t.Chdir("..")
 	for _, file := range caseFiles {
@@ -43,7 +44,7 @@
 var clockTime = regexp.MustCompile(`time=\S+ `)
 
 // run returns the output of a command without log times, trailing blanks and
-// empty lines. A non-zero exit code is appended as a line.
+// empty lines. A non-zero exit code, which must be below 10, is appended as a line.
 func run(args string) string {
 	var out bytes.Buffer
 	code := citroncli.Main(strings.Fields(args), &out, &out)
