--- a/citronclock/clock_test.go
+++ b/citronclock/clock_test.go
@@ -8,6 +8,8 @@
 	"citrondeck.dev/citrondeck/citronclock"
 )
 
+// The goroutine may begin to sleep only after some calls of Advance, so the clock is
+// advanced until the goroutine wakes.
 func ExampleManual() {
 	c := citronclock.NewManual(time.Unix(0, 0).UTC())
 	awake := make(chan struct{})
