--- a/citronconfig/config_test.go
+++ b/citronconfig/config_test.go
@@ -48,9 +48,10 @@
 	return s.Server.Put(ctx, key, v, expect, l)
 }
 
-// TestConcurrentApplyReportsRace guards against lost updates: two operators
-// read the same revision and both apply. The second one gets ErrRace and the
-// first one's change stays active.
+// TestConcurrentApplyReportsRace guards against lost updates. Two operators read
+// the same revision, and one of them writes a complete change before the other
+// writes its head. The later write must fail with ErrRace, and the change that
+// was written first must stay active.
 func TestConcurrentApplyReportsRace(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -72,12 +73,14 @@
 	is.Equal(ch.Who, "bob")
 }
 
-// TestOperatorsStateful lets operators apply random changes from current or
-// stale revisions while the KV service loses replies, becomes unavailable and
-// interleaves concurrent writers. It checks that a change reported as applied is
-// in the audit trail at the reported revision, that a change reported as a race is
-// not in it, and that the trail lists each text at most once, together with the
-// revision of the change before it. The active fleet must be the last of the trail.
+// TestOperatorsStateful guards against changes that are lost, applied twice or
+// reported with the wrong outcome. Two operators apply random changes, some from
+// an older revision, while the KV service loses replies and becomes unavailable;
+// some changes of one operator are written in the middle of a change of the other.
+// A change reported as applied must be in the audit trail at the reported
+// revision, and a change reported as a race must not be in it. The trail must list
+// each fleet at most once and give the revision of the change before it. The
+// active fleet must be the last of the trail.
 func TestOperatorsStateful(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ctx := context.Background()
@@ -113,7 +116,7 @@
 					lastRead = cur.Revision
 				}
 			case 4:
-				apply(ops[0], lastRead) // from a stale revision
+				apply(ops[0], lastRead) // from a revision that may be stale
 			default:
 				apply(ops[rapid.IntRange(0, 1).Draw(rt, "operator")], citronkv.AnyRevision)
 			}
@@ -166,9 +169,10 @@
 	is.Equal(f.Revision, citronkv.RevisionOf(0, 3))
 }
 
-// TestLoadReadsOnlyChangedSections checks that after a change to one service,
-// an entry reads only that section, and that the sections that only the
-// replaced head referred to are deleted from the KV service.
+// TestLoadReadsOnlyChangedSections checks that after a change an entry reads only
+// the sections that changed, because reading all of a large fleet after each
+// change would cost every entry too much. It also checks that the text and the
+// sections that only a replaced head referred to are deleted from the KV service.
 func TestLoadReadsOnlyChangedSections(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -193,9 +197,10 @@
 	is.Equal(len(left), 4) // three sections and the text
 }
 
-// TestLoadRejectsDamagedSections checks that Load returns an error and no
-// fleet if a section is damaged or missing, so that the caller keeps the fleet
-// it has.
+// TestLoadRejectsDamagedSections guards against a fleet that is not the one its
+// operator applied. Another client of the KV service may overwrite a section or
+// delete it. Load must then return an error and no fleet, so that the caller
+// keeps the fleet it has.
 func TestLoadRejectsDamagedSections(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -207,7 +212,7 @@
 	is.NoErr(err)
 	items, _, err := kv.Range(ctx, "config/section/")
 	is.NoErr(err)
-	for _, it := range items { // the damaged value is still valid JSON of the right type
+	for _, it := range items { // the damaged section is still valid JSON of the right type
 		_, err = kv.Put(ctx, it.Key, []byte(strings.ReplaceAll(string(it.Value), "u0", "u9")), citronkv.AnyRevision, 0)
 		is.NoErr(err)
 	}
@@ -221,10 +226,10 @@
 	is.True(errors.Is(err, citronkv.ErrNotFound))
 }
 
-// BenchmarkLoadChange measures what a configuration change costs an entry at
-// the fleet size expected in two years: 25 services on 4,100 engines. A change
-// affects two services, the first and every 25th change all of them. bytes/change counts the
-// head and the last section that the change wrote.
+// BenchmarkLoadChange measures what a configuration change costs an entry of a
+// large fleet: 25 services on 4,100 engines. The first change and every 25th after
+// it affect all services, the others two. bytes/change counts only the head and
+// the last section that the change wrote.
 func BenchmarkLoadChange(b *testing.B) {
 	ctx := context.Background()
 	kv := citronkv.NewServer(citronclock.Real{}, 0)
@@ -257,9 +262,9 @@
 	b.ReportMetric(float64(bytes)/float64(n), "bytes/change")
 }
 
-// largeFleetText returns the text of a fleet of the size expected in two
-// years. Service i%25 has more layers than the others, and the timeout of all
-// services depends on i/25.
+// largeFleetText returns the text of a large fleet: 710 customers and 25 services
+// on 164 engines each. Service i%25 has more layers than the others, and the
+// timeout of all services depends on i/25.
 func largeFleetText(i int) []byte {
 	t := []byte("fleet: t\nzones: [a]\ncustomers:\n")
 	for c := range 710 {
