--- a/citronengine/contract_test.go
+++ b/citronengine/contract_test.go
@@ -29,9 +29,11 @@
 	return citronengine.Settings{Name: "e", From: from, To: to}
 }
 
-// TestStepContract checks the order of steps that an engine accepts from an entry. Each
-// case is a series of steps of request r. All but the last must succeed; the last must
-// return the given code.
+// TestStepContract checks which steps an engine accepts from an entry. A step at the
+// wrong position, or a late one of a replaced attempt, would be computed from the wrong
+// KV cache and give wrong tokens. An engine that is leaving must finish the requests in
+// its cache and accept no others. Each case is a series of steps of request r. All but
+// the last must succeed; the last must return the given code.
 func TestStepContract(t *testing.T) {
 	step := func(attempt, pos, prefill int) citronengine.Step {
 		return citronengine.Step{Request: "r", Attempt: attempt, Pos: pos, Prefill: prefill}
@@ -75,7 +77,8 @@
 
 // TestMoveKVCache checks that an engine which imports the KV cache of a request
 // continues at the next position without recomputing. It also checks that an engine
-// rejects the cache of another layer range, which would produce wrong tokens.
+// rejects the cache of another layer range, which would give wrong tokens, and that
+// the cache of an unknown request cannot be moved.
 func TestMoveKVCache(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -96,8 +99,10 @@
 	is.Equal(citronwire.Code(err), connect.CodeNotFound)
 }
 
-// TestOrderFencing checks that an engine with FenceRefuse rejects an order with a stale
-// fencing number and does not change, and that one with FenceIgnore carries it out.
+// TestOrderFencing checks what happens to an order with a stale fencing number, which
+// comes from a sender that another one has replaced. An engine with FenceRefuse must
+// reject it and not begin to leave; one with FenceIgnore must carry it out. Both must
+// reject an unknown action.
 func TestOrderFencing(t *testing.T) {
 	cases := []struct {
 		mode     citronengine.FenceMode
@@ -124,12 +129,12 @@
 // steps by priority, regardless of their order of arrival.
 func TestHigherPriorityRunsFirst(t *testing.T) {
 	is := is.New(t)
-	// At one token per 250 ms, the responses reach the callers in the order in which
-	// the engine sends them, even on a busy machine.
+	// At one token per 250 ms, the responses are far enough apart to reach the callers
+	// in the order in which the engine sends them, even on a busy machine.
 	e, cl := startEngine(t, citronengine.Settings{Name: "e", To: 4, Capacity: 4})
 	ctx := context.Background()
-	// The first step overdraws the credit, so that the next two steps are queued at
-	// the same time.
+	// The first step overdraws the engine's credit of tokens for about a second, so
+	// that the next two steps are queued at the same time.
 	_, err := cl.Run(ctx, citronengine.Step{Request: "big", Attempt: 1, Pos: 3, Prefill: 3})
 	is.NoErr(err)
 	order := make(chan string, 2)
@@ -156,8 +161,9 @@
 	is.Equal(e.Steps.Load(), int64(3))
 }
 
-// TestCacheEventsHaveGaps checks that cache events report the prefixes that are added
-// and evicted, and that a lost event leaves a gap in the sequence numbers.
+// TestCacheEventsHaveGaps checks that the fake engine numbers one event for each prefix
+// that is added to its cache or evicted, and that an event that it loses on purpose
+// leaves a gap in the sequence numbers. Readers detect the loss by that gap.
 func TestCacheEventsHaveGaps(t *testing.T) {
 	is := is.New(t)
 	_, cl := startEngine(t, citronengine.Settings{Name: "e", To: 4, PrefixSlots: 2})
