--- a/citronentry/api_test.go
+++ b/citronentry/api_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestCallerAPIRejectsInvalidInput sends invalid requests to the caller API. The
-// entry must reject each one immediately with a stable status and code, and
-// nothing may reach the upstream.
+// entry must reject each one with the status that callers rely on, and most also
+// with a code, and the upstream must run none of them.
 func TestCallerAPIRejectsInvalidInput(t *testing.T) {
 	r := newPlainRig(t, 1, 1)
 	cases := []struct {
--- a/citronentry/bench_test.go
+++ b/citronentry/bench_test.go
@@ -4,8 +4,8 @@
 //
 //	go test -run '^$' -bench . ./citronentry ./citronroute ./citronconfig
 //
-// The recovery and configuration benchmarks report the distribution over
-// their iterations as p50, p95 and maximum, in milliseconds.
+// The recovery benchmarks and BenchmarkConfigInEffect report the distribution
+// over their iterations as p50, p95 and maximum, in milliseconds.
 
 import (
 	"context"
@@ -58,7 +58,8 @@
 }
 
 // BenchmarkNonIdempotentRequest measures a non-idempotent plain request, which
-// takes two ledger writes and one call.
+// takes two ledger writes and one call. kv-writes/op also includes the entry's
+// lease renewals.
 func BenchmarkNonIdempotentRequest(b *testing.B) {
 	r := newPlainRig(b, 1, 2)
 	var mu sync.Mutex
@@ -80,7 +81,8 @@
 }
 
 // benchRecovery measures the time from a fault until the request in flight at
-// that moment gets its response. injectFault applies the fault to an engine.
+// that moment gets its response. injectFault applies the fault to engine b1,
+// which runs a step of the request then.
 func benchRecovery(b *testing.B, injectFault func(*testBackend), tokens int) {
 	s := newLatencyStats()
 	for range b.N {
@@ -117,8 +119,9 @@
 }
 
 // BenchmarkRecoveryLeaving measures the time from the moment an engine starts
-// to leave, under a steady load of requests, until the last new call reaches
-// it.
+// to leave until the last call reaches it, while a caller sends one request after
+// the other for a second. The engine is marked in the instance list, or rejects
+// new requests by itself.
 func BenchmarkRecoveryLeaving(b *testing.B) {
 	for _, source := range []string{"by the list", "by itself"} {
 		b.Run(strings.ReplaceAll(source, " ", "-"), func(b *testing.B) {
@@ -150,9 +153,9 @@
 }
 
 // BenchmarkRecoveryKVOutage measures the time from the end of a KV outage
-// until a non-idempotent request is served again, and the time in which
-// requests are rejected during the outage. A request during the outage gets its
-// final outcome at once; it is not held until the outage ends.
+// until a non-idempotent request is served again, and how long a request during
+// the outage waits for its refusal. Such a request is not held until the outage
+// ends.
 func BenchmarkRecoveryKVOutage(b *testing.B) {
 	s, rejections := newLatencyStats(), newLatencyStats()
 	r := newPlainRig(b, 1, 1)
@@ -181,9 +184,9 @@
 	s.report(b)
 }
 
-// BenchmarkConfigInEffect measures the time from applying a configuration
-// change until it is in effect on every entry, and the number of KV calls per
-// change.
+// BenchmarkConfigInEffect measures the time from the beginning of a
+// configuration change until it is in effect on every entry, and the number of KV
+// calls per change.
 func BenchmarkConfigInEffect(b *testing.B) {
 	for _, entries := range []int{3, 6, 9} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
--- a/citronentry/config_test.go
+++ b/citronentry/config_test.go
@@ -42,11 +42,11 @@
 	_, _ = s.Server.Put(context.Background(), "deck/wake", nil, citronkv.AnyRevision, 0)
 }
 
-// TestConfigNeverReverts applies fleet configurations while the KV service
-// replays old ones and becomes unavailable and available again. The active
-// revision of an entry must never decrease and must reach the newest accepted
-// revision once the KV service is available. During an outage the entry keeps
-// the last valid configuration and serves with it.
+// TestConfigNeverReverts guards against an entry that reverts to an older fleet
+// configuration, or misses the newest, because the KV service replays old events
+// or becomes unavailable. The active revision of an entry must never decrease, and
+// must reach the newest accepted revision once the KV service is available. At the
+// start of an outage, an entry must serve with the configuration that it has.
 func TestConfigNeverReverts(t *testing.T) {
 	var fake *staleStore
 	r := newModelRig(t, 4, 2, oneStage, func(s *citronkv.Server) citronkv.Store {
@@ -87,7 +87,7 @@
 		newest := history[len(history)-1].Revision
 		// An entry that applied an old configuration after the newest one
 		// stays below the newest revision. The watch backoff is at most 3 s,
-		// so a correct entry stays well below the 20 s allowed here.
+		// so a correct entry needs much less than the 20 s that it gets here.
 		for i, e := range r.entries {
 			for tries := 0; e.Revision() != newest; tries++ {
 				if tries > 20_000 {
--- a/citronentry/harness_test.go
+++ b/citronentry/harness_test.go
@@ -2,8 +2,9 @@
 
 // The test harness runs entries in-process on loopback listeners. They use an
 // in-memory KV server as their Store, either directly or through a fake that
-// injects faults at the interface. Fake engines and plain upstreams run behind
-// httptest servers whose middleware injects faults.
+// changes its results. Fake engines and plain upstreams run behind httptest
+// servers whose middleware injects faults. Nothing sweeps expired leases unless a
+// test runs the KV server's Run.
 
 import (
 	"context"
@@ -167,7 +168,8 @@
 	done    []chan struct{}
 	// instances is the content of the platform's instance list.
 	instances atomic.Pointer[[]citronkv.Instance]
-	// polled receives a value for each poll of the instance list.
+	// polled receives a value at the start of each poll of the instance list,
+	// unless its buffer is full.
 	polled chan struct{}
 	// editSettings, if set, changes an entry's settings before the entry starts.
 	editSettings func(*citronentry.Settings)
@@ -315,9 +317,10 @@
 	return b.String()
 }
 
-// zoneOf returns the zone for a new back end of a kind: the entries' zone for
-// the first of the kind and another one for the rest. With equal load, the
-// entries then choose the first. first records the kinds seen so far.
+// zoneOf returns the zone for a new back end: the entries' zone for the first of
+// several interchangeable ones, and another zone for the rest. With equal load,
+// the entries then choose the first. Back ends with the same kind (for an engine,
+// its first layer) are interchangeable; first records the kinds seen so far.
 func zoneOf(first map[int]bool, kind int) string {
 	if first[kind] {
 		return "b"
--- a/citronentry/lifecycle_test.go
+++ b/citronentry/lifecycle_test.go
@@ -16,11 +16,10 @@
 var oneStage = []engineSpec{{name: "a1", from: 0, to: 4}, {name: "a2", from: 0, to: 4}}
 
 // TestLeavingEngineGetsNoNewWork simulates an engine that begins to leave
-// before the instance list marks it as leaving. The engine rejects the first
-// new request with a leaving header, and the entry immediately serves that
-// request on the other engine. From then on the leaving engine gets no new
-// work: callers see only complete responses, and the engine rejects at most
-// one request.
+// before the instance list marks it as leaving. It rejects new requests with a
+// leaving header. The entry must serve the first of them on the other engine and
+// send the leaving engine no more: callers see only complete responses, and the
+// engine rejects at most one request.
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, oneStage, nil)
@@ -42,7 +41,7 @@
 	for len(r.polled) > 0 { // discard polls that may have read the old list
 		<-r.polled
 	}
-	for range 2 { // the second poll starts after the first one's result was published
+	for range 2 { // the second poll starts 500 ms after the first one's result was handed to the control loop
 		<-r.polled
 	}
 	for i := range 6 {
@@ -52,10 +51,10 @@
 }
 
 // TestGracefulShutdownFinishesRequestsInFlight stops an entry with a request
-// in flight. The entry first leaves discovery: its key is deleted at once, not
-// when the lease expires. It then finishes the request, and the caller gets
-// the complete response. A later request to the old address is rejected with
-// "draining" or cannot connect, and does not run.
+// in flight. The entry must first leave discovery: it must delete its key itself,
+// as no lease expires in this test. It must then finish the request, and the
+// caller gets the complete response. A later request to the old address cannot
+// connect or gets status 503.
 func TestGracefulShutdownFinishesRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, oneStage, nil)
--- a/citronentry/membership_test.go
+++ b/citronentry/membership_test.go
@@ -15,13 +15,13 @@
 	"github.com/matryer/is"
 )
 
-// eventually polls ok until it returns true. The limit of 8,000 tries only
-// ends a test that has failed; no test depends on how long the wait takes.
+// eventually polls ok until it returns true, and fails the test after 8,000
+// tries.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	// At one millisecond per try, the limit is shorter than discovery's
-	// linger time (15 s). A test that waits for an entry to be delisted
-	// therefore fails if the entry stays listed until its linger time ends.
+	// If a try takes little more than a millisecond, the limit is shorter than
+	// discovery's linger time (15 s). A test that waits for an entry to be
+	// delisted then fails if the entry stays listed until its linger time ends.
 	for range 8_000 {
 		if ok() {
 			return
@@ -54,9 +54,9 @@
 }
 
 // TestFlappingEngineIsAvoided simulates an engine that fails every call but
-// answers probes. Callers must still get complete responses. Each further failure
-// doubles the time for which the engine is avoided, so only a few calls may
-// reach it.
+// answers probes. If each probe made it usable again, it would fail a call after
+// every probe. Callers must get complete responses, and as each further failure
+// doubles the time for which the engine is avoided, only a few calls may reach it.
 func TestFlappingEngineIsAvoided(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, oneStage, nil)
@@ -73,17 +73,18 @@
 }
 
 // TestEngineFreezesMidRequest freezes an engine during a request: it neither
-// responds nor resets the connection. The caller has a deadline of ten
-// minutes and must still get the complete response, from the spare engine.
+// responds nor resets the connection, so that the call would hang until the
+// caller's deadline of ten minutes. The caller must still get the complete
+// response, from the spare engine.
 func TestEngineFreezesMidRequest(t *testing.T) {
 	r := newModelRig(t, 8, 1, twoStages, nil)
 	r.engines["b1"].freezeAfter = 3
 	wantOracle(t, r.ask(0, "layout", 6), "layout", 8, 6)
 }
 
-// TestSlowEngineIsNotTreatedAsFrozen makes an engine delay a step for longer
-// than StallAfter while it still answers probes. The entry must not abandon
-// the step: under high load that would discard work that is only queued.
+// TestSlowEngineIsNotTreatedAsFrozen makes an engine delay a step for four times
+// StallAfter while it still answers probes. The entry must not abandon the step:
+// under high load that would discard work that is only queued.
 func TestSlowEngineIsNotTreatedAsFrozen(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
@@ -98,9 +99,10 @@
 }
 
 // TestRequestMovesOffLeavingEngineWithItsCache marks an engine as leaving in
-// the instance list while it generates a long response. Between two tokens
-// the request must move to the spare engine together with its KV cache: the
-// response is complete and nothing is recomputed.
+// the instance list while it runs the first step of a request. Before the next
+// token, the request must move to the spare engine together with its KV cache: the
+// response is complete and nothing is recomputed. A request that stayed could lose
+// the engine before its last token.
 func TestRequestMovesOffLeavingEngineWithItsCache(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, oneStage, nil)
@@ -121,9 +123,10 @@
 	is.Equal(a2.engine.Prefills.Load(), int64(0))
 }
 
-// TestAbandonedRequestFreesEngineCaches makes a caller disconnect during the
-// response. The engines must free their caches of the request. Otherwise the
-// caches fill with abandoned requests, and a leaving engine waits for them.
+// TestAbandonedRequestFreesEngineCaches makes a caller disconnect while the
+// second stage runs a step. The entry must have the request's KV cache freed;
+// otherwise the caches fill with abandoned requests, and a leaving engine waits
+// for them. The test looks only at the first stage, because the second one is held.
 func TestAbandonedRequestFreesEngineCaches(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 8, 1, twoStages, nil)
@@ -142,9 +145,10 @@
 }
 
 // TestDiscoverySurvivesExpiredLeases takes the KV service down for longer than
-// the lease TTL, so that all discovery leases expire at once. Discovery must
-// list every entry during the outage and while the KV service recovers. An
-// entry that stops afterwards must be delisted.
+// the lease TTL, so that all discovery leases expire at once. If each missing key
+// removed its entry, callers would find no entry. Discovery must list every entry
+// at the end of the outage and while the KV service recovers. An entry that stops
+// afterwards must be delisted.
 func TestDiscoverySurvivesExpiredLeases(t *testing.T) {
 	is := is.New(t)
 	r := newModelRigWithSettings(t, 4, 2, []engineSpec{{name: "a1", to: 4}}, nil, func(s *citronentry.Settings) { s.LeaseTTL = 150 * time.Millisecond })
@@ -157,7 +161,7 @@
 	eventually(t, "leases expired", func() bool { return r.kv.Leases() == 0 })
 	is.Equal(listed(0), 2)
 	r.kv.SetFaults(citronkv.Faults{})
-	for range 300 { // until after the deletions have reached the entries
+	for range 300 { // at least 300 ms, for the deletions to reach the entries
 		is.Equal(listed(0), 2)
 		time.Sleep(time.Millisecond)
 	}
@@ -167,10 +171,10 @@
 	eventually(t, "the stopped entry delisted", func() bool { return listed(0) == 1 })
 }
 
-// TestExpiredEntryIsDelistedWhileKVIsHealthy expires the lease of a frozen or
-// killed entry while the KV service is healthy. Discovery must remove the
-// entry at once, because each caller sent to a frozen entry waits for a full
-// timeout.
+// TestExpiredEntryIsDelistedWhileKVIsHealthy expires the lease of another entry
+// while the KV service is healthy, as happens if that entry is frozen or killed.
+// Discovery must remove it well before the linger time, because each caller sent
+// to a frozen entry waits for a full timeout.
 func TestExpiredEntryIsDelistedWhileKVIsHealthy(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, oneStage, nil)
@@ -184,7 +188,7 @@
 	eventually(t, "ghost delisted", func() bool { return r.listed(t, 0) == 1 })
 }
 
-// listed returns the number of entries that discovery returns.
+// listed returns the number of entries that discovery at the given entry returns.
 func (tc *testCluster) listed(t *testing.T, entry int) int {
 	t.Helper()
 	is := is.New(t)
--- a/citronentry/once_test.go
+++ b/citronentry/once_test.go
@@ -15,7 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-// retryUntilReplayed retries with key until the answer is recorded.
+// retryUntilReplayed retries with key until the answer is no longer status 409,
+// "in progress".
 func (r *plainRig) retryUntilReplayed(t *testing.T, entry int, key string) answer {
 	t.Helper()
 	for range 5000 {
@@ -30,10 +31,10 @@
 }
 
 // TestRetryAtOtherEntryDoesNotRunTwice simulates a slow upstream and a caller
-// whose deadline passes. The caller gets "outcome unknown" with Retry-After at
-// once and retries at the other entry. The retry must not run the request again:
-// it finds the idempotency key in the ledger and gets "in progress", and the
-// recorded answer once the first run has finished.
+// whose deadline passes. The caller must get "outcome unknown" with Retry-After,
+// and retries at the other entry. The retry must not run the request again: it
+// finds the idempotency key in the ledger and gets "in progress", and the recorded
+// answer once the first run has finished.
 func TestRetryAtOtherEntryDoesNotRunTwice(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
@@ -54,7 +55,8 @@
 // TestShutdownWaitsForAbandonedCall simulates a caller that stops waiting for a
 // non-idempotent request, and an entry that is shut down while the upstream still
 // runs the request. The entry must not exit before the answer is in the ledger;
-// otherwise the caller's retry at another entry would get "in progress" forever.
+// otherwise the answer would be lost, and the caller's retries at another entry
+// would get "outcome unknown" forever.
 func TestShutdownWaitsForAbandonedCall(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
@@ -71,9 +73,10 @@
 }
 
 // TestLostLedgerReplyIsReadBack makes the KV service apply the create of a ledger
-// key and lose its reply. The entry must read the key back, find its own record,
-// run the request once and answer "served". A retry gets the replayed answer and
-// no second run.
+// key and lose its reply. An entry that took this for a failure would leave the key
+// in the ledger, where it blocks every retry. It must read the key back, find its
+// own record, and run the request once. A retry gets the replayed answer and no
+// second run.
 func TestLostLedgerReplyIsReadBack(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
@@ -88,9 +91,9 @@
 
 // TestKVDownRunsNothing takes the KV service down. The entry cannot claim the key
 // and must not call the upstream. It cannot know whether an earlier attempt with
-// the key ran, so it answers "outcome unknown" (502, Retry-After, the key) at
-// once and never "not run". Once the KV service is back, the request with the key
-// runs exactly once.
+// the key ran, so it must answer "outcome unknown" (status 502 with Retry-After)
+// and not "not run". Once the KV service is back, the request with the key runs
+// exactly once.
 func TestKVDownRunsNothing(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 2, 1)
@@ -178,10 +181,10 @@
 	is.Equal(r.runs("k"), 1)
 }
 
-// TestFrozenKVFailsFast freezes the KV service: it takes writes and does not
-// answer. The first caller gets "outcome unknown" after its claim and its
-// read-back have timed out. Later callers must get the same answer at once,
-// without waiting for a claim of their own.
+// TestFrozenKVFailsFast freezes the KV service: it takes calls, applies nothing
+// and does not answer. The first caller gets "outcome unknown" after its claim has
+// timed out. Nearly all later callers must get the same answer without a claim of
+// their own; if each waited for the timeout, requests would pile up at the entry.
 func TestFrozenKVFailsFast(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 1, 1)
@@ -196,9 +199,9 @@
 	for i := range 50 {
 		is.Equal(r.submit(0, "release", fmt.Sprint(i), time.Minute).code, "outcome_unknown")
 	}
-	// The circuit breaker admits one trial claim at a time, and each lasts
-	// until its timeouts. Nearly all of the 50 callers are therefore answered
-	// without a claim.
+	// The circuit breaker admits one trial claim at a time, no sooner than
+	// 200 ms after the last failed one. Nearly all of the 50 callers are
+	// therefore answered without a claim.
 	is.True(claims() <= before+5)
 	is.Equal(len(r.upstreams[0].plain.Runs()), 0)
 	r.kv.SetFaults(citronkv.Faults{})
--- a/citronentry/pipeline_test.go
+++ b/citronentry/pipeline_test.go
@@ -48,9 +48,10 @@
 }
 
 // TestConcurrentAnswersUnderEngineFailures sends requests of concurrent callers
-// through three entries while engines die at random moments. Each caller must get
-// the complete answer to its own prompt, as the oracle computes it. Requests that
-// complete out of order must not mix their tokens.
+// through three entries while up to one engine of each stage dies after a random
+// number of steps. Each caller must get the complete answer to its own prompt, as
+// the oracle computes it. Requests that complete out of order must not mix their
+// tokens.
 func TestConcurrentAnswersUnderEngineFailures(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		engineSpecs := []engineSpec{
@@ -91,7 +92,8 @@
 
 // TestDeadlineDuringFirstStep lets the caller's deadline pass while the first
 // step of a request is in flight at an engine. The engine may run it, so the
-// answer must be "outcome unknown" and not "not run".
+// answer must be "outcome unknown"; after "not run", the caller would take it for
+// certain that nothing ran.
 func TestDeadlineDuringFirstStep(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
--- a/citronentry/plain_test.go
+++ b/citronentry/plain_test.go
@@ -10,9 +10,9 @@
 )
 
 // TestRefusedUpstreamKeepsItsPort tests the test harness. An upstream that refuses
-// connections has closed its port. If another server could get that port in the
-// meantime, it would answer the caller, and a request that no upstream ran would
-// look served.
+// connections has closed its listener. If a server of another test could listen
+// on that port in the meantime, it would answer the caller, and a request that no
+// upstream of this test ran would look served.
 func TestRefusedUpstreamKeepsItsPort(t *testing.T) {
 	is := is.New(t)
 	r := newPlainRig(t, 1, 2)
@@ -32,8 +32,9 @@
 // upstreams. Each case sets a fault at the first and the second upstream and
 // sends one request with a ten-minute deadline. The answer must come while the
 // fault lasts and must not wait for the deadline. "Not run" is allowed only if no
-// upstream received the call. A non-idempotent call must not go to a second
-// upstream once the first may have received it.
+// upstream can have run the call; otherwise the caller might send it again and have
+// it run twice. For the same reason, a non-idempotent call must not go to a second
+// upstream once the first may have run it.
 func TestPlainUpstreamFaults(t *testing.T) {
 	cases := []struct {
 		name          string
--- a/citronentry/stream_test.go
+++ b/citronentry/stream_test.go
@@ -42,8 +42,9 @@
 }
 
 // TestStreamUnderStageFailure kills the engine of a stage while a caller streams
-// an answer. The tokens must arrive as they are computed, each once, in order and
-// equal to the oracle's, and "done" must give their number.
+// an answer. The engine that takes over recomputes the positions before, and none
+// of their tokens may be sent again. The tokens must arrive each once, in order
+// and equal to the oracle's, and "done" must give their number.
 func TestStreamUnderStageFailure(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 8, 1, twoStages, nil)
@@ -58,10 +59,9 @@
 	is.Equal(<-events, streamEvent{Type: "done", Offset: 6})
 }
 
-// TestStreamEndsWithFailedEvent kills every engine of a stage during a stream.
-// The HTTP status has been sent with the first tokens, so the stream must end
-// with "failed". If it just ended, a truncated answer would look like a complete
-// one.
+// TestStreamEndsWithFailedEvent kills the only engine during a stream. The HTTP
+// status has been sent with the first tokens, so the stream must end with
+// "failed". If it just ended, a truncated answer would look like a complete one.
 func TestStreamEndsWithFailedEvent(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
@@ -76,8 +76,9 @@
 	is.Equal(all[2], streamEvent{Type: "failed", Offset: 2, Code: "outcome_unknown"})
 }
 
-// TestStreamRefusedBeforeFirstToken makes a request fail before its first token.
-// The caller must get a refusal with an HTTP status and no stream.
+// TestStreamRefusedBeforeFirstToken makes requests fail before their first token:
+// one because no engine is reachable, one because its customer is unknown. The
+// caller must get the HTTP status of the refusal and not that of a stream.
 func TestStreamRefusedBeforeFirstToken(t *testing.T) {
 	is := is.New(t)
 	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
