--- a/citronevent/event_test.go
+++ b/citronevent/event_test.go
@@ -24,8 +24,9 @@
 	is.True(strings.Contains(string(doc), b.String())) // on failure, replace the table with the output of `citrondeck events`
 }
 
-// TestErrorsAreLoggedWithoutStack checks that an error is logged as its message only.
-// The stack trace that the error library attaches would make the message hard to find.
+// TestErrorsAreLoggedWithoutStack checks that an error is logged as its message. The
+// error library attaches a stack trace to each error, which would make the message hard
+// to find in the log.
 func TestErrorsAreLoggedWithoutStack(t *testing.T) {
 	is := is.New(t)
 	var b bytes.Buffer
