--- a/citronexplain/losses_test.go
+++ b/citronexplain/losses_test.go
@@ -9,10 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// TestLossHasOneCause checks that each lost request is counted once, under the
-// first cause that the nodes logged. The cause of a late stream whose path changed
-// twice is the first change. A request that the configuration does not allow
-// (status 4xx) is not a loss.
+// TestLossHasOneCause checks that each request that was late, refused or broken off
+// is counted once, under the first cause that the nodes logged. The cause of a late
+// stream whose path changed twice is the first change. A request that the
+// configuration does not allow (status 4xx) is not counted.
 func TestLossHasOneCause(t *testing.T) {
 	is := is.New(t)
 	at := func(second int, rest string) string {
--- a/citronexplain/retained_test.go
+++ b/citronexplain/retained_test.go
@@ -10,7 +10,9 @@
 
 // TestExplanationOfRequestIncludesRetainReason explains a request that was sent to an
 // engine which the node retained although the engine's entry was missing. The output
-// must include this node's reason, but not what another node decided about the engine.
+// must include this node's reason, but not what another node decided about the engine
+// or what this node decided about another engine. The explanation of an engine must
+// include only the lines about it.
 func TestExplanationOfRequestIncludesRetainReason(t *testing.T) {
 	is := is.New(t)
 	log := `{"time":"2026-01-01T00:00:14.810Z","level":"INFO","msg":"engines.changed","node":"n1","event":602,"engine":"e3","missing":true}
