--- a/citronfleet/check_test.go
+++ b/citronfleet/check_test.go
@@ -30,8 +30,8 @@
       - {name: u1, addr: "127.0.0.1:3", zone: a}
 `
 
-// TestParseRejects checks that each invalid text is rejected with the position
-// of the problem and a message that an operator can act on, and that no partly
+// TestParseRejects checks that each invalid text is rejected with a message that
+// names the problem, some of them also with its position, and that no partly
 // decoded fleet is returned.
 func TestParseRejects(t *testing.T) {
 	cases := []struct {
@@ -62,6 +62,8 @@
 	}
 }
 
+// TestParseAccepts checks that a valid text is accepted and that services are
+// idempotent unless the text says otherwise.
 func TestParseAccepts(t *testing.T) {
 	is := is.New(t)
 	f, err := citronfleet.Parse("fleet.yaml", []byte(valid))
@@ -81,7 +83,7 @@
 }
 
 // BenchmarkParse measures parsing and validating a fleet text with one model on
-// 164 engines, and one of the size expected in two years.
+// 164 engines, and one with 25 such models.
 func BenchmarkParse(b *testing.B) {
 	for _, models := range []int{1, 25} {
 		var t strings.Builder
