--- a/citronkv/contract_test.go
+++ b/citronkv/contract_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestStoreContract checks the outcome of writes, deletes and lease calls. Each case
-// starts with the value "old" at key k and states the error and the value of k that
-// callers rely on.
+// TestStoreContract checks the outcome of writes, deletes and lease calls, also with
+// expired leases, outages and lost replies. Each case starts with the value "old" at
+// key k and states the error and the value of k that callers rely on.
 func TestStoreContract(t *testing.T) {
 	type env struct {
 		st  citronkv.Store
@@ -123,10 +123,11 @@
 	}
 }
 
-// TestWatchMissesNoChange applies random puts and deletes, some with lost replies, and
-// compares a watcher that follows from the start with a map of the expected values.
-// The watcher must see the last change of every key, including deletions, however the
-// changes are spread over its calls.
+// TestWatchMissesNoChange applies random deletes and puts, some of them with lost
+// replies, and compares a watcher that follows from the start with a map of the
+// expected values. The watcher must see the last change of every key, including
+// deletions, however the changes are spread over its calls. A node that missed one
+// would keep outdated state until the key changes again.
 func TestWatchMissesNoChange(t *testing.T) {
 	ctx := context.Background()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -190,7 +191,8 @@
 
 // TestWatchReportsCompactedRevision checks that a watch after a revision older than the
 // kept changes fails with ErrCompacted, so that the watcher reads all keys again.
-// Without the error, it would miss the dropped changes and keep stale state.
+// Without the error, it would miss the dropped changes and keep stale state. The server
+// keeps at most 65,536 changes, fewer than the test makes.
 func TestWatchReportsCompactedRevision(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -202,8 +204,8 @@
 	is.True(errors.Is(err, citronkv.ErrCompacted))
 }
 
-// TestInstanceListLags checks that a change of the instance list becomes visible only
-// after the lag and that the previous row stays visible until then.
+// TestInstanceListLags checks that a change of the fake instance list becomes visible
+// only after the lag, and that the previous row stays visible until then.
 func TestInstanceListLags(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
--- a/citronkv/revision_test.go
+++ b/citronkv/revision_test.go
@@ -17,9 +17,9 @@
 	return citronkv.RevisionOf(rapid.Int64Range(0, citronkv.MaxEra).Draw(t, name+" era"), rapid.Int64Range(0, citronkv.MaxCount).Draw(t, name+" count"))
 }
 
-// TestRevisionEncodingRoundTrip checks that each encoding decodes to the same revision
-// and that packed revisions keep their order. Otherwise nodes would disagree about
-// which of two writes is newer.
+// TestRevisionEncodingRoundTrip checks that the encodings as JSON, CBOR and text decode
+// to the same revision and that packed revisions keep their order. Otherwise nodes would
+// disagree about which of two writes is newer.
 func TestRevisionEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
