--- a/citronlog/log_test.go
+++ b/citronlog/log_test.go
@@ -24,9 +24,10 @@
 	return len(b), nil
 }
 
-// TestBlockedWriterDoesNotBlockLogging checks that logging does not block after the
-// log reader has stopped reading: lines that do not fit into the queue are dropped
-// and counted.
+// TestBlockedWriterDoesNotBlockLogging guards against requests that hang because they
+// log a line after the log reader has stopped reading. Lines that do not fit into the
+// queue must be dropped and counted instead. The lines are spread over 100 events, so
+// that no event reaches its rate limit.
 func TestBlockedWriterDoesNotBlockLogging(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -63,9 +64,9 @@
 	return l.b.Write(p)
 }
 
-// TestRateLimitIsPerEvent checks that when one event is logged 1000 times at once, as
-// in a fault that fails every request, its lines are limited to the burst, other
-// events are still written, and the number of dropped lines is logged.
+// TestRateLimitIsPerEvent logs one event 1000 times at once, as in a fault that fails
+// every request. Its lines must be limited to the burst of 400, another event must still
+// be written, and the number of dropped lines must be logged.
 func TestRateLimitIsPerEvent(t *testing.T) {
 	is := is.New(t)
 	clock := citronclock.NewManual(time.Unix(1000, 0))
