--- a/citronpath/path_test.go
+++ b/citronpath/path_test.go
@@ -42,8 +42,8 @@
 
 // For any set of engines, a path must run every layer exactly once and in order,
 // use each engine at most once, and use only engines that hold the layers and are
-// neither leaving nor avoided. A path must exist whenever such engines hold all
-// layers.
+// neither leaving nor avoided. Otherwise an engine would refuse the request, or its
+// tokens would be wrong. A path must exist whenever such engines hold all layers.
 func TestPathIsAnExactCover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var engines []citronmodel.Engine
@@ -150,7 +150,8 @@
 }
 
 // BenchmarkChoose measures one choice for services with 10 to 1000 engines in
-// three zones.
+// three zones. The services with 10 and 40 engines lack layers, so that no path
+// exists there.
 func BenchmarkChoose(b *testing.B) {
 	big := spec
 	big.Layers = 80
@@ -171,11 +172,12 @@
 	}
 }
 
-// When a zone loses one of its replicas at peak load, the engines that hold the
-// same layers get its streams too. They have cache for a hundred requests but run
-// only eight at once. They refuse the excess, which costs a retry or fails the
-// request although another zone has free slots. An engine's capacity is
-// therefore limited by its request slots too, not only by its cache.
+// When a zone loses one of its replicas at peak load, the remaining engines with
+// the same layers get its streams too. An engine may have cache for more than a
+// hundred requests and yet run only eight at once. It refuses the excess, which
+// costs a retry or fails the request although another zone has free slots. An
+// engine's capacity must therefore be limited by its request slots too, not only
+// by its cache.
 func TestSlotsLimitEngineCapacity(t *testing.T) {
 	is := is.New(t)
 	es := view(engine("a1", "a", "fast", 0, 8), engine("b1", "b", "fast", 0, 8))
@@ -191,8 +193,8 @@
 	is.Equal(ids(p), "a1[0,8) ")
 }
 
-// manyBoundaries returns the engines of five zones with three replicas each. Every
-// replica is divided at different layers.
+// manyBoundaries returns the engines of five zones with three replicas each. The
+// replicas of a zone are divided at different layers.
 func manyBoundaries(layers int) []citronmodel.Engine {
 	var out []citronmodel.Engine
 	sizes := []int{4, 6, 4, 22, 6, 4, 6, 4, 4, 6}
@@ -208,8 +210,8 @@
 	return out
 }
 
-// BenchmarkChooseLarge measures one choice in a fleet of about 150 engines that
-// share few layer boundaries.
+// BenchmarkChooseLarge measures one choice in a fleet of 190 engines with many
+// different layer boundaries.
 func BenchmarkChooseLarge(b *testing.B) {
 	big := spec
 	big.Layers = 80
--- a/citronpath/spread_test.go
+++ b/citronpath/spread_test.go
@@ -8,11 +8,12 @@
 	"github.com/matryer/is"
 )
 
-// A zone holds two replicas of the model, one a tenth faster than the other, at
-// peak load. Fifteen nodes choose paths for their streams and know only the total
-// tokens of each other's streams. If each node preferred the faster replica until
-// its own few streams tipped the balance, that replica would get three quarters
-// of all streams, fill up and be late while the other is half empty.
+// A zone holds two replicas of the model. One has two hops instead of three and is
+// therefore a tenth faster. Fifteen nodes choose paths for their streams, and each
+// knows of the others only the total tokens in the zone. If each node preferred the
+// faster replica until its own few streams tipped the balance, that replica would
+// get three quarters of all streams, fill up and be late while the other is half
+// empty.
 func TestNodesSpreadStreamsOverReplicas(t *testing.T) {
 	const (
 		nodes   = 15
