--- a/citronplace/cover_test.go
+++ b/citronplace/cover_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// setMeanTokens sets the mean number of tokens per request of the model,
-// which limits the cache that a zone can use.
+// setMeanTokens sets the mean number of tokens per request of the model until the
+// test ends. It limits the cache that a zone can use; by default there is no limit.
 func setMeanTokens(t *testing.T, tokens int) {
 	t.Helper()
 	spec.MeanTokens = tokens
@@ -39,8 +39,9 @@
 // the zone holds its layers, the streams continue there within the zone and
 // new callers are served at once; if none does, all of them go to another
 // zone. So a zone with more memory than its requests can fill as cache must
-// hold layers twice. Each of its engines must keep the cache that the requests
-// need, and no layer may lose its first holder.
+// hold many layers twice. Every layer must still be held, and each engine must
+// keep four fifths of the cache that the requests can fill. A third of the
+// engines must be dispensable: without any one of them, the others hold all layers.
 func TestZoneWithSpareMemoryDuplicatesLayers(t *testing.T) {
 	is := is.New(t)
 	setMeanTokens(t, 300)
@@ -49,7 +50,8 @@
 	is.True(duplicatedLayers(engines) >= 20)
 	for _, e := range engines {
 		is.True(!e.Layers.Empty()) // no engine is idle
-		// 192 slots of 300 tokens: the cache that the requests of one path fill
+		// The requests of one first engine, 192 slots of 300 tokens each, fill
+		// this cache. An engine that duplicates layers keeps four fifths of it.
 		is.True(spec.CacheTokens(e.Kind, e.Layers.Len()) >= 192*300*0.8)
 	}
 	served := 0
@@ -57,16 +59,16 @@
 		left := without(engines, func(e citronplace.Engine) bool { return e.ID == lost.ID })
 		if len(citronplace.Gaps(spec, left)) == 0 {
 			served++
-			is.True(countMoved(left, carryOut(left, citronplace.Decide(spec, left, nil))) <= 2) // engines that serve are not moved to fill the gap
+			is.True(countMoved(left, carryOut(left, citronplace.Decide(spec, left, nil))) <= 2) // without a gap, hardly any engine is moved
 		}
 	}
 	t.Logf("%d layers held twice; %d of %d engines can be lost without a gap", duplicatedLayers(engines), served, len(engines))
 	is.True(served >= len(engines)/3)
 }
 
-// TestZoneWithoutSpareMemoryDuplicatesNothing checks that a zone whose
-// requests need all of its cache does not use cache memory for duplicate
-// layers.
+// TestZoneWithoutSpareMemoryDuplicatesNothing checks that a zone whose requests
+// need all of its cache gives up none of it for duplicate layers. The smallest
+// cache of an engine must be the same as if requests could fill any cache.
 func TestZoneWithoutSpareMemoryDuplicatesNothing(t *testing.T) {
 	is := is.New(t)
 	engines := decideUntilStable(t, fleet("z", 1, 6, 6))
@@ -113,8 +115,9 @@
 }
 
 // TestSpareEngineDuplicatesLayersWithLeastCache guards against spares that
-// duplicate the layers with the most cache. Every layer is held twice, but
-// after a quick repair some layers are held by engines that are nearly full.
+// duplicate the layers with the most cache. Every layer is held twice, but four of
+// the six engines hold 30 layers each, as after a quick repair, and have less cache
+// than the two that hold 20. The spare must duplicate layers of those four.
 func TestSpareEngineDuplicatesLayersWithLeastCache(t *testing.T) {
 	is := is.New(t)
 	setMeanTokens(t, 1000)
--- a/citronplace/plan_test.go
+++ b/citronplace/plan_test.go
@@ -21,7 +21,8 @@
 	},
 }
 
-// fleet returns the engines of one zone, all of them empty.
+// fleet returns the engines of one zone, all of them empty. The order of the kinds
+// differs from call to call.
 func fleet(zone string, large, small, slow int) []citronplace.Engine {
 	var out []citronplace.Engine
 	for kind, n := range map[string]int{"large": large, "small": small, "slow": slow} {
@@ -86,7 +87,7 @@
 // TestPlacementHoldsAllLayers checks that, whatever the zone and the engines
 // it loses, no engine is ordered to hold more layers than fit into its memory,
 // the placement stabilizes, and the remaining engines hold all layers if they
-// have the memory.
+// have the memory. A zone in which no engine holds some layer serves nobody.
 func TestPlacementHoldsAllLayers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := fleet("z", rapid.IntRange(0, 2).Draw(t, "large"), rapid.IntRange(0, 10).Draw(t, "small"), rapid.IntRange(0, 8).Draw(t, "slow"))
@@ -113,17 +114,18 @@
 	})
 }
 
-// TestCompleteZoneIsLeftUnchanged checks that the engines of a zone that holds
-// all layers get no orders.
+// TestCompleteZoneIsLeftUnchanged checks that the engines of a zone whose placement
+// is stable get no orders when the same decision is made again.
 func TestCompleteZoneIsLeftUnchanged(t *testing.T) {
 	is := is.New(t)
 	engines := decideUntilStable(t, fleet("z", 1, 6, 6))
 	is.Equal(len(citronplace.Decide(spec, engines, nil)), 0)
 }
 
-// TestCrashMovesFewEngines simulates the death of one engine at peak load. Its
-// layers must be held again after loads of a few layers, so most engines keep
-// the layers they hold.
+// TestCrashMovesFewEngines simulates the death of one engine of fifteen at peak
+// load. A single plan must fill the gap, and it may move at most eight of the
+// other engines: an engine that loads layers or gives some up disturbs the requests
+// that run through it.
 func TestCrashMovesFewEngines(t *testing.T) {
 	for _, kind := range []string{"small", "slow"} {
 		t.Run(kind, func(t *testing.T) {
@@ -142,10 +144,10 @@
 	}
 }
 
-// TestGapOfLargeEngineIsSpread simulates the loss of a zone's only large
-// engine, which leaves a gap of a quarter of the model. If the first spares
-// were filled up with it, the zone would cache a third of what it could, so
-// the gap must be spread over more engines.
+// TestGapOfLargeEngineIsSpread simulates the loss of a zone's only large engine,
+// which leaves a gap of about a quarter of the model. If the first engines found
+// were filled up with these layers, they would have almost no cache left and limit
+// the whole zone, so the gap must be spread over more engines.
 func TestGapOfLargeEngineIsSpread(t *testing.T) {
 	is := is.New(t)
 	engines := decideUntilStable(t, fleet("z", 1, 6, 6))
@@ -157,13 +159,13 @@
 			least = min(least, spec.CacheTokens(e.Kind, e.Layers.Len()))
 		}
 	}
-	is.True(least > 80_000) // the most even division of these engines caches 129,000 tokens
+	is.True(least > 80_000) // the most even division of these engines caches 88,000 tokens
 }
 
 // TestEngineWithPendingOrderIsNoDuplicate checks that an engine that has not
 // yet loaded its target layers does not count as a second holder of them. If
-// it did, their only holder could be moved away to fill another gap, and its
-// layers would become a gap.
+// it did, their only holder could be ordered to give them up and fill another gap,
+// and no engine would hold them until the other one had loaded them.
 func TestEngineWithPendingOrderIsNoDuplicate(t *testing.T) {
 	is := is.New(t)
 	engines := decideUntilStable(t, fleet("z", 2, 4, 4))
@@ -197,7 +199,8 @@
 }
 
 // TestGapOfLeavingEngineCutsNoRequests checks that running requests are not
-// cut to fill the gap of a leaving engine, which still serves its layers.
+// cut to fill the gap of a leaving engine. That engine still serves its layers, so
+// the requests that run through it can end first.
 func TestGapOfLeavingEngineCutsNoRequests(t *testing.T) {
 	is := is.New(t)
 	engines := decideUntilStable(t, fleet("z", 1, 10, 4))
@@ -217,8 +220,9 @@
 
 // TestGapOfLeavingLargeEngineLeavesNoWeakEngine simulates that one of a zone's
 // two large engines leaves. The other one and a single spare could take over
-// its layers without moving anything else, but would then cache a fifth of
-// what the zone's engines could, and limit the zone permanently.
+// its layers without moving anything else. But they would then cache less than
+// half of what the most even division of the zone allows, and limit the zone
+// permanently.
 func TestGapOfLeavingLargeEngineLeavesNoWeakEngine(t *testing.T) {
 	is := is.New(t)
 	var left []citronplace.Engine
@@ -244,12 +248,12 @@
 			least = min(least, spec.CacheTokens(e.Kind, e.Layers.Len()))
 		}
 	}
-	is.True(least > 70_000) // the even cache of the remaining engines is 129,000 tokens
+	is.True(least > 70_000) // the most even division of the remaining engines caches 111,000 tokens
 }
 
 // BenchmarkDecide measures one decision for the given number of engines in
-// zones of about 14, all of them placed. A leader makes up to ten such decisions
-// a second, while engines change.
+// zones of 14, all of them placed. A leader makes up to ten such decisions
+// a second while engines come, go or change.
 func BenchmarkDecide(b *testing.B) {
 	for _, zones := range []int{1, 3, 8, 70} {
 		var engines []citronplace.Engine
--- a/citronplace/replicas_test.go
+++ b/citronplace/replicas_test.go
@@ -27,12 +27,12 @@
 	return n
 }
 
-// TestLargeZoneSurvivesAnySingleLoss simulates a zone of about thirty engines
-// that loses one of them at peak load. The zone must serve its callers also
-// before the gap is filled, so every layer is held twice, and the loss of any
-// single engine leaves no layer without a holder. A zone of ten or fifteen
-// engines does not have the memory for a second replica in addition to the
-// cache of its requests.
+// TestLargeZoneSurvivesAnySingleLoss simulates a zone of 25 to 35 engines that
+// loses one of them at peak load. The zone must serve its callers also before the
+// gap is filled, so every layer must be held twice, and the loss of any single
+// engine must leave no layer without a holder. Afterwards every layer must be held
+// twice again, with at most 16 engines moved. A zone of ten or fifteen engines does
+// not have the memory for a second replica in addition to the cache of its requests.
 func TestLargeZoneSurvivesAnySingleLoss(t *testing.T) {
 	for _, size := range [][3]int{{4, 10, 11}, {3, 14, 16}, {2, 24, 9}} {
 		is := is.New(t)
@@ -77,10 +77,9 @@
 }
 
 // TestNoRequestIsCutWhileOtherReplicasServe simulates a zone with three
-// replicas that loses eight engines at once. Within a second the streams that
-// ran through these engines move to the other replicas, where they pass
-// through any engine that holds the layers. An order that does not wait for
-// running requests would break these streams a second time, for a gap of one
+// replicas that loses eight engines at once. The streams that ran through these
+// engines soon move to engines of the other replicas. An order that does not wait
+// for running requests would break them a second time, to fill a gap in one
 // replica whose layers the other replicas hold. So no order may cut requests
 // while the remaining engines together hold all layers.
 func TestNoRequestIsCutWhileOtherReplicasServe(t *testing.T) {
@@ -119,13 +118,14 @@
 	return (memory - weights) * 1e6 / (replicas * spec.TokenBytes)
 }
 
-// TestDamagedReplicaIsNotRepairedWithTooLittleCache simulates a zone with
-// three replicas that, at peak load, loses most engines of one replica. If the
-// layers of that replica were divided over its few remaining engines, these
-// would have cache for a quarter of the requests. They would refuse the rest,
-// and would load for seconds although the other replicas serve the zone. So no
-// engine may be ordered to hold so many layers that it keeps less than half of
-// the cache that an engine of the zone should have.
+// TestDamagedReplicaIsNotRepairedWithTooLittleCache simulates a zone with three
+// replicas that loses a random sixth of its engines at peak load, and almost half
+// of those that hold the layers from a random one on. A replica may then have few
+// engines left. If its layers were divided over these, they would have cache for
+// few of the requests. They would refuse the rest, and would load for seconds
+// although the other replicas serve the zone. So no engine may be ordered to take
+// on layers if it would keep less than half of the cache that an engine of the zone
+// should have.
 func TestDamagedReplicaIsNotRepairedWithTooLittleCache(t *testing.T) {
 	setMeanTokens(t, 980)
 	is := is.New(t)
