--- a/citronpool/refusal_test.go
+++ b/citronpool/refusal_test.go
@@ -14,9 +14,9 @@
 	requestInterval = 5 * time.Millisecond
 )
 
-// countRefusals returns how many requests an engine refuses during an outage of the store.
-// A request arrives every requestInterval and is sent to the engine if the engine is
-// usable then. The engine refuses each of them.
+// countRefusals returns how many requests are sent to an engine that refuses all of them
+// during an outage of the store. A request arrives every requestInterval and is sent to
+// the engine if the engine is usable then.
 func countRefusals(e *citronpool.Engine, from time.Time) int {
 	n := 0
 	for now := from; now.Before(from.Add(outage)); now = now.Add(requestInterval) {
@@ -33,9 +33,9 @@
 	return v.ByService["model"][0]
 }
 
-// TestRefusingEngineIsTriedRarely guards against an engine that uses up the retry budget
-// because it leaves while the store is unavailable. For eight seconds the engine refuses
-// new requests, and no node can read that it is leaving.
+// TestRefusingEngineIsTriedRarely guards against an engine that uses up the retry budget.
+// It leaves while the store is unavailable, so that no node can read that it is leaving.
+// For eight seconds it refuses new requests, and the nodes send each of these again.
 func TestRefusingEngineIsTriedRarely(t *testing.T) {
 	is := is.New(t)
 	tried := countRefusals(newEngine(), time.Now())
@@ -45,6 +45,8 @@
 
 // TestAdmittedRequestResetsRefusalPause checks that an engine that was full only briefly
 // is not avoided for a long time: once it admits a request, its pauses start short again.
+// A request that was sent before the last refusal does not count, because a leaving
+// engine finishes such requests and still refuses new ones.
 func TestAdmittedRequestResetsRefusalPause(t *testing.T) {
 	is := is.New(t)
 	e, now := newEngine(), time.Now()
--- a/citronpool/view_test.go
+++ b/citronpool/view_test.go
@@ -36,8 +36,9 @@
 }
 
 // TestSharedViewEqualsRebuiltView checks that a view that shares parts with the previous
-// one equals a view built from scratch. Otherwise requests are routed by outdated entries,
-// or an engine loses its counters when the list changes.
+// one equals a view built from scratch, leaves the previous one unchanged, and keeps the
+// counters of its engines. Otherwise requests are routed by outdated entries, or an engine
+// looks idle when the list changes.
 func TestSharedViewEqualsRebuiltView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		addrs := []string{"x:1", "x:2", "x:3", "x:4"}
