--- a/citronprobe/probe_test.go
+++ b/citronprobe/probe_test.go
@@ -11,10 +11,11 @@
 	"github.com/matryer/is"
 )
 
-// A report may come from another incarnation than the one in the list. If an engine
-// has restarted at the same address, it refuses the requests that are still sent to
-// it for the listed layers. The start time and the layers in the report must decide
-// whether the engine remains usable.
+// An engine may have restarted at the same address, so that its report comes from
+// another incarnation than the one in the list. It then refuses the requests that are
+// sent to it for the listed layers. So does an engine that has given up some of them.
+// The start time and the layers in the report must decide whether the engine remains
+// usable and whether the listed incarnation has ended.
 func TestRecordReport(t *testing.T) {
 	held := citronmodel.Span{From: 2, To: 6}
 	layers := func(from, to int) *citronmodel.Span { return &citronmodel.Span{From: from, To: to} }
