--- a/citronroute/route_test.go
+++ b/citronroute/route_test.go
@@ -20,7 +20,8 @@
 // TestChainCoversEachLayerOnce uses random layer ranges with some engines
 // avoided, and computes the reachable boundaries by dynamic programming as the
 // reference. A chain must be found exactly if one exists, and must cover every
-// layer once and in order with engines that are not avoided.
+// layer once and in order with engines that are not avoided. A chain that repeats
+// or skips a layer gives wrong tokens.
 func TestChainCoversEachLayerOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		layers := rapid.IntRange(1, 12).Draw(rt, "layers")
@@ -76,7 +77,7 @@
 
 // TestChainsSpreadEvenly checks that chains of bound requests spread evenly:
 // no engine may have two requests more than another that holds the same
-// layers.
+// layers. Otherwise requests queue at one engine while another is idle.
 func TestChainsSpreadEvenly(t *testing.T) {
 	is := is.New(t)
 	svc := grid(4, 5)
@@ -97,7 +98,8 @@
 }
 
 // TestWindow checks that the window is the entry's even share of the requests
-// that keep the engines busy at the wanted token gap.
+// that keep the engines busy at the wanted token gap, and the fallback for a
+// service without a declared capacity.
 func TestWindow(t *testing.T) {
 	is := is.New(t)
 	svc := grid(2, 5) // 2000 tokens/s
@@ -108,9 +110,7 @@
 	is.Equal(s.Window(citronfleet.Service{Kind: citronfleet.Plain}, time.Second, 7), 7)
 }
 
-// BenchmarkChain picks a chain for one model of a present-day fleet (40
-// engines) and of the fleet expected in two years (25 models on 4,100 engines,
-// 164 for each model).
+// BenchmarkChain picks a chain for a model on 40 engines and for one on 164.
 func BenchmarkChain(b *testing.B) {
 	for _, replicas := range []int{10, 41} {
 		b.Run(fmt.Sprintf("engines=%d", 4*replicas), func(b *testing.B) {
@@ -125,8 +125,9 @@
 	}
 }
 
-// BenchmarkBuild builds a snapshot, as the entry does after each configuration
-// change.
+// BenchmarkBuild builds a snapshot, as the entry does after each change of the
+// configuration or of the state of entries and back ends, for fleets with 1 and 25
+// models on 164 engines each.
 func BenchmarkBuild(b *testing.B) {
 	for _, models := range []int{1, 25} {
 		b.Run(fmt.Sprintf("models=%d/engines=%d", models, models*164), func(b *testing.B) {
