--- a/citronstat/stat_test.go
+++ b/citronstat/stat_test.go
@@ -44,7 +44,8 @@
 `)))
 }
 
-// TestNodeGauges checks that the metrics show the state of a node and its age.
+// TestNodeGauges checks three of the gauges that show the state of a node: the age of its
+// configuration, the engines that take new work, and whether it watches the store.
 func TestNodeGauges(t *testing.T) {
 	is := is.New(t)
 	r := prometheus.NewRegistry()
