--- a/citronupstream/ratelimit_test.go
+++ b/citronupstream/ratelimit_test.go
@@ -33,6 +33,8 @@
 	// invalid: "2, 3"
 }
 
+// FuzzParseRateLimit checks that no header value is parsed as a negative or infinite rate
+// limit, or as one that is not a number.
 func FuzzParseRateLimit(f *testing.F) {
 	for _, text := range []string{"", "2.5", "-0", "0x1p-2", "1e400", "Infinity", "1_0"} {
 		f.Add(text)
