--- a/citronyaml/yaml_test.go
+++ b/citronyaml/yaml_test.go
@@ -7,6 +7,7 @@
 	"citrondeck.dev/citrondeck/citronyaml"
 )
 
+// The errors name the position of the problem, so that an operator can find it.
 func ExampleDecode() {
 	var s struct {
 		Name string        `yaml:"name"`
