--- a/design/design.go
+++ b/design/design.go
@@ -138,7 +138,7 @@
 		Result(func() {
 			Attribute("entries", ArrayOf(EntryAddr), "Entries to use, nearest first")
 			Attribute("ttl_seconds", Int, "How long the caller may keep this answer")
-			Attribute("revision", Int64, "KV revision of the entry list")
+			Attribute("revision", Int64, "Fleet configuration revision that is active at this entry")
 			Required("entries", "ttl_seconds")
 		})
 		HTTP(func() {
--- a/gen/deck/service.go
+++ b/gen/deck/service.go
@@ -69,7 +69,7 @@
 	Entries []*EntryAddr
 	// How long the caller may keep this answer
 	TTLSeconds int
-	// KV revision of the entry list
+	// Fleet configuration revision that is active at this entry
 	Revision *int64
 }
 
--- a/gen/http/deck/client/types.go
+++ b/gen/http/deck/client/types.go
@@ -91,7 +91,7 @@
 	Entries []*EntryAddrResponseBody `form:"entries,omitempty" json:"entries,omitempty" xml:"entries,omitempty"`
 	// How long the caller may keep this answer
 	TTLSeconds *int `form:"ttl_seconds,omitempty" json:"ttl_seconds,omitempty" xml:"ttl_seconds,omitempty"`
-	// KV revision of the entry list
+	// Fleet configuration revision that is active at this entry
 	Revision *int64 `form:"revision,omitempty" json:"revision,omitempty" xml:"revision,omitempty"`
 }
 
--- a/gen/http/deck/server/types.go
+++ b/gen/http/deck/server/types.go
@@ -91,7 +91,7 @@
 	Entries []*EntryAddrResponseBody `form:"entries" json:"entries" xml:"entries"`
 	// How long the caller may keep this answer
 	TTLSeconds int `form:"ttl_seconds" json:"ttl_seconds" xml:"ttl_seconds"`
-	// KV revision of the entry list
+	// Fleet configuration revision that is active at this entry
 	Revision *int64 `form:"revision,omitempty" json:"revision,omitempty" xml:"revision,omitempty"`
 }
 
