--- a/citronengine/contract_test.go
+++ b/citronengine/contract_test.go
@@ -152,11 +152,11 @@
 	for waiting() < 1 {
 		time.Sleep(time.Millisecond)
 	}
-	go run("cutting floor", 9)
+	go run("a prompt", 9)
 	for waiting() < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	is.Equal(<-order, "cutting floor")
+	is.Equal(<-order, "a prompt")
 	is.Equal(<-order, "planner")
 	is.Equal(e.Steps.Load(), int64(3))
 }
