--- a/citronfleet/fleet.go
+++ b/citronfleet/fleet.go
@@ -8,7 +8,8 @@
 // and the column of each problem:
 //
 //	f, err := citronfleet.Parse("fleet.yaml", text)
-//	// err: fleet.yaml:14:9: services[0].engines[2].layers: layers [10,20) of engine "e3" lie on no exact cover ...
+//	// err: fleet.yaml:14:9: services[0].engines[2].layers: layers [10,20) of
+//	// engine "e3" lie on no exact cover ...
 package citronfleet
 
 import (
