--- a/citronkv/revision.go
+++ b/citronkv/revision.go
@@ -91,7 +91,7 @@
 }
 
 // Packed returns the revision as one integer in the same order: the era in the high
-// bits and the count in the low numberBits bits. AnyRevision packs to -1.
+// bits and the count in the low countBits bits. AnyRevision packs to -1.
 func (r Revision) Packed() int64 {
 	if r == AnyRevision {
 		return r.count
--- a/citronpath/path_test.go
+++ b/citronpath/path_test.go
@@ -84,7 +84,7 @@
 	})
 }
 
-// Checks which path is chosen for typical placements and loads.
+// TestChoice checks which path is chosen for typical placements and loads.
 func TestChoice(t *testing.T) {
 	zoneB := []citronmodel.Engine{engine("b1", "b", "fast", 0, 4), engine("b2", "b", "fast", 4, 8)}
 	for _, c := range []struct {
