--- a/citronforward/forwarder_test.go
+++ b/citronforward/forwarder_test.go
@@ -44,7 +44,7 @@
 func (f *fakeEngines) Send(ctx context.Context, c citronupstream.Call) (*citronupstream.Reply, error) {
 	f.mu.Lock()
 	n := len(f.calls)
-	f.calls = append(f.calls, receivedCall{engine: c.Engine.ID, afterEvent: c.AfterEvent, path: c.Hops, noRetry: c.NoRetry})
+	f.calls = append(f.calls, receivedCall{engine: c.Engine.ID, afterEvent: c.AfterEvent, path: c.EnginePath, noRetry: c.NoRetry})
 	f.mu.Unlock()
 	return f.answer(ctx, n, c)
 }
--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -29,7 +29,7 @@
 }
 
 func answersOK(_ context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
-	if len(c.Hops) == 0 {
+	if len(c.EnginePath) == 0 {
 		return reply(http.StatusOK, "ok"), nil
 	}
 	return reply(http.StatusOK, "id: 1\ndata: x\n\n"), nil
@@ -151,7 +151,7 @@
 		moved := make(chan struct{})
 		dead := ""
 		r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
-			dead = c.Hops[1].Engine.Addr
+			dead = c.EnginePath[1].Engine.Addr
 			return stalledStream(ctx, moved), nil
 		}
 		r.engines.report = func(addr string) (citronupstream.Report, error) {
--- a/citronforward/stream.go
+++ b/citronforward/stream.go
@@ -346,7 +346,7 @@
 	defer cancel()
 	w := newWatch(ctx, s)
 	replies := make(chan sendResult, 1)
-	call := citronupstream.Call{Request: s.Request, Engine: s.path[0].Engine, Hops: s.path, Customer: s.customer, TimeLeft: s.timeLeft(), AfterEvent: s.lastEventID, NoRetry: !s.route.Idempotent(), Urgent: s.begun}
+	call := citronupstream.Call{Request: s.Request, Engine: s.path[0].Engine, EnginePath: s.path, Customer: s.customer, TimeLeft: s.timeLeft(), AfterEvent: s.lastEventID, NoRetry: !s.route.Idempotent(), Urgent: s.begun}
 	go func() {
 		reply, err := s.f.send(ctx, call)
 		replies <- sendResult{reply, err}
--- a/citronforward/stream_test.go
+++ b/citronforward/stream_test.go
@@ -159,7 +159,7 @@
 	moved := make(chan struct{})
 	dead := ""
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
-		dead = c.Hops[1].Engine.Addr
+		dead = c.EnginePath[1].Engine.Addr
 		return stalledStream(ctx, moved), nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
@@ -190,7 +190,7 @@
 	moved := make(chan struct{})
 	var stalled atomic.Pointer[string]
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
-		stalled.Store(&c.Hops[1].Engine.Addr)
+		stalled.Store(&c.EnginePath[1].Engine.Addr)
 		return stalledStream(ctx, moved), nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
@@ -219,8 +219,8 @@
 	moved := make(chan struct{})
 	var dead, last string
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
-		dead, last = c.Hops[1].Engine.Addr, c.Hops[2].Engine.ID
-		c.Hops[2].Engine.Begin(100_000) // other requests have started since the path was chosen
+		dead, last = c.EnginePath[1].Engine.Addr, c.EnginePath[2].Engine.ID
+		c.EnginePath[2].Engine.Begin(100_000) // other requests have started since the path was chosen
 		return stalledStream(ctx, moved), nil
 	}
 	r.engines.report = func(addr string) (citronupstream.Report, error) {
@@ -504,7 +504,7 @@
 	moved := make(chan struct{})
 	var hung atomic.Pointer[citronpool.Engine]
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
-		hung.Store(c.Hops[1].Engine)
+		hung.Store(c.EnginePath[1].Engine)
 		return stalledStream(ctx, moved), nil
 	}
 	never := make(chan struct{})
@@ -539,7 +539,7 @@
 	r := newTestForwarder(t, modelEngine("m1", "a", 0, 4), modelEngine("m2", "a", 4, 8), modelEngine("m3", "a", 4, 8))
 	resumed := make(chan struct{})
 	r.engines.answer = func(ctx context.Context, _ int, c citronupstream.Call) (*citronupstream.Reply, error) {
-		c.Hops[1].Engine.Accuse(time.Now())
+		c.EnginePath[1].Engine.Accuse(time.Now())
 		time.AfterFunc(220*time.Millisecond, func() { close(resumed) })
 		return stalledStream(ctx, resumed), nil
 	}
--- a/citronupstream/upstream.go
+++ b/citronupstream/upstream.go
@@ -53,10 +53,10 @@
 type Call struct {
 	*Request
 	Engine *citronpool.Engine
-	// Hops is the path of a request to a model service. It is empty for plain
+	// EnginePath is the path of a request to a model service. It is empty for plain
 	// services.
-	Hops     citronpath.Path
-	Customer string
+	EnginePath citronpath.Path
+	Customer   string
 	// TimeLeft is the remaining time that the engine may use.
 	TimeLeft time.Duration
 	// AfterEvent is the ID of the last event that the caller has received by the time
