--- a/citronplace/plan.go
+++ b/citronplace/plan.go
@@ -7,7 +7,7 @@
 // that (replicas.go). Within a replica, fast engines hold as many layers as
 // leave them the same cache as the other engines; slow engines hold the rest.
 // Engines left over are spares. Until they are needed they duplicate the
-// layers with the least cache (cover.go). If several ranges have equally
+// layers with the least cache (duplicates.go). If several ranges have equally
 // little, the first one is duplicated, since the first engine of a path limits
 // how many requests run at once.
 //
