--- a/citronplace/repair.go
+++ b/citronplace/repair.go
@@ -50,7 +50,7 @@
 	plan := fillWithIdle(spec, engines, gaps, max(b.minCache, even*idleFillShare))
 	engines = withTargets(engines, plan)
 	if unfilled := Gaps(spec, engines); len(unfilled) > 0 {
-		maps.Copy(plan, fillFromHolders(spec, engines, unfilled, even, cut, b))
+		maps.Copy(plan, fillWithSeveral(spec, engines, unfilled, even, cut, b))
 	}
 	return plan
 }
@@ -87,14 +87,14 @@
 	return plan
 }
 
-// fillFromHolders fills gaps for which fillWithIdle has found no engine. It may
+// fillWithSeveral fills gaps for which fillWithIdle has found no engine. It may
 // divide a gap among several engines: ones that hold nothing, spares that
 // duplicate layers, and other holders. Plans that only add layers come first,
 // even if they leave some engines little cache: they need only a load of a
 // few layers and do not affect running requests, and balance evens out the
 // cache later. An engine that gives up layers first waits up to 15 s for the
 // requests that run through them, or cuts these requests.
-func fillFromHolders(spec citronmodel.Spec, engines []Engine, gaps []citronmodel.Span, even float64, cut bool, b bounds) Plan {
+func fillWithSeveral(spec citronmodel.Spec, engines []Engine, gaps []citronmodel.Span, even float64, cut bool, b bounds) Plan {
 	share := extendShare
 	if !cut {
 		share = servedShare
