--- a/citronnode/gossip.go
+++ b/citronnode/gossip.go
@@ -211,33 +211,33 @@
 	return state, err
 }
 
-// answerer answers the calls of other nodes.
-type answerer struct{ n *Node }
+// peerHandler answers the calls of other nodes.
+type peerHandler struct{ n *Node }
 
 // Exchange implements citronpeer.GossipHandler. It answers with this node's gossip state
 // and what the peer lacks, and names the items missing here.
-func (a answerer) Exchange(theirs citronpeer.GossipState) citronpeer.GossipState {
-	s := a.n.snap.Load()
+func (h peerHandler) Exchange(theirs citronpeer.GossipState) citronpeer.GossipState {
+	s := h.n.snap.Load()
 	state := s.gossipState()
 	sameZone := theirs.From.Zone == s.self.Zone
 	state.Diff = s.roster.Diff(theirs.Digest, sameZone)
 	state.Missing = s.roster.Missing(theirs.Digest, sameZone)
-	state.SuspectChecksum = a.n.quarantine.Checksum()
+	state.SuspectChecksum = h.n.quarantine.Checksum()
 	if theirs.SuspectChecksum != state.SuspectChecksum {
-		state.Suspects = a.n.allSuspects()
+		state.Suspects = h.n.allSuspects()
 	}
-	state.LimitChecksum = a.n.limits.Checksum()
+	state.LimitChecksum = h.n.limits.Checksum()
 	if theirs.LimitChecksum != state.LimitChecksum {
-		state.Limits = a.n.limits.All()
+		state.Limits = h.n.limits.All()
 	}
-	return a.n.respond(s, state, theirs)
+	return h.n.respond(s, state, theirs)
 }
 
 // Update implements citronpeer.GossipHandler. It takes a peer's update and answers with
 // this node's own.
-func (a answerer) Update(theirs citronpeer.GossipState) citronpeer.GossipState {
-	s := a.n.snap.Load()
-	return a.n.respond(s, s.update(), theirs)
+func (h peerHandler) Update(theirs citronpeer.GossipState) citronpeer.GossipState {
+	s := h.n.snap.Load()
+	return h.n.respond(s, s.update(), theirs)
 }
 
 // respond merges the message of another node and returns state, completed with the
--- a/citronnode/limits.go
+++ b/citronnode/limits.go
@@ -88,8 +88,8 @@
 
 // Permit implements citronpeer.PermitIssuer. It issues a permit to another node, or
 // says when the node should ask again.
-func (a answerer) Permit(q citronpeer.PermitRequest) citronpeer.Permit {
-	n := a.n
+func (h peerHandler) Permit(q citronpeer.PermitRequest) citronpeer.Permit {
+	n := h.n
 	n.mergeLimits(context.Background(), q.Node, []citronpeer.Limit{q.Limit})
 	engine := q.Limit.Engine
 	known := n.limits.Get(engine)
--- a/citronnode/node.go
+++ b/citronnode/node.go
@@ -228,15 +228,15 @@
 func (n *Node) Borrow(service string) bool { return n.loans.Borrow(service) }
 
 // Lend implements citronpeer.Lender.
-func (a answerer) Lend(service string, want int) citronpeer.Loan {
-	return citronloan.Lend(a.n.budget, service, want, a.n.clock.Now())
+func (h peerHandler) Lend(service string, want int) citronpeer.Loan {
+	return citronloan.Lend(h.n.budget, service, want, h.n.clock.Now())
 }
 
 // Handle mounts the handlers that other nodes call.
 func (n *Node) Handle(mux *http.ServeMux) {
-	citronpeer.Handle(mux, answerer{n})
-	citronpeer.HandleLend(mux, answerer{n})
-	citronpeer.HandlePermit(mux, answerer{n})
+	citronpeer.Handle(mux, peerHandler{n})
+	citronpeer.HandleLend(mux, peerHandler{n})
+	citronpeer.HandlePermit(mux, peerHandler{n})
 }
 
 // Run keeps the node up to date until ctx ends.
