--- a/citronnode/outage_test.go
+++ b/citronnode/outage_test.go
@@ -17,7 +17,7 @@
 // report must no longer count, and the store must count as unavailable.
 func TestLostNodeDoesNotHideStoreOutage(t *testing.T) {
 	is := is.New(t)
-	r := newLoopRig(t)
+	r := newLoopHarness(t)
 	now := time.Now()
 	r.n.health.RecordCall(citronhealth.Call{Begun: now, Ended: now, Err: citronkv.ErrUnavailable})
 	r.handleMessage(context.Background(), memberUpdate{diff: citronpeer.Diff{Members: []citronpeer.Member{{Name: "n2", Store: citronhealth.Status{Answered: true, Served: true}}}}})
--- a/citronnode/restart_test.go
+++ b/citronnode/restart_test.go
@@ -21,14 +21,14 @@
 	"pgregory.net/rapid"
 )
 
-// loopRig is a control loop without its sources. A test passes it their messages one at
+// loopHarness is a control loop without its sources. A test passes it their messages one at
 // a time.
-type loopRig struct {
+type loopHarness struct {
 	*control
 	revision int64
 }
 
-func newLoopRig(t testingT) *loopRig {
+func newLoopHarness(t testingT) *loopHarness {
 	t.Helper()
 	set := Settings{Name: "n1", Zone: "z"}
 	src := Sources{EnginePrefix: "engines/", DecodeEngine: func(key string, text []byte) (citronmodel.Engine, error) {
@@ -43,10 +43,10 @@
 	n := New(set, src, citronclock.Real{}, slog.New(slog.NewTextHandler(io.Discard, nil)), citronbudget.New(citronbudget.Limits{Ratio: 0.2, Slack: 10, Window: time.Second}), &citronpool.ZoneLoads{}, nil)
 	c := newControl(n)
 	c.table = citrontable.New(1, nil, []citrontable.Service{{Name: "m"}}, nil, citrontable.Limits{})
-	return &loopRig{control: c, revision: 10}
+	return &loopHarness{control: c, revision: 10}
 }
 
-// testingT is the part of testing.T and rapid.T that newLoopRig uses.
+// testingT is the part of testing.T and rapid.T that newLoopHarness uses.
 type testingT interface {
 	Fatalf(format string, args ...any)
 	Helper()
@@ -58,7 +58,7 @@
 }
 
 // deliver passes entries to the loop as if the store had written them.
-func (r *loopRig) deliver(entries map[string][]byte) {
+func (r *loopHarness) deliver(entries map[string][]byte) {
 	var items []citronkv.Item
 	for key, text := range entries {
 		r.revision++
@@ -73,7 +73,7 @@
 }
 
 // inUse returns the engines that new work may go to, by address.
-func (r *loopRig) inUse() map[string]citronmodel.Engine {
+func (r *loopHarness) inUse() map[string]citronmodel.Engine {
 	out := map[string]citronmodel.Engine{}
 	for _, e := range r.n.snap.Load().engines {
 		if !e.Leaving {
@@ -94,7 +94,7 @@
 // layers or the failures of the previous one, and must ignore a late entry of that one.
 func TestListEntryOfRestartedEngine(t *testing.T) {
 	is := is.New(t)
-	r := newLoopRig(t)
+	r := newLoopHarness(t)
 	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 100, 8))})
 	before, _ := r.view.ByID("i-1@100")
 	before.RecordFailure(time.Now())
@@ -118,7 +118,7 @@
 // for the list.
 func TestReportOfRestartedEngine(t *testing.T) {
 	is := is.New(t)
-	r, other := newLoopRig(t), newLoopRig(t)
+	r, other := newLoopHarness(t), newLoopHarness(t)
 	old := map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 100, 8)), "i-2": listEntry(modelEngine("i-2", "b:1", 100, 8))}
 	r.deliver(old)
 	other.deliver(old)
@@ -149,7 +149,7 @@
 // it. The address must belong to the engine with the later entry.
 func TestAddressBelongsToLatestEntry(t *testing.T) {
 	is := is.New(t)
-	r := newLoopRig(t)
+	r := newLoopHarness(t)
 	r.deliver(map[string][]byte{"i-1": listEntry(modelEngine("i-1", "a:1", 0, 8))})
 	before, _ := r.view.ByID("i-1")
 	r.deliver(map[string][]byte{"i-9": listEntry(modelEngine("i-9", "a:1", 0, 0))})
@@ -173,7 +173,7 @@
 // engines.
 func TestCorruptEntryDoesNotAffectOtherEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newLoopRig(t)
+		r := newLoopHarness(t)
 		n := rapid.IntRange(1, 8).Draw(t, "engines")
 		entries := map[string][]byte{}
 		for i := range n {
@@ -217,7 +217,7 @@
 // disappear at once; neither must apply here.
 func TestManyCorruptEntriesAreNotAnOutage(t *testing.T) {
 	is := is.New(t)
-	r := newLoopRig(t)
+	r := newLoopHarness(t)
 	entries, corrupt := map[string][]byte{}, map[string][]byte{}
 	for i := range 12 {
 		name := fmt.Sprintf("i-%d", i)
