--- a/citronentry/bench_test.go
+++ b/citronentry/bench_test.go
@@ -46,7 +46,7 @@
 // stages. The entry and the engines share one process, so the result is an
 // upper bound of the entry's own cost.
 func BenchmarkModelRequest(b *testing.B) {
-	r := newModelRig(b, 8, 1, twoStages, nil)
+	r := newModelHarness(b, 8, 1, twoStages, nil)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
@@ -86,7 +86,7 @@
 func benchRecovery(b *testing.B, injectFault func(*testBackend), tokens int) {
 	s := newLatencyStats()
 	for range b.N {
-		r := newModelRigWithSettings(b, 8, 1, twoStages, nil, func(s *citronentry.Settings) { s.ProbeTimeout = 0 }) // 0 selects the default
+		r := newModelHarnessWithSettings(b, 8, 1, twoStages, nil, func(s *citronentry.Settings) { s.ProbeTimeout = 0 }) // 0 selects the default
 		target := r.engines["b1"]
 		hold := make(chan struct{})
 		target.hold = hold
@@ -127,7 +127,7 @@
 		b.Run(strings.ReplaceAll(source, " ", "-"), func(b *testing.B) {
 			s := newLatencyStats()
 			for range b.N {
-				r := newModelRig(b, 4, 1, oneStage, nil)
+				r := newModelHarness(b, 4, 1, oneStage, nil)
 				a1 := r.engines["a1"]
 				_ = r.ask(0, "warm", 1)
 				start := time.Now()
@@ -190,7 +190,7 @@
 func BenchmarkConfigInEffect(b *testing.B) {
 	for _, entries := range []int{3, 6, 9} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
-			r := newModelRig(b, 8, entries, twoStages, nil)
+			r := newModelHarness(b, 8, entries, twoStages, nil)
 			cfg := citronconfig.Config{KV: r.kv, Clock: citronclock.Real{}}
 			text := modelFleet(8, twoStages, r.engines)
 			s := newLatencyStats()
--- a/citronentry/config_test.go
+++ b/citronentry/config_test.go
@@ -49,7 +49,7 @@
 // start of an outage, an entry must serve with the configuration that it has.
 func TestConfigNeverReverts(t *testing.T) {
 	var fake *staleStore
-	r := newModelRig(t, 4, 2, oneStage, func(s *citronkv.Server) citronkv.Store {
+	r := newModelHarness(t, 4, 2, oneStage, func(s *citronkv.Server) citronkv.Store {
 		fake = &staleStore{Server: s}
 		return fake
 	})
--- a/citronentry/harness_test.go
+++ b/citronentry/harness_test.go
@@ -298,8 +298,8 @@
 	return b
 }
 
-// modelRig is a testCluster with a model service "m".
-type modelRig struct {
+// modelHarness is a testCluster with a model service "m".
+type modelHarness struct {
 	*testCluster
 	engines map[string]*testBackend
 	layers  int
@@ -329,18 +329,18 @@
 	return "a"
 }
 
-// newModelRig starts a modelRig with default settings. store, if set, wraps
+// newModelHarness starts a modelHarness with default settings. store, if set, wraps
 // the KV server that the entries use.
-func newModelRig(t testing.TB, layers, entries int, engineSpecs []engineSpec, store func(*citronkv.Server) citronkv.Store) *modelRig {
+func newModelHarness(t testing.TB, layers, entries int, engineSpecs []engineSpec, store func(*citronkv.Server) citronkv.Store) *modelHarness {
 	t.Helper()
-	return newModelRigWithSettings(t, layers, entries, engineSpecs, store, nil)
+	return newModelHarnessWithSettings(t, layers, entries, engineSpecs, store, nil)
 }
 
-// newModelRigWithSettings is like newModelRig, but editSettings changes the
+// newModelHarnessWithSettings is like newModelHarness, but editSettings changes the
 // settings of each entry before it starts.
-func newModelRigWithSettings(t testing.TB, layers, entries int, engineSpecs []engineSpec, store func(*citronkv.Server) citronkv.Store, editSettings func(*citronentry.Settings)) *modelRig {
+func newModelHarnessWithSettings(t testing.TB, layers, entries int, engineSpecs []engineSpec, store func(*citronkv.Server) citronkv.Store, editSettings func(*citronentry.Settings)) *modelHarness {
 	t.Helper()
-	r := &modelRig{testCluster: newTestCluster(), engines: map[string]*testBackend{}, layers: layers}
+	r := &modelHarness{testCluster: newTestCluster(), engines: map[string]*testBackend{}, layers: layers}
 	r.editSettings = editSettings
 	for _, s := range engineSpecs {
 		r.engines[s.name] = startEngine(s)
@@ -355,7 +355,7 @@
 }
 
 // stop stops the entries, then the engines.
-func (r *modelRig) stop() {
+func (r *modelHarness) stop() {
 	r.testCluster.stop()
 	for _, b := range r.engines {
 		b.stop()
@@ -363,7 +363,7 @@
 }
 
 // ask sends a model request with a deadline of ten minutes.
-func (r *modelRig) ask(entry int, prompt string, tokens int) answer {
+func (r *modelHarness) ask(entry int, prompt string, tokens int) answer {
 	return r.post(entry, "/v1/services/m/requests", "", fmt.Sprintf(`{"customer":"c","prompt":%q,"max_tokens":%d,"deadline_ms":600000}`, prompt, tokens))
 }
 
--- a/citronentry/lifecycle_test.go
+++ b/citronentry/lifecycle_test.go
@@ -22,7 +22,7 @@
 // engine rejects at most one request.
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, oneStage, nil)
+	r := newModelHarness(t, 4, 1, oneStage, nil)
 	r.engines["a1"].engine.SetLeaving()
 	for i := range 10 {
 		wantOracle(t, r.ask(0, "p"+string(rune('a'+i)), 2), "p"+string(rune('a'+i)), 4, 2)
@@ -36,7 +36,7 @@
 // has polled the list, no new request may reach that engine.
 func TestInstanceListLeavingStopsNewWork(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, oneStage, nil)
+	r := newModelHarness(t, 4, 1, oneStage, nil)
 	r.instances.Store(&[]citronkv.Instance{{Name: "a1", State: citronkv.Leaving}})
 	for len(r.polled) > 0 { // discard polls that may have read the old list
 		<-r.polled
@@ -57,7 +57,7 @@
 // connect or gets status 503.
 func TestGracefulShutdownFinishesRequestsInFlight(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, oneStage, nil)
+	r := newModelHarness(t, 4, 1, oneStage, nil)
 	hold := make(chan struct{})
 	for _, n := range []string{"a1", "a2"} {
 		r.engines[n].hold = hold
--- a/citronentry/membership_test.go
+++ b/citronentry/membership_test.go
@@ -36,7 +36,7 @@
 // a rolling restart. If the name stayed marked as leaving, each restart would
 // shrink the fleet until no chain of engines remained.
 func TestReplacedEngineIsUsedAgain(t *testing.T) {
-	r := newModelRig(t, 4, 1, oneStage, nil)
+	r := newModelHarness(t, 4, 1, oneStage, nil)
 	a1 := r.engines["a1"]
 	a1.engine.SetLeaving()
 	wantOracle(t, r.ask(0, "before", 2), "before", 4, 2)
@@ -59,7 +59,7 @@
 // doubles the time for which the engine is avoided, only a few calls may reach it.
 func TestFlappingEngineIsAvoided(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, oneStage, nil)
+	r := newModelHarness(t, 4, 1, oneStage, nil)
 	r.engines["a1"].set(garbageWork)
 	start := time.Now()
 	for i := 0; time.Since(start) < 2*time.Second; i++ {
@@ -77,7 +77,7 @@
 // caller's deadline of ten minutes. The caller must still get the complete
 // response, from the spare engine.
 func TestEngineFreezesMidRequest(t *testing.T) {
-	r := newModelRig(t, 8, 1, twoStages, nil)
+	r := newModelHarness(t, 8, 1, twoStages, nil)
 	r.engines["b1"].freezeAfter = 3
 	wantOracle(t, r.ask(0, "layout", 6), "layout", 8, 6)
 }
@@ -87,7 +87,7 @@
 // under high load that would discard work that is only queued.
 func TestSlowEngineIsNotTreatedAsFrozen(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
+	r := newModelHarness(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
 	hold := make(chan struct{})
 	r.engines["a1"].hold = hold
 	got := make(chan answer, 1)
@@ -105,7 +105,7 @@
 // the engine before its last token.
 func TestRequestMovesOffLeavingEngineWithItsCache(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, oneStage, nil)
+	r := newModelHarness(t, 4, 1, oneStage, nil)
 	a1, a2 := r.engines["a1"], r.engines["a2"]
 	hold := make(chan struct{})
 	a1.hold = hold
@@ -129,7 +129,7 @@
 // for them. The test looks only at the first stage, because the second one is held.
 func TestAbandonedRequestFreesEngineCaches(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 8, 1, twoStages, nil)
+	r := newModelHarness(t, 8, 1, twoStages, nil)
 	hold := make(chan struct{})
 	defer close(hold)
 	r.engines["b1"].hold = hold
@@ -151,7 +151,7 @@
 // afterwards must be delisted.
 func TestDiscoverySurvivesExpiredLeases(t *testing.T) {
 	is := is.New(t)
-	r := newModelRigWithSettings(t, 4, 2, []engineSpec{{name: "a1", to: 4}}, nil, func(s *citronentry.Settings) { s.LeaseTTL = 150 * time.Millisecond })
+	r := newModelHarnessWithSettings(t, 4, 2, []engineSpec{{name: "a1", to: 4}}, nil, func(s *citronentry.Settings) { s.LeaseTTL = 150 * time.Millisecond })
 	sweep, stop := context.WithCancel(context.Background())
 	defer stop()
 	go r.kv.Run(sweep)
@@ -177,7 +177,7 @@
 // to a frozen entry waits for a full timeout.
 func TestExpiredEntryIsDelistedWhileKVIsHealthy(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, oneStage, nil)
+	r := newModelHarness(t, 4, 1, oneStage, nil)
 	ctx := context.Background()
 	id, err := r.kv.Grant(ctx, time.Minute)
 	is.NoErr(err)
--- a/citronentry/pipeline_test.go
+++ b/citronentry/pipeline_test.go
@@ -20,7 +20,7 @@
 func TestStageFailsMidRequest(t *testing.T) {
 	for _, victim := range []string{"a1", "b1"} {
 		t.Run(victim, func(t *testing.T) {
-			r := newModelRig(t, 8, 1, twoStages, nil)
+			r := newModelHarness(t, 8, 1, twoStages, nil)
 			// With equal load, the entry prefers its own zone, so the
 			// request starts on a1 and b1.
 			r.engines[victim].dieAfter = 3
@@ -40,7 +40,7 @@
 // engine and serves the request on an engine with the configured layers.
 func TestEngineWithWrongLayersIsReplaced(t *testing.T) {
 	engineSpecs := []engineSpec{{name: "a1", from: 0, to: 4, runFrom: 0, runTo: 5}, {name: "a2", from: 0, to: 4}, {name: "b1", from: 4, to: 8}}
-	r := newModelRig(t, 8, 1, engineSpecs, nil)
+	r := newModelHarness(t, 8, 1, engineSpecs, nil)
 	for i := range 4 {
 		p := fmt.Sprintf("nest-%d", i)
 		wantOracle(t, r.ask(0, p, 4), p, 8, 4)
@@ -62,7 +62,7 @@
 			{name: "b2", from: 3, to: 5},
 			{name: "b3", from: 3, to: 5},
 		}
-		r := newModelRig(t, 5, 3, engineSpecs, nil)
+		r := newModelHarness(t, 5, 3, engineSpecs, nil)
 		defer r.stop()
 		for _, n := range []string{"a1", "b2"} {
 			if rapid.Bool().Draw(rt, "kill-"+n) {
@@ -96,7 +96,7 @@
 // certain that nothing ran.
 func TestDeadlineDuringFirstStep(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
+	r := newModelHarness(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
 	hold := make(chan struct{})
 	defer close(hold)
 	r.engines["a1"].hold = hold
--- a/citronentry/stream_test.go
+++ b/citronentry/stream_test.go
@@ -20,7 +20,7 @@
 
 // stream posts a streaming request and returns its status and a channel of its
 // events, which is closed at the end of the stream.
-func (r *modelRig) stream(t *testing.T, body string) (int, <-chan streamEvent) {
+func (r *modelHarness) stream(t *testing.T, body string) (int, <-chan streamEvent) {
 	t.Helper()
 	res, err := http.Post("http://"+r.addrs[0]+"/v1/services/m/streams", "application/json", strings.NewReader(body))
 	if err != nil {
@@ -47,7 +47,7 @@
 // and equal to the oracle's, and "done" must give their number.
 func TestStreamUnderStageFailure(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 8, 1, twoStages, nil)
+	r := newModelHarness(t, 8, 1, twoStages, nil)
 	r.engines["b1"].dieAfter = 3
 	status, events := r.stream(t, `{"customer":"c","prompt":"nest","max_tokens":6}`)
 	is.Equal(status, http.StatusOK)
@@ -64,7 +64,7 @@
 // "failed". If it just ended, a truncated answer would look like a complete one.
 func TestStreamEndsWithFailedEvent(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
+	r := newModelHarness(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
 	r.engines["a1"].dieAfter = 2
 	status, events := r.stream(t, `{"customer":"c","prompt":"nest","max_tokens":6}`)
 	is.Equal(status, http.StatusOK)
@@ -81,7 +81,7 @@
 // caller must get the HTTP status of the refusal and not that of a stream.
 func TestStreamRefusedBeforeFirstToken(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
+	r := newModelHarness(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
 	r.engines["a1"].set(refused)
 	status, _ := r.stream(t, `{"customer":"c","prompt":"nest","max_tokens":6}`)
 	is.Equal(status, http.StatusServiceUnavailable)
@@ -95,7 +95,7 @@
 // another caller.
 func TestStreamRejectsNonIdempotentService(t *testing.T) {
 	is := is.New(t)
-	r := newModelRig(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
+	r := newModelHarness(t, 4, 1, []engineSpec{{name: "a1", to: 4}}, nil)
 	fleet := modelFleet(4, []engineSpec{{name: "a1", to: 4}}, r.engines)
 	before := r.entries[0].Revision()
 	r.apply(t, strings.Replace(fleet, "kind: model", "kind: model\n    idempotent: false", 1))
