--- a/citronentry/api_test.go
+++ b/citronentry/api_test.go
@@ -14,7 +14,7 @@
 // entry must reject each one with the status that callers rely on, and most also
 // with a code, and the upstream must run none of them.
 func TestCallerAPIRejectsInvalidInput(t *testing.T) {
-	r := newPlainRig(t, 1, 1)
+	r := newPlainHarness(t, 1, 1)
 	cases := []struct {
 		name, path, body, key string
 		status                int
--- a/citronentry/bench_test.go
+++ b/citronentry/bench_test.go
@@ -61,7 +61,7 @@
 // takes two ledger writes and one call. kv-writes/op also includes the entry's
 // lease renewals.
 func BenchmarkNonIdempotentRequest(b *testing.B) {
-	r := newPlainRig(b, 1, 2)
+	r := newPlainHarness(b, 1, 2)
 	var mu sync.Mutex
 	n := 0
 	w0 := r.kv.Counts().Writes
@@ -158,7 +158,7 @@
 // ends.
 func BenchmarkRecoveryKVOutage(b *testing.B) {
 	s, rejections := newLatencyStats(), newLatencyStats()
-	r := newPlainRig(b, 1, 1)
+	r := newPlainHarness(b, 1, 1)
 	n := 0
 	for range b.N {
 		r.kv.SetFaults(citronkv.Faults{Down: true})
--- a/citronentry/harness_test.go
+++ b/citronentry/harness_test.go
@@ -376,18 +376,18 @@
 	is.Equal(a.tokens, citronengine.Oracle(prompt, layers, tokens)) // equal only if every layer ran once and in order
 }
 
-// plainRig is a testCluster with two plain services on the same upstreams:
+// plainHarness is a testCluster with two plain services on the same upstreams:
 // "release" is not idempotent, "summary" is.
-type plainRig struct {
+type plainHarness struct {
 	*testCluster
 	upstreams []*testBackend
 }
 
-// newPlainRig starts a plainRig with the given number of entries and
+// newPlainHarness starts a plainHarness with the given number of entries and
 // upstreams.
-func newPlainRig(t testing.TB, entries, upstreams int) *plainRig {
+func newPlainHarness(t testing.TB, entries, upstreams int) *plainHarness {
 	t.Helper()
-	r := &plainRig{testCluster: newTestCluster()}
+	r := &plainHarness{testCluster: newTestCluster()}
 	var list []string
 	first := map[int]bool{}
 	for i := range upstreams {
@@ -415,7 +415,7 @@
 }
 
 // stop stops the entries, then the upstreams.
-func (r *plainRig) stop() {
+func (r *plainHarness) stop() {
 	r.testCluster.stop()
 	for _, b := range r.upstreams {
 		b.stop()
@@ -424,7 +424,7 @@
 
 // runs returns how often the request with this idempotency key ran, over all
 // upstreams.
-func (r *plainRig) runs(key string) int {
+func (r *plainHarness) runs(key string) int {
 	n := 0
 	for _, b := range r.upstreams {
 		n += b.plain.Runs()[key]
@@ -433,6 +433,6 @@
 }
 
 // submit sends a plain request with an idempotency key and a deadline.
-func (r *plainRig) submit(entry int, service, key string, deadline time.Duration) answer {
+func (r *plainHarness) submit(entry int, service, key string, deadline time.Duration) answer {
 	return r.post(entry, "/v1/services/"+service+"/requests", key, fmt.Sprintf(`{"customer":"c","body":"plate-7","deadline_ms":%d}`, deadline.Milliseconds()))
 }
--- a/citronentry/once_test.go
+++ b/citronentry/once_test.go
@@ -17,7 +17,7 @@
 
 // retryUntilReplayed retries with key until the answer is no longer status 409,
 // "in progress".
-func (r *plainRig) retryUntilReplayed(t *testing.T, entry int, key string) answer {
+func (r *plainHarness) retryUntilReplayed(t *testing.T, entry int, key string) answer {
 	t.Helper()
 	for range 5000 {
 		a := r.submit(entry, "release", key, time.Minute)
@@ -37,7 +37,7 @@
 // answer once the first run has finished.
 func TestRetryAtOtherEntryDoesNotRunTwice(t *testing.T) {
 	is := is.New(t)
-	r := newPlainRig(t, 2, 1)
+	r := newPlainHarness(t, 2, 1)
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
 	defer release() // a failed check must not leave the entry waiting
@@ -59,7 +59,7 @@
 // would get "outcome unknown" forever.
 func TestShutdownWaitsForAbandonedCall(t *testing.T) {
 	is := is.New(t)
-	r := newPlainRig(t, 2, 1)
+	r := newPlainHarness(t, 2, 1)
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
 	defer release()
@@ -79,7 +79,7 @@
 // second run.
 func TestLostLedgerReplyIsReadBack(t *testing.T) {
 	is := is.New(t)
-	r := newPlainRig(t, 2, 1)
+	r := newPlainHarness(t, 2, 1)
 	r.kv.SetFaults(citronkv.Faults{LoseReplies: 1})
 	a := r.submit(0, "release", "k2", time.Second)
 	is.Equal(a.status, http.StatusOK)
@@ -96,7 +96,7 @@
 // exactly once.
 func TestKVDownRunsNothing(t *testing.T) {
 	is := is.New(t)
-	r := newPlainRig(t, 2, 1)
+	r := newPlainHarness(t, 2, 1)
 	r.kv.SetFaults(citronkv.Faults{Down: true})
 	a := r.submit(0, "release", "k3", time.Second)
 	is.Equal(a.status, http.StatusBadGateway)
@@ -117,7 +117,7 @@
 // against is a key left "started" by a claim that never ran: its retries would be
 // refused forever.
 func TestAtMostOnceStateful(t *testing.T) {
-	r := newPlainRig(t, 2, 1)
+	r := newPlainHarness(t, 2, 1)
 	n := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		n++
@@ -171,7 +171,7 @@
 // progress" forever.
 func TestUnconfirmedClaimIsUndone(t *testing.T) {
 	is := is.New(t)
-	r := newPlainRig(t, 2, 1)
+	r := newPlainHarness(t, 2, 1)
 	r.kv.SetFaults(citronkv.Faults{LoseReplies: 1, DownAfterLoss: true})
 	is.Equal(r.submit(0, "release", "k", time.Minute).code, "outcome_unknown")
 	is.Equal(r.runs("k"), 0)
@@ -187,7 +187,7 @@
 // their own; if each waited for the timeout, requests would pile up at the entry.
 func TestFrozenKVFailsFast(t *testing.T) {
 	is := is.New(t)
-	r := newPlainRig(t, 1, 1)
+	r := newPlainHarness(t, 1, 1)
 	r.kv.SetFaults(citronkv.Faults{Slow: time.Hour})
 	is.Equal(r.submit(0, "release", "first", time.Minute).code, "outcome_unknown")
 	claims := func() int {
@@ -214,7 +214,7 @@
 // with a longer deadline, must be served.
 func TestShortDeadlineDoesNotOpenBreaker(t *testing.T) {
 	is := is.New(t)
-	r := newPlainRig(t, 1, 1)
+	r := newPlainHarness(t, 1, 1)
 	r.kv.SetFaults(citronkv.Faults{Slow: 50 * time.Millisecond})
 	is.Equal(r.submit(0, "release", "hasty", 5*time.Millisecond).code, "outcome_unknown")
 	is.Equal(r.submit(0, "release", "patient", time.Minute).outcome, "served")
@@ -226,7 +226,7 @@
 // must get "outcome unknown"; with "in progress", the caller would retry forever.
 func TestRetryAfterKeyOwnerIsGone(t *testing.T) {
 	is := is.New(t)
-	r := newPlainRig(t, 1, 1)
+	r := newPlainHarness(t, 1, 1)
 	_, err := r.kv.Put(context.Background(), "idem/release/c/k", []byte(`{"state":"started","entry":"entry-0","incarnation":"dead","request":"entry-0-dead-1"}`), citronkv.Absent, 0)
 	is.NoErr(err)
 	a := r.submit(0, "release", "k", time.Minute)
--- a/citronentry/plain_test.go
+++ b/citronentry/plain_test.go
@@ -15,7 +15,7 @@
 // upstream of this test ran would look served.
 func TestRefusedUpstreamKeepsItsPort(t *testing.T) {
 	is := is.New(t)
-	r := newPlainRig(t, 1, 2)
+	r := newPlainHarness(t, 1, 2)
 	for _, b := range r.upstreams {
 		b.set(refused)
 		_, err := net.Listen("tcp", b.addr())
@@ -64,7 +64,7 @@
 			t.Run(fmt.Sprintf("%s/%s", c.name, service), func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				r := newPlainRig(t, 1, 2)
+				r := newPlainHarness(t, 1, 2)
 				r.upstreams[0].set(c.first)
 				r.upstreams[1].set(c.second)
 				if c.leaving {
