--- a/citronlimit/gossip.go
+++ b/citronlimit/gossip.go
@@ -125,7 +125,7 @@
 }
 
 // Checksum returns a checksum of all records, and zero if there are none.
-func (reg *Registry) Checksum() uint64 { return reg.sum.Load() }
+func (reg *Registry) Checksum() uint64 { return reg.checksum.Load() }
 
 // checksum returns the sum of the hashes of all records, which does not depend on their
 // order.
--- a/citronlimit/registry.go
+++ b/citronlimit/registry.go
@@ -52,8 +52,8 @@
 	// records is immutable and replaced as a whole, so that every request can read it
 	// without a lock.
 	records atomic.Pointer[map[string]Record]
-	// sum is the checksum of records.
-	sum atomic.Uint64
+	// checksum is the checksum of records.
+	checksum atomic.Uint64
 	// onChange is called when there is an update for other nodes. relaxed holds the
 	// engines that accept more requests than before.
 	onChange func(relaxed []string)
@@ -180,7 +180,7 @@
 
 func (reg *Registry) replace(records map[string]Record) {
 	reg.records.Store(&records)
-	reg.sum.Store(checksum(records))
+	reg.checksum.Store(checksum(records))
 	gone := func(engine string, _ time.Time) bool { _, ok := records[engine]; return !ok }
 	maps.DeleteFunc(reg.changedAt, gone)
 	maps.DeleteFunc(reg.limitedAt, gone)
