--- a/citronquarantine/ledger.go
+++ b/citronquarantine/ledger.go
@@ -60,9 +60,9 @@
 
 // summary holds the results of All and Checksum.
 type summary struct {
-	at  time.Time
-	all []Entry
-	sum uint64
+	at       time.Time
+	all      []Entry
+	checksum uint64
 }
 
 // entry is a record with the local state of this node.
@@ -300,7 +300,7 @@
 
 // Checksum returns a checksum of the records that All returns, and zero if there are none.
 // Nodes with the same records have the same checksum, whenever they learned them.
-func (l *Ledger) Checksum() uint64 { return l.summarize().sum }
+func (l *Ledger) Checksum() uint64 { return l.summarize().checksum }
 
 func (l *Ledger) summarize() summary {
 	if l.Empty() {
@@ -312,7 +312,7 @@
 	if l.summary == nil || now.Sub(l.summary.at) > summaryTTL {
 		l.dropExpired()
 		all := l.selectEntries(func(e *entry) bool { return e.significant() })
-		l.summary = &summary{at: now, all: all, sum: checksum(all)}
+		l.summary = &summary{at: now, all: all, checksum: checksum(all)}
 	}
 	return *l.summary
 }
