--- a/citronpool/pool.go
+++ b/citronpool/pool.go
@@ -158,10 +158,10 @@
 func (s *State) MarkEnded() { s.ended.Store(true) }
 
 // MarkRestarted marks an engine that has restarted: the requests it ran and the
-// layers it held are lost. The parameter born is the time of the restart in
+// layers it held are lost. The parameter startMS is the time of the restart in
 // milliseconds since 1970.
-func (s *State) MarkRestarted(born int64, now time.Time) {
-	s.restartedAt.Store(born)
+func (s *State) MarkRestarted(startMS int64, now time.Time) {
+	s.restartedAt.Store(startMS)
 	s.MarkReplaced(now) // also adds s to the failed states
 }
 
