--- a/citronlist/restarts.go
+++ b/citronlist/restarts.go
@@ -23,10 +23,10 @@
 // RestartTimes returns the start times of the engines that are known to have started later
 // than their entries say, by instance name.
 func (l *List) RestartTimes() map[string]int64 {
-	starts := map[string]int64{}
+	startTimes := map[string]int64{}
 	for key := range l.index.restarted {
 		e := l.entries[key].engine
-		starts[e.Instance] = e.StartMS
+		startTimes[e.Instance] = e.StartMS
 	}
-	return starts
+	return startTimes
 }
