--- a/citronnode/era_test.go
+++ b/citronnode/era_test.go
@@ -62,7 +62,14 @@
 		f.putEngine(e)
 	}
 	f.putConfig("2")
-	eventually(t, "all nodes know the changes since the copy", func() bool { return f.nodesUsing("e0") == 0 && f.nodesUsing("late") == size })
+	eventually(t, "all nodes know the changes since the copy", func() bool {
+		for _, m := range f.nodes {
+			if m.version() != 2 {
+				return false
+			}
+		}
+		return f.nodesUsing("e0") == 0 && f.nodesUsing("late") == size
+	})
 
 	f.store.Restore(copied)
 	from := time.Now()
@@ -79,9 +86,14 @@
 	is.True(time.Since(from) < 2*time.Second)
 	is.Equal(f.nodesUsing("late"), size)
 	for _, m := range f.nodes {
-		is.Equal(m.version(), int64(2)) // a configuration never reverts
 		is.Equal(m.Status().StoreEra, int64(1))
 	}
+	// Meanwhile, the nodes that watch the store read the older configuration.
+	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		for _, m := range f.nodes {
+			is.Equal(m.version(), int64(2)) // a configuration never reverts
+		}
+	}
 }
 
 // Guards against records that stay missing after the store is restored from an older
