--- a/citronforward/limit_test.go
+++ b/citronforward/limit_test.go
@@ -66,7 +66,7 @@
 			is := is.New(t)
 			r := newTestForwarder(t, plainEngine("p1", "a"), plainEngine("p2", "b"), modelEngine("m1", "a", 0, 8))
 			r.engines.answer = answersOK
-			busy := citronpermit.Denied{AvailableIn: 30 * time.Second, RetryAfter: time.Millisecond}
+			busy := citronpermit.Denied{AvailableIn: 30 * time.Second, RetryAfter: 100 * time.Millisecond}
 			asked := r.setRateLimits(map[string]citronpermit.Decision{"p1": busy, "p2": busy, "m1": busy})
 			from := time.Now()
 			c := r.ask(route, 4*time.Second)
